--- a/caperdeck/__main__.py
+++ b/caperdeck/__main__.py
@@ -155,7 +155,7 @@
             return 2
         return lab(arguments)
     if arguments["peers"]:
-        from caperdeck.ops.show import show_peers
+        from caperdeck.ops.show_peers import show_peers
 
         return show_peers(arguments["ADDRESS"])
     if arguments["config"]:
--- a/caperdeck/turns/signal.py
+++ b/caperdeck/coordination/episodes.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from .mix import mixed
+from .hashing import mixed
 
 SPREAD = 500.0  # milliseconds in which the nodes that heard of it act
 LIFE = 1500.0  # a look older than this starts nothing
--- a/caperdeck/turns/turn.py
+++ b/caperdeck/coordination/stagger.py
@@ -11,7 +11,7 @@
 import math
 from enum import IntEnum
 
-from .mix import mixed
+from .hashing import mixed
 
 STEP = 150.0  # milliseconds between two that step in, in the mean: an answer's time and a word's way
 MOST_STEPS = 12.0
--- a/caperdeck/turns/subset.py
+++ b/caperdeck/coordination/subset.py
@@ -17,7 +17,7 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-from .mix import mixed
+from .hashing import mixed
 
 GOLDEN = (math.sqrt(5) - 1) / 2
 LEAST = 8  # hosts of a subset, if there are so many
--- a/caperdeck/core/decide.py
+++ b/caperdeck/core/decide.py
@@ -11,15 +11,15 @@
 from collections.abc import Generator, Iterator
 from itertools import chain, islice
 
-from .chance import chance
+from .seeded_random import chance
 from .forecast import forecast, take_load_note
 from .model import (
     NEVER_RAN, Action, Ask, Dial, Effect, Entry, Held, HostState, Move, Note, Outcome, Probe, Refuse, Report,
     RosterScope, Scope, Sent, Settings, TearDown, Wake, Watch, Withdraw,
 )  # fmt: skip
-from .rights import ROOM_BUDGET
+from .quotas import ROOM_BUDGET
 from .sampling import without_replacement
-from .slots import ColdSlots
+from .slow_start import ColdSlots
 
 # ---- constants (milliseconds, or shares of full load)
 
--- a/caperdeck/core/facade.py
+++ b/caperdeck/core/facade.py
@@ -16,7 +16,7 @@
     Action, Ask, Dial, Entry, HostState, Move, Note, Outcome, Probe, Refuse, Report, RosterScope, Settings,
     TearDown, Wake, Watch, Withdraw,
 )  # fmt: skip
-from .shares import Shares
+from .fleet_state import Shares
 
 
 # ---- orders: what the caller is to do
--- a/caperdeck/core/shares.py
+++ b/caperdeck/core/fleet_state.py
@@ -7,7 +7,7 @@
 
 from .decide import FIGURE_LIFE, FRESH, FULL_LOAD, ILL, SETTLE, TRIGGER, Node
 from .model import Action, HostState
-from .rights import ROOM_BUDGET
+from .quotas import ROOM_BUDGET
 
 SHORT_SPAN = 250.0  # a node is short for so long after a session found no host or no room
 KEPT = 0.5  # of what it saves a node lends the rest
@@ -22,7 +22,7 @@
 
 
 class Shares:
-    """One node's decisions, as the part that speaks with other nodes sees them. Pots as in rights.py."""
+    """One node's decisions, as the part that speaks with other nodes sees them. Pots as in quotas.py."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
--- a/caperdeck/core/host_table.py
+++ b/caperdeck/core/host_table.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .model import LONG_AGO, Entry, Held, HostState, Sent, Settings
-from .rights import Rights
+from .quotas import Rights
 from .warmup import warm_share
 
 
--- a/caperdeck/core/settings.py
+++ b/caperdeck/core/settings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .chance import chance
+from .seeded_random import chance
 from .model import Effect, Listener, Report, Scope, Settings
 
 MS = 1000.0
--- a/caperdeck/distribution/node.py
+++ b/caperdeck/distribution/node.py
@@ -19,7 +19,7 @@
 from caperdeck.state.clocks import unix_time
 from caperdeck.state.timers import cancel
 
-from .choice import Place
+from .publisher_selection import Place
 from .connection import WatchConnection
 from .messages import FromPublisher, Refusal, Subscribe, one_line
 from .subscriber import Action, Apply, Held, Leave, Phase, Send, State, Subscriber
--- a/caperdeck/distribution/publisher.py
+++ b/caperdeck/distribution/publisher.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from .document import Change
-from .load import HighestLoad
+from .peak_load import HighestLoad
 from .messages import (
     Acknowledge, Busy, Closed, Delta, FromNode, FromPublisher, Heartbeat, Snapshot, Subscribe,
 )  # fmt: skip
--- a/caperdeck/distribution/server.py
+++ b/caperdeck/distribution/server.py
@@ -15,13 +15,13 @@
 from caperdeck.raft.driver import Driver
 from caperdeck.raft.transport import Net, Then
 
-from .confirming import Confirming
+from .confirmation import Confirming
 from .messages import HIGHEST_NUMBER
 from .publisher import Publisher
 from .status import encode_status
 from .stream import WATCH
 from .table import LARGEST_CHANGES, Versions
-from .watching import Watches, most_watches
+from .watch_server import Watches, most_watches
 
 LARGEST_COMMAND = LARGEST_CHANGES + 4096  # bytes; in base 64 it fits into a frame between instances
 
--- a/caperdeck/distribution/subscriber.py
+++ b/caperdeck/distribution/subscriber.py
@@ -11,9 +11,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
-from .choice import Place, preferred
+from .publisher_selection import Place, preferred
 from .document import EMPTY, Document, DocumentError, apply, digest
 from .messages import (
     Acknowledge, Busy, Closed, Delta, FromNode, FromPublisher, Heartbeat, Refusal, Snapshot, Subscribe,
--- a/caperdeck/carry/carrier.py
+++ b/caperdeck/execution/executor.py
@@ -27,9 +27,9 @@
 from caperdeck.state.limits import Limits
 from caperdeck.state.sessions import ClientSide, HostSide, Prober, Session, Sessions
 from caperdeck.state.timers import cancel
-from caperdeck.turns.subset import Place, Subsets
+from caperdeck.coordination.subset import Place, Subsets
 
-from .catch_up import CatchUp
+from .backlog import CatchUp
 from .resumption import Resumption
 
 SILENCE = 2000.0  # a host that has brought nothing back for so long is given up
--- a/caperdeck/ledger/notes.py
+++ b/caperdeck/gossip/message_sections.py
@@ -8,7 +8,7 @@
 
 from caperdeck.peers.codec import DatagramError
 
-from .counts import Count
+from .counters import Count
 from .judgements import Judgement, Kind
 
 STEP = 16.0  # milliseconds, of an age
--- a/caperdeck/ledger/marked.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from caperdeck.core.facade import Crowded, News
-from caperdeck.core.rights import ROOM_BUDGET
-from caperdeck.core.shares import Shares
+from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.fleet_state import Shares
 
 from .judgements import ILL_EVERYWHERE, Kind
 from .sharing import DIALS, ENDED, ROOM, Shown, Uses
--- a/caperdeck/ledger/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -13,12 +13,12 @@
 from caperdeck.peers.codec import DatagramError, Kind, Message
 from caperdeck.peers.swim import EVERYONE, Bucket, Heard, Send, Swim
 
-from . import notes
-from .counts import LARGEST, Count, Counts
+from . import message_sections
+from .counters import LARGEST, Count, Counts
 from .judgements import SPAN, Judgement, Judgements
 from .judgements import Kind as Word
-from .loans import Loans
-from .notes import Notes
+from .quota_transfers import Loans
+from .message_sections import Notes
 
 SHORT_EVERY = 100.0  # so often a node looks whether it is short of rights, a session's wait for a host
 JUDGE_EVERY = 500.0
@@ -124,7 +124,7 @@
             message = codec.decode(data, self.fleet, self.swim.members)
             if sender != message.sender:
                 raise DatagramError("not-its-address")
-            extra = notes.decode(message.notes, self.swim.members)
+            extra = message_sections.decode(message.notes, self.swim.members)
         except DatagramError as reason:
             self.swim.drop(str(reason))
             return []
@@ -162,11 +162,11 @@
         if kind is Kind.GOSSIP:
             return b""
         if kind is Kind.TELL:
-            return notes.encode(Notes(seen=self.telling), codec.NOTES)
+            return message_sections.encode(Notes(seen=self.telling), codec.NOTES)
         if kind is Kind.GIVE:
-            return notes.encode(Notes(grants=grants), codec.NOTES)
+            return message_sections.encode(Notes(grants=grants), codec.NOTES)
         if kind is Kind.ASK:
-            return notes.encode(Notes(wants=self._some(self._wanted(now), WANT_ROWS)), codec.NOTES)
+            return message_sections.encode(Notes(wants=self._some(self._wanted(now), WANT_ROWS)), codec.NOTES)
         shown, me = self.decisions.show(now), self.swim.me
         n = Notes(ill_everywhere=shown.ill_everywhere)
         if self.uses.weight:
@@ -184,7 +184,7 @@
                 for (h, member), (word, at, _) in self.judgements.rows.items() if member != me
             ]  # fmt: skip
             n.judged = self._some(own, JUDGED_ROWS) + self._some(others, JUDGED_ROWS)
-        return notes.encode(n, codec.NOTES)
+        return message_sections.encode(n, codec.NOTES)
 
     def _wanted(self, now: float) -> list[tuple[int, float]]:
         """Pots that are short, and by how much."""
@@ -229,7 +229,11 @@
             return [], []
 
         def lend(budget: int, most: float) -> float:
-            return notes.as_sent(self.decisions.lend(now, budget, most)) if self._allowed(budget) else 0.0
+            return (
+                message_sections.as_sent(self.decisions.lend(now, budget, most))
+                if self._allowed(budget)
+                else 0.0
+            )
 
         grants = self.loans.give(m.sender, m.life, m.nonce, wants[:WANT_ROWS], lend)
         answer = self.swim.bare(Kind.GIVE, self.swim.me, m.nonce)
--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -8,7 +8,7 @@
 from caperdeck.distribution.document import LARGEST_DOCUMENT
 from caperdeck.distribution.publisher import BUSY_WAIT, CONNECTS_A_SECOND, CONNECTS_AT_ONCE
 from caperdeck.distribution.subscriber import FIRST_TRY, SILENT
-from caperdeck.distribution.watching import MOST_WATCHES
+from caperdeck.distribution.watch_server import MOST_WATCHES
 from caperdeck.lifecycle.config import LARGEST
 
 from ..figure import Figure, figure, largest
--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -5,7 +5,7 @@
 import math
 
 from caperdeck.leases.census import Census
-from caperdeck.leases.holding import RENEW_AT
+from caperdeck.leases.expiry import RENEW_AT
 from caperdeck.leases.table import LARGEST_STATE
 from caperdeck.owner.config import MOST_INSTANCES, MOST_NODES, SPAN, WORKS
 
--- a/caperdeck/lab/cli.py
+++ b/caperdeck/lab/cli.py
@@ -11,7 +11,7 @@
 from .figures import lines as figure_lines
 from .history import Event, read, write
 from .oracle import SAME_TURN, Breach, judge
-from .owned import CHECKS
+from .owned_work import CHECKS
 from .scenario import Scenario, ScenarioError, load
 
 HELD, BROKEN, BAD, VOID = 0, 1, 2, 3
@@ -199,7 +199,7 @@
 
 
 def in_force(arguments: dict[str, Any]) -> int:
-    from .in_force.command import in_force as play_in_force
+    from .propagation.command import in_force as play_in_force
 
     return play_in_force(arguments)
 
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.messages import FromPublisher
 from caperdeck.distribution.subscriber import NOTHING, Action, Apply, Held, Leave, Send
 from caperdeck.lab.suspension import Suspendable
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.messages import FromNode, FromPublisher, Subscribe
 from caperdeck.distribution.publisher import Publisher
 from caperdeck.distribution.subscriber import Held, Subscriber
--- a/caperdeck/lab/distribution/surroundings.py
+++ b/caperdeck/lab/distribution/surroundings.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.messages import FromNode, FromPublisher
 from caperdeck.distribution.publisher import Publisher
 from caperdeck.distribution.subscriber import Held, Subscriber
--- a/caperdeck/lab/launch.py
+++ b/caperdeck/lab/launch.py
@@ -65,7 +65,7 @@
 def stop_at_act() -> None:
     """Minds these signals; SIGRTMIN takes back what was asked."""
     from caperdeck.owner.config import WORKS
-    from caperdeck.owner.nodes import NodeLinks
+    from caperdeck.owner.node_links import NodeLinks
 
     act, wanted = NodeLinks.act, []
 
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.holding import Holder, Warden
+from caperdeck.leases.expiry import Holder, Warden
 from caperdeck.leases.table import LEAST_SPAN, Table
 
 from .exploration import BrokenError
--- a/caperdeck/lab/process_files.py
+++ b/caperdeck/lab/process_files.py
@@ -8,7 +8,7 @@
 import msgspec
 import tomli_w
 
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip.sharing import Uses
 
 CLUSTER = "lab"
 LEASE_SPAN = 1500.0  # milliseconds
--- a/caperdeck/lab/in_force/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from caperdeck.distribution.choice import preferred
+from caperdeck.distribution.publisher_selection import preferred
 from caperdeck.lifecycle.merge import STAND_IN
 from caperdeck.owner.process import steady
 
--- a/caperdeck/lab/in_force/instances.py
+++ b/caperdeck/lab/propagation/instances.py
@@ -14,7 +14,7 @@
 import tomli_w
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import Document
 from caperdeck.lab.ports import Ports
 from caperdeck.lab.rig_process import ROOT, VoidError
--- a/caperdeck/lab/in_force/measured.py
+++ b/caperdeck/lab/propagation/measured.py
@@ -10,7 +10,7 @@
 from msgspec import field
 
 from caperdeck.distribution.publisher import CONNECTS_A_SECOND, CONNECTS_AT_ONCE, SNAPSHOTS_AT_ONCE
-from caperdeck.lab.scale.beat import Late
+from caperdeck.lab.scale.heartbeat import Late
 
 from .instances import Published, WatchFigures
 from .plan import InForce, Refused
--- a/caperdeck/lab/in_force/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -20,8 +20,8 @@
 from caperdeck.distribution.subscriber import Held, State
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
-from caperdeck.lab.scale.beat import BEAT, Beats
-from caperdeck.lab.scale.hollow import collect_from_now_on
+from caperdeck.lab.scale.heartbeat import BEAT, Beats
+from caperdeck.lab.scale.stub_nodes import collect_from_now_on
 from caperdeck.lab.scale.traffic import Traffic, count_traffic
 from caperdeck.lifecycle.config import Config, decode
 from caperdeck.lifecycle.control import Control, Instance
--- a/caperdeck/lab/in_force/plan.py
+++ b/caperdeck/lab/propagation/plan.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from caperdeck.distribution.choice import Place
-from caperdeck.lab.scale.beat import Late
+from caperdeck.distribution.publisher_selection import Place
+from caperdeck.lab.scale.heartbeat import Late
 from caperdeck.lab.scale.traffic import Traffic
 
 CLUSTER = "in-force"
--- a/caperdeck/lab/in_force/relay.py
+++ b/caperdeck/lab/propagation/relay.py
@@ -14,7 +14,7 @@
 import msgspec
 from twisted.internet import stdio
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.lab.links import Links
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
@@ -81,7 +81,7 @@
     """The run's side of that process."""
 
     def __init__(self, folder: Path) -> None:
-        super().__init__("relay", "caperdeck.lab.in_force.relay", folder / "relay.log")
+        super().__init__("relay", "caperdeck.lab.propagation.relay", folder / "relay.log")
         self.addresses: dict[str, str] = {}
 
     async def start(self, plan: RelayPlan) -> None:
--- a/caperdeck/lab/in_force/run.py
+++ b/caperdeck/lab/propagation/run.py
@@ -17,7 +17,7 @@
 from caperdeck.distribution import commands
 from caperdeck.distribution.document import Document, canonical
 from caperdeck.lab.rig_process import VoidError
-from caperdeck.lab.scale.beat import BEAT, Beats
+from caperdeck.lab.scale.heartbeat import BEAT, Beats
 from caperdeck.lab.scale.measure import MB
 from caperdeck.lab.scale.processes import ChildProcess
 from caperdeck.owner.process import steady
@@ -50,7 +50,7 @@
     """A process of nodes, with its last report."""
 
     def __init__(self, name: str, folder: Path, plan: Plan, measured: Measured) -> None:
-        super().__init__(name, "caperdeck.lab.in_force.nodes", folder / f"{name}.log")
+        super().__init__(name, "caperdeck.lab.propagation.nodes", folder / f"{name}.log")
         self.plan, self.measured = plan, measured
         self.last: Report | None = None  # of this life
         self.at = 0.0  # when that came, seconds
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from caperdeck.core.rights import Rights
-from caperdeck.ledger.loans import LOAN, Loans
+from caperdeck.core.quotas import Rights
+from caperdeck.gossip.quota_transfers import LOAN, Loans
 
 from .exploration import BrokenError
 
--- a/caperdeck/lab/scale/measured.py
+++ b/caperdeck/lab/scale/measured.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import field
 
-from .beat import Late
+from .heartbeat import Late
 
 KIND = "caperdeck scale run"
 
--- a/caperdeck/lab/scale/plan.py
+++ b/caperdeck/lab/scale/plan.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .beat import Late
+from .heartbeat import Late
 from .traffic import Traffic
 
 
--- a/caperdeck/lab/scale/processes.py
+++ b/caperdeck/lab/scale/processes.py
@@ -63,7 +63,7 @@
     """A hollow process; its nodes die together."""
 
     def __init__(self, name: str, folder: Path) -> None:
-        super().__init__(name, "caperdeck.lab.scale.hollow", folder / f"{name}.log")
+        super().__init__(name, "caperdeck.lab.scale.stub_nodes", folder / f"{name}.log")
         self.wanted = False  # it should live
         self.at = 0.0  # when the last sample came, seconds
         self.last: Sample | None = None
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 from caperdeck.lab.oracle import SAME_TURN, judge
-from caperdeck.lab.owned import CHECKS
+from caperdeck.lab.owned_work import CHECKS
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import dump
 from caperdeck.owner.config import MOST_NODES
 
-from .beat import BEAT, Beats, Late
+from .heartbeat import BEAT, Beats, Late
 from .measure import MB, Meter, cores_used, machine_cores, node_cost
 from .measured import Cost, Fault, Measured, Reading, View
 from .places import Places
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -9,7 +9,7 @@
 
 from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip.sharing import Uses
 from caperdeck.lifecycle.sharing import MOST_PEERS
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
--- a/caperdeck/lab/scale/hollow.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -21,17 +21,17 @@
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip.sharing import Uses
 from caperdeck.lifecycle.config import Config, decode_config
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
-from caperdeck.ops.front import Caller, Front
+from caperdeck.ops.admin_server import Caller, Front
 from caperdeck.owner.config import Owners
 from caperdeck.peers.swim import State
 from caperdeck.state.addresses import parse_address
 
-from .beat import BEAT, Beats
+from .heartbeat import BEAT, Beats
 from .plan import Order, Plan, Sample
 from .traffic import Traffic, count_received_datagrams, count_traffic
 
--- a/caperdeck/lab/scenario.py
+++ b/caperdeck/lab/scenario.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import field
 
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip.sharing import Uses
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
 MOST_NODES, MOST_HOSTS, MOST_SECONDS, MOST_RATE, MOST_FAULTS = 400, 200, 300.0, 5000.0, 200
--- a/caperdeck/lab/seeded_random.py
+++ b/caperdeck/lab/seeded_random.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
 
 class SeededRandom:
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -10,9 +10,9 @@
 import random
 from dataclasses import dataclass, field
 
-from caperdeck.core.rights import Rights
-from caperdeck.ledger.loans import LOAN
-from caperdeck.ledger.sharing import Sharing, Shown, Uses
+from caperdeck.core.quotas import Rights
+from caperdeck.gossip.quota_transfers import LOAN
+from caperdeck.gossip.sharing import Sharing, Shown, Uses
 
 from .events import Events
 
--- a/caperdeck/lab/slopes/agreement.py
+++ b/caperdeck/lab/slopes/agreement.py
@@ -17,7 +17,7 @@
 import orjson
 from hdrh.histogram import HdrHistogram
 
-from caperdeck.lab.agree import World
+from caperdeck.lab.raft_simulation import World
 from caperdeck.leases.table import LARGEST_STATE, MOST_SPAN, MOST_WORKS, Table
 from caperdeck.owner.commands import LENGTH
 from caperdeck.raft.codec import encode
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -24,7 +24,7 @@
 from caperdeck.lifecycle.config import decode_config
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 
 from .errors import MeasuringError
 from .line import Point
--- a/caperdeck/lab/slopes/publishing_instances.py
+++ b/caperdeck/lab/slopes/publishing_instances.py
@@ -11,7 +11,7 @@
 
 from caperdeck.distribution import commands
 from caperdeck.distribution.document import Document, canonical
-from caperdeck.lab.in_force.plan import CLUSTER
+from caperdeck.lab.propagation.plan import CLUSTER
 from caperdeck.owner.commands import ask
 from caperdeck.owner.config import Owners
 from caperdeck.state.addresses import Address
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -15,9 +15,9 @@
 from caperdeck.leases.target import Target
 from caperdeck.lifecycle.owners import LONGEST_ACT
 from caperdeck.lifecycle.reactor import install_reactor
-from caperdeck.ops.calls import Answer, Calls, Then, no, yes
-from caperdeck.ops.front import Caller, Front
-from caperdeck.owner.asking import Asking
+from caperdeck.ops.admin_calls import Answer, Calls, Then, no, yes
+from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.owner.token_recovery import Asking
 from caperdeck.owner.config import Owners
 from caperdeck.state.addresses import Address, parse_address
 
--- a/caperdeck/lab/slopes/watching_nodes.py
+++ b/caperdeck/lab/slopes/watching_nodes.py
@@ -15,16 +15,16 @@
 
 import msgspec
 
-from caperdeck.distribution.choice import Place
-from caperdeck.lab.in_force.plan import NodePlan, Plan, Report
-from caperdeck.lab.in_force.run import stream_bytes
+from caperdeck.distribution.publisher_selection import Place
+from caperdeck.lab.propagation.plan import NodePlan, Plan, Report
+from caperdeck.lab.propagation.run import stream_bytes
 from caperdeck.state.addresses import Address
 
 from .bench import POLL_EVERY, spawn
 from .errors import MeasuringError
 from .process import own_memory, processor_seconds
 
-MODULE = "caperdeck.lab.in_force.nodes"
+MODULE = "caperdeck.lab.propagation.nodes"
 LATE_BEAT = 150.0  # milliseconds, from which the process counts a beat of its own as late
 REPORT_EVERY = 0.1  # seconds
 ZONE, REGION = "z0", "north"
--- a/caperdeck/lab/soak.py
+++ b/caperdeck/lab/soak.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from caperdeck.ops.front import RESERVED
+from caperdeck.ops.admin_server import RESERVED
 
 from .history import Event
 from .oracle import SAME_TURN, Breach, judge
--- a/caperdeck/leases/rounds.py
+++ b/caperdeck/leases/rounds.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
 LOOKS = 16  # at all that was said, in as many answers as there are targets
 LOOK_EVERY = 100.0  # milliseconds; so often at least, where there are fewer answers
--- a/caperdeck/leases/runner.py
+++ b/caperdeck/leases/runner.py
@@ -10,10 +10,10 @@
 import math
 from typing import Any, NamedTuple, Protocol
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
 from .census_state import StateError
-from .holding import RETRY, Holder
+from .expiry import RETRY, Holder
 
 LEASE, STATE = 0, 1  # a runner's two client sessions: one command of each is under way at a time
 ASK_AGAIN = (0.1, 0.3)  # of a span, while somebody else holds the work
--- a/caperdeck/lifecycle/control.py
+++ b/caperdeck/lifecycle/control.py
@@ -5,7 +5,7 @@
 import os
 from typing import Any, NamedTuple
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.messages import LONGEST_NAME
 from caperdeck.state.addresses import Address
 
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -11,12 +11,12 @@
 
 from caperdeck.core.model import HostState
 from caperdeck.leases.target import Target
-from caperdeck.ledger.judgements import ILL_EVERYWHERE
-from caperdeck.ops.calls import ID, Then, no, yes
-from caperdeck.owner.asking import Asking
+from caperdeck.gossip.judgements import ILL_EVERYWHERE
+from caperdeck.ops.admin_calls import ID, Then, no, yes
+from caperdeck.owner.token_recovery import Asking
 from caperdeck.owner.config import OwnerError, Owners, load_owners
 from caperdeck.state.timers import cancel
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 
 from .config import Config, ConfigError
 
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -13,22 +13,22 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.task import LoopingCall
 
-from caperdeck.carry.catch_up import SWEEP
+from caperdeck.execution.backlog import SWEEP
 from caperdeck.core.facade import Balancer
 from caperdeck.core.settings import MS
 from caperdeck.ops.ban_calls import BanCalls
 from caperdeck.ops.bans import Ban, Bans
-from caperdeck.ops.calls import CallError, Calls, Then, yes
-from caperdeck.ops.front import RESERVED, Front
+from caperdeck.ops.admin_calls import CallError, Calls, Then, yes
+from caperdeck.ops.admin_server import RESERVED, Front
 from caperdeck.ops.upgrade import State, Upgrade
 from caperdeck.state.errors import call_again
 from caperdeck.state.budget import SocketBudget, open_descriptors
 from caperdeck.state.hosts import Hosts
 from caperdeck.state.backoff import BackOff
 from caperdeck.state.clocks import DateWatch, node_clock, unix_time
-from caperdeck.turns.subset import SubsetError, Subsets
+from caperdeck.coordination.subset import SubsetError, Subsets
 from caperdeck.wire.client import ClientFactory, ClientPort
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 from caperdeck.wire.discovery import Discovery
 
 from .config import Config, ConfigError, check_kept
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -6,10 +6,10 @@
 
 from loguru import logger
 
-from caperdeck.ledger.marked import Marked
-from caperdeck.ledger.sharing import Sharing, Uses, life_from
+from caperdeck.gossip.shared_decisions import Marked
+from caperdeck.gossip.sharing import Sharing, Uses, life_from
 from caperdeck.state.addresses import Address, AddressError, parse_address
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 from caperdeck.wire.peers import PeerPort
 
 from .config import ConfigError
--- a/caperdeck/ops/front.py
+++ b/caperdeck/ops/admin_server.py
@@ -18,7 +18,7 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort, LineConnection
 
-from .calls import Answer, Calls, no
+from .admin_calls import Answer, Calls, no
 
 LONGEST_CALL = 512
 MOST_CALLERS = 24  # open at once, of the descriptors set apart for them
--- a/caperdeck/ops/ban_calls.py
+++ b/caperdeck/ops/ban_calls.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from .bans import Ban, Bans, BansError
-from .calls import Answer, Then, no, yes
+from .admin_calls import Answer, Then, no, yes
 
 SAVE_AGAIN = 0.02  # seconds until a write that failed is tried again while a caller waits
 SAVE_WAIT = 0.6  # seconds that a caller waits for it; an answer is due within 1 s
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from caperdeck.state.sessions import Session
-    from caperdeck.wire.desk import Desk
+    from caperdeck.wire.session_handler import Desk
 
 MOST_BUFFERED = 32 << 10  # bytes of a connection; one that holds more is handed on once they have gone
 
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -1,6 +1,6 @@
 """This process's part in an upgrade: the successor of one that serves, later the incumbent of the next.
 
-What is said and when stands in succession.py; here is what a node does at each word of it.
+What is said and when stands in upgrade_protocol.py; here is what a node does at each word of it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .bans import Ban, BansError
 from .handover import let_go, may_go, packet, take_up
 from .link import Doorbell, FolderAddress, Link, NodeAddress, UnixAddress, reach
-from .succession import Incumbent, Successor
+from .upgrade_protocol import Incumbent, Successor
 
 State = dict[str, Any]  # what an incumbent tells its successor of itself
 
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -13,14 +13,14 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 from caperdeck.distribution.server import Distribution
 from caperdeck.leases.census import Census
-from caperdeck.leases.holding import Warden
+from caperdeck.leases.expiry import Warden
 from caperdeck.leases.runner import Act, Note, Propose, Runner
 from caperdeck.leases.table import Table
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.leases.turning import Turning
+from caperdeck.leases.outlier_ejection import Turning
 from caperdeck.lifecycle.logs import one_line
 from caperdeck.raft.core import Raft, Role, Save
 from caperdeck.raft.driver import Driver
@@ -30,9 +30,9 @@
 from caperdeck.raft.transport import Net, Then
 from caperdeck.state.timers import cancel
 
-from .agreed import Agreed, for_versions, is_for_leases
+from .replicated_state import Agreed, for_versions, is_for_leases
 from .config import OwnerConfig
-from .nodes import NodeLinks, line_of
+from .node_links import NodeLinks, line_of
 
 WORKS = {HOSTS: Turning, CENSUS: Census}
 LEAST_WAIT = 2.0  # milliseconds between two turns with nothing coming in
--- a/caperdeck/owner/asking.py
+++ b/caperdeck/owner/token_recovery.py
@@ -8,7 +8,7 @@
 
 from twisted.protocols.basic import Int32StringReceiver
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 from caperdeck.raft.codec import LONGEST, FrameError, frame, unwrap
 from caperdeck.raft.transport import CALL, REPLY
 from caperdeck.state.addresses import Address
--- a/caperdeck/peers/draws.py
+++ b/caperdeck/peers/member_random.py
@@ -1,8 +1,8 @@
 """Draws of one member that are like no other member's, whatever their seeds have in common.
 
 Source: Steele, Lea, Flood, "Fast Splittable Pseudorandom Number Generators" (OOPSLA 2014): SplitMix64. A
-checksum of seed and count, as in `core.chance`, is linear: two members' draws differ by the same bits each
-time, so members shuffle alike, ping the same ones, and some are pinged by nobody for many rounds.
+checksum of seed and count, as in `core.seeded_random`, is linear: two members' draws differ by the same bits
+each time, so members shuffle alike, ping the same ones, and some are pinged by nobody for many rounds.
 """
 
 from __future__ import annotations
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from .codec import MOST_GOSSIP, MOST_UPDATES, Beat, Kind, Message, State, Update
-from .draws import Draws
+from .member_random import Draws
 
 PERIOD = 2000.0  # between pings, at the mean
 ACK_WAIT = 300.0  # for the answer before others are asked to ping
--- a/caperdeck/raft/core.py
+++ b/caperdeck/raft/core.py
@@ -9,7 +9,7 @@
 the driver then calls `saved`. What rests on a write (votes, answers to appends, the leader's own share of a
 quorum) therefore never leaves before it.
 
-Here are the events. What they bring about is in `election`, `replication` (the leader) and `following`, over
+Here are the events. What they bring about is in `election`, `replication` (the leader) and `follower`, over
 what `state` holds.
 """
 
@@ -17,7 +17,7 @@
 
 from .actions import Action, Apply, Became, Readable, Restore, Role, Save, Send, Unreadable
 from .election import Election
-from .following import Following
+from .follower import Following
 from .log import Entry, Kind, Members, Snapshot, encode_members
 from .membership import reason_against
 from .messages import Append, Appended, Ask, Install, Installed, Message, TakeOver, Voted
--- a/caperdeck/raft/state.py
+++ b/caperdeck/raft/state.py
@@ -4,7 +4,7 @@
 
 import math
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
 from .actions import Action, Apply, Became, Role, Save, Send, Unreadable
 from .log import Entry, Log
--- a/caperdeck/state/backoff.py
+++ b/caperdeck/state/backoff.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from caperdeck.core.chance import chance
+from caperdeck.core.seeded_random import chance
 
 LEAST = 0.2  # seconds; the span of the first wait is at least this
 
--- a/caperdeck/wire/peers.py
+++ b/caperdeck/wire/peers.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from caperdeck.core.settings import MS
-from caperdeck.ledger.sharing import Sharing
+from caperdeck.gossip.sharing import Sharing
 from caperdeck.peers.swim import EVERYONE
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
--- a/caperdeck/wire/desk.py
+++ b/caperdeck/wire/session_handler.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from caperdeck.carry.carrier import Carrier
-from caperdeck.carry.resumption import ANSWER_MARGIN
+from caperdeck.execution.executor import Carrier
+from caperdeck.execution.resumption import ANSWER_MARGIN
 from caperdeck.core.facade import Load, Up
 from caperdeck.core.model import Outcome
 from caperdeck.core.settings import MS
--- a/tests/held_instance.py
+++ b/tests/held_instance.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from caperdeck.distribution.watching import Watches
+from caperdeck.distribution.watch_server import Watches
 from caperdeck.owner import process
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,7 +24,7 @@
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
 from caperdeck.wire.client import ClientConnection, ClientFactory, ClientPort
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 
 START = 1_000_000.0
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,7 +9,7 @@
 from helpers import CONFIG, SETUP, write
 
 from caperdeck.__main__ import main
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import digest
 from caperdeck.distribution.subscriber import NOTHING, Held
 from caperdeck.distribution.version_file import (
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -12,7 +12,7 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.protocols.basic import Int32StringReceiver
 
-from caperdeck.distribution.choice import Place
+from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import digest
 from caperdeck.distribution.messages import Subscribe
 from caperdeck.distribution.node import LONGEST_RETRY
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,7 +11,7 @@
 from test_distribution_processes import ROOT, Instances, until
 
 from caperdeck.distribution import commands
-from caperdeck.ops.show import ask
+from caperdeck.ops.show_peers import ask
 
 
 class ServedNode:
--- a/tests/test_turns.py
+++ b/tests/test_coordination.py
@@ -5,12 +5,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from caperdeck.turns.mix import mixed
-from caperdeck.turns.signal import EPISODE, LIFE, SPREAD, Episodes, Retries, Seen
-from caperdeck.turns.subset import (
+from caperdeck.coordination.hashing import mixed
+from caperdeck.coordination.episodes import EPISODE, LIFE, SPREAD, Episodes, Retries, Seen
+from caperdeck.coordination.subset import (
     COVER, LEAST, MOST_HOSTS, Place, Ring, SubsetError, Subsets, stands_at, wanted,
 )  # fmt: skip
-from caperdeck.turns.turn import MOST_STEPS, STEP, Work, period, wait
+from caperdeck.coordination.stagger import MOST_STEPS, STEP, Work, period, wait
 
 SIZES = st.lists(st.floats(0.1, 10.0), min_size=1, max_size=120)
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from caperdeck.distribution import document, publisher, subscriber, table
-from caperdeck.distribution.choice import Place, preferred
+from caperdeck.distribution.publisher_selection import Place, preferred
 from caperdeck.distribution.document import DocumentError, apply, difference, digest
 from caperdeck.distribution.messages import (
     Acknowledge, Busy, Closed, Delta, Heartbeat, MessageError, Refusal, Snapshot, Subscribe, decode, encode,
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -17,13 +17,13 @@
 from twisted.internet.selectreactor import SelectReactor
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.choice import Place, preferred
+from caperdeck.distribution.publisher_selection import Place, preferred
 from caperdeck.distribution.connection import WatchConnection
 from caperdeck.distribution.messages import Acknowledge, Heartbeat, Subscribe
 from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
 from caperdeck.distribution.subscriber import NOTHING, Apply, Leave, State, Subscriber
 from caperdeck.distribution.table import LARGEST_CHANGES
-from caperdeck.distribution.watching import MOST_WATCHES, OTHER_FILES
+from caperdeck.distribution.watch_server import MOST_WATCHES, OTHER_FILES
 from caperdeck.owner.commands import ask
 from caperdeck.owner.config import load_owners
 from caperdeck.owner.process import steady
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -9,15 +9,15 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.confirming import EVERY, Confirming
+from caperdeck.distribution.confirmation import EVERY, Confirming
 from caperdeck.distribution.document import DocumentError, digest
 from caperdeck.distribution.messages import Acknowledge, MessageError, Refusal, Snapshot, Subscribe
 from caperdeck.distribution.publisher import CONFIRMED_FOR, TICK, UNANSWERED, Publisher
 from caperdeck.distribution.status import Status, StatusRow, decode_status, encode_status
 from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
 from caperdeck.distribution.table import LARGEST_CHANGES, Versions, propose
-from caperdeck.distribution.watching import MOST_UNSENT, TURNED_AWAY, Watches
-from caperdeck.owner.agreed import Agreed, for_versions
+from caperdeck.distribution.watch_server import MOST_UNSENT, TURNED_AWAY, Watches
+from caperdeck.owner.replicated_state import Agreed, for_versions
 from caperdeck.owner.config import Owners
 from caperdeck.raft.codec import LONGEST, frame
 from caperdeck.raft.codec import encode as encode_raft
--- a/tests/test_ledger.py
+++ b/tests/test_gossip.py
@@ -6,15 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from caperdeck.core.rights import Rights
+from caperdeck.core.quotas import Rights
 from caperdeck.lab import sharing_network
 from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
-from caperdeck.ledger import notes
-from caperdeck.ledger.counts import AGE, MOST, MOST_RISE, Count, Counts
-from caperdeck.ledger.judgements import SPAN, Judgement, Judgements, Kind
-from caperdeck.ledger.loans import Loans
-from caperdeck.ledger.notes import Notes
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip import message_sections
+from caperdeck.gossip.counters import AGE, MOST, MOST_RISE, Count, Counts
+from caperdeck.gossip.judgements import SPAN, Judgement, Judgements, Kind
+from caperdeck.gossip.quota_transfers import Loans
+from caperdeck.gossip.message_sections import Notes
+from caperdeck.gossip.sharing import Uses
 from caperdeck.peers import codec
 from caperdeck.peers.codec import DatagramError, Message
 
@@ -194,34 +194,34 @@
 @given(st.lists(amounts, max_size=6), st.lists(amounts, max_size=6), st.lists(counts, max_size=3))
 def test_notes_come_back(wants, grants, kept):
     n = Notes(counts=kept, wants=wants, grants=grants, ill_everywhere=True)
-    assert notes.decode(notes.encode(n, 200), 4) == n
+    assert message_sections.decode(message_sections.encode(n, 200), 4) == n
 
 
 @given(st.binary(max_size=142))
 def test_rubbish_in_notes_is_turned_down_whole(data):
     try:
-        notes.decode(data, 4)
+        message_sections.decode(data, 4)
     except DatagramError as error:
         assert str(error) in ("notes-cut-short", "unknown-notes", "no-such-member", "bad-amount")
 
 
 @pytest.mark.parametrize("amount", [float("nan"), float("inf"), -1.0])
 def test_an_amount_that_is_none_is_turned_down(amount):
-    data = bytes((notes.GRANT, 1)) + notes.ROWS[notes.GRANT].pack(0, amount)
+    data = bytes((message_sections.GRANT, 1)) + message_sections.ROWS[message_sections.GRANT].pack(0, amount)
     with pytest.raises(DatagramError, match="bad-amount"):
-        notes.decode(data, 4)
+        message_sections.decode(data, 4)
 
 
 @given(st.floats(0, 1e12))
 def test_a_loan_is_never_rounded_up_on_its_way(amount):
-    assert notes.as_sent(amount) <= amount
+    assert message_sections.as_sent(amount) <= amount
 
 
 def test_ages_are_rounded_up_and_the_rest_is_cut():
     n = Notes(seen=[(h, 0.5, 17.0) for h in range(40)])
-    data = notes.encode(n, codec.NOTES)
+    data = message_sections.encode(n, codec.NOTES)
     assert len(data) <= codec.NOTES
-    assert all(age == 32.0 for _, _, age in notes.decode(data, 4).seen)
+    assert all(age == 32.0 for _, _, age in message_sections.decode(data, 4).seen)
 
 
 # ---- many copies
@@ -317,7 +317,8 @@
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
         told = Message(codec.Kind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
-        data = codec.encode(told._replace(notes=notes.encode(Notes(seen=[(7, 1.5, 0.0)]), 142)), node.fleet)
+        sections = message_sections.encode(Notes(seen=[(7, 1.5, 0.0)]), 142)
+        data = codec.encode(told._replace(notes=sections), node.fleet)
         node.datagram(now, data, sender, lay=5000.0)
     assert node.full == {} and node.crowded == {}
 
--- a/tests/test_ledger_bound.py
+++ b/tests/test_gossip_bound.py
@@ -4,7 +4,7 @@
 
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.rights_model import NodeModel, RightsModel
-from caperdeck.ledger.loans import LOAN
+from caperdeck.gossip.quota_transfers import LOAN
 
 
 class DividesByTheLiving(NodeModel):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -54,7 +54,7 @@
         order = import_order(ROOT, "caperdeck")
     except CycleError as error:
         pytest.fail(f"circle of imports: {' <- '.join(error.args[1])}")
-    assert {"caperdeck.wire.client", "caperdeck.wire.desk", "caperdeck.wire.host"} <= set(order)
+    assert {"caperdeck.wire.client", "caperdeck.wire.session_handler", "caperdeck.wire.host"} <= set(order)
 
 
 def reached(root: Path, package: str, names: set[str]) -> set[str]:
@@ -69,16 +69,17 @@
     return found
 
 
-OFF = ("distribution", "ledger", "leases", "owner", "peers", "raft")  # in `run`
+OFF = ("distribution", "gossip", "leases", "owner", "peers", "raft")  # in `run`
 PURE = (
-    "choice", "confirming", "document", "messages", "publisher", "status", "stream", "subscriber", "table",
+    "publisher_selection", "confirmation", "document", "messages", "publisher", "status", "stream",
+    "subscriber", "table",
 )  # fmt: skip
 
 
 def test_a_node_in_service_loads_none_of_the_parts_that_are_off():
     serves = ("__main__", "lifecycle.logs", "lifecycle.reactor", "lifecycle.service", "ops.bans")
     loaded = reached(ROOT, "caperdeck", {f"caperdeck.{name}" for name in serves})
-    assert "caperdeck.wire.desk" in loaded
+    assert "caperdeck.wire.session_handler" in loaded
     assert [name for name in loaded if name.startswith(tuple(f"caperdeck.{part}." for part in OFF))] == []
 
 
--- a/tests/test_lab_in_force.py
+++ b/tests/test_lab_propagation.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from caperdeck.lab.in_force.command import faults_of
-from caperdeck.lab.in_force.instances import Published, WatchFigures
-from caperdeck.lab.in_force.measured import (
+from caperdeck.lab.propagation.command import faults_of
+from caperdeck.lab.propagation.instances import Published, WatchFigures
+from caperdeck.lab.propagation.measured import (
     WITHIN, CutLook, Measured, RefusalLook, Result, StatusLook, Step, conclude,
 )  # fmt: skip
-from caperdeck.lab.in_force.plan import InForce, Refused, instance_places, node_places
-from caperdeck.lab.in_force.relay import RelayChild, RelayPlan
-from caperdeck.lab.scale.beat import Late
+from caperdeck.lab.propagation.plan import InForce, Refused, instance_places, node_places
+from caperdeck.lab.propagation.relay import RelayChild, RelayPlan
+from caperdeck.lab.scale.heartbeat import Late
 from caperdeck.lab.scenario import ScenarioError
 from caperdeck.state.addresses import parse_address
 
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -15,9 +15,9 @@
 
 from caperdeck.lab.cli import InterruptedRunError
 from caperdeck.lab.scale import checks
-from caperdeck.lab.scale.beat import BEAT, Beats, Late
+from caperdeck.lab.scale.heartbeat import BEAT, Beats, Late
 from caperdeck.lab.scale.checks import Verdict, judge
-from caperdeck.lab.scale.hollow import collect_from_now_on, holds_alive, holds_dead, knows
+from caperdeck.lab.scale.stub_nodes import collect_from_now_on, holds_alive, holds_dead, knows
 from caperdeck.lab.scale.instances import Agreement, told_nodes
 from caperdeck.lab.scale.measure import MB, cores_used, machine_cores, machine_times, node_cost
 from caperdeck.lab.scale.measured import Cost, Fault, Measured, NodeCost, Reading, RoleUse, View
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -8,7 +8,7 @@
 from caperdeck.lab.oracle import judge
 from caperdeck.lab.scenario import ScenarioError, decode
 from caperdeck.lab.virtual import VirtualFleet
-from caperdeck.ledger.sharing import Sharing, Uses
+from caperdeck.gossip.sharing import Sharing, Uses
 
 ALL = list(Uses._fields)
 
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from caperdeck.carry import catch_up
+from caperdeck.execution import backlog
 from caperdeck.core.decide import Node
 from caperdeck.lab import compare, report, search
 from caperdeck.lab.baselines import POLICIES
@@ -15,7 +15,7 @@
 from caperdeck.lab.scenario import decode, load
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.state.hosts import Hosts
-from caperdeck.wire.desk import Desk
+from caperdeck.wire.session_handler import Desk
 
 FOLDER = Path(__file__).parents[1] / "caperdeck" / "lab" / "scenarios"
 SCENARIOS = sorted(str(path) for path in FOLDER.glob("*.toml"))
@@ -96,7 +96,7 @@
 
 
 def never_notice_a_sleep(monkeypatch):
-    monkeypatch.setattr(catch_up, "OVERDUE", float("inf"))
+    monkeypatch.setattr(backlog, "OVERDUE", float("inf"))
 
 
 def leave_dials_out(monkeypatch):
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -12,7 +12,7 @@
     ping_until_ready, row, serve_lines, serve_list, write,
 )  # fmt: skip
 from node_processes import connected
-from test_crossings import HEADERS, Agent
+from test_race_conditions import HEADERS, Agent
 from twisted.internet.testing import MemoryReactorClock
 
 from caperdeck.core.decide import TICK_TOKEN
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,7 +5,7 @@
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.lease_model import LeaseModel
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.holding import DRIFT, Holder, Warden
+from caperdeck.leases.expiry import DRIFT, Holder, Warden
 from caperdeck.leases.table import MOST_WORKS, Table
 
 SPAN = 1000.0
--- a/tests/test_told.py
+++ b/tests/test_notification_deadlines.py
@@ -8,10 +8,10 @@
 from helpers import (
     CONFIG, OPEN, Loopback, Peer, Stepped, free_ports, made_and_closed, opening, read_all, row, write,
 )  # fmt: skip
-from test_crossings import HEADERS, chunk, list_of
+from test_race_conditions import HEADERS, chunk, list_of
 from twisted.internet.tcp import Client
 
-from caperdeck.carry.catch_up import LIST_WAIT, MS
+from caperdeck.execution.backlog import LIST_WAIT, MS
 from caperdeck.lifecycle.config import load_config
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.service import Service
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -9,9 +9,9 @@
 from caperdeck.core.decide import TICK_TOKEN
 from caperdeck.core.model import Move, Outcome, Probe, Refuse, Report, RosterScope
 from caperdeck.ops.bans import FILE, Bans, BansError
-from caperdeck.ops.calls import Calls, yes
+from caperdeck.ops.admin_calls import Calls, yes
 from caperdeck.state.figures import Figures, Status
-from caperdeck.ops.front import MOST_CALLERS, Front
+from caperdeck.ops.admin_server import MOST_CALLERS, Front
 
 # ---- calls
 
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -13,7 +13,7 @@
 from caperdeck.leases.rounds import LOOKS, Rounds
 from caperdeck.leases.table import LARGEST_STATE, Table
 from caperdeck.leases.target import CENSUS, FLOOR, HOSTS, PART, Target
-from caperdeck.leases.turning import FRESH, HELD, MINUTE, OUT, OUTS_A_MINUTE, Turning
+from caperdeck.leases.outlier_ejection import FRESH, HELD, MINUTE, OUT, OUTS_A_MINUTE, Turning
 
 SPAN = 1000.0
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 
 from caperdeck.lab.cli import verdict
-from caperdeck.lab.owned import CHECKS, again, took
+from caperdeck.lab.owned_work import CHECKS, again, took
 from caperdeck.lab.oracle import judge
 from caperdeck.lab.real import RealFleet
 from caperdeck.lab.rig_process import VoidError
@@ -31,9 +31,9 @@
 from caperdeck.leases.census_state import MOST_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
-from caperdeck.owner.nodes import ANSWER, NodeLinks, line_of
-from caperdeck.owner.nodes import read as read_answer
-from caperdeck.ops.front import PATIENCE, Front
+from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
+from caperdeck.owner.node_links import read as read_answer
+from caperdeck.ops.admin_server import PATIENCE, Front
 from caperdeck.raft.codec import encode, frame
 from caperdeck.raft.core import TakeOver
 from caperdeck.raft.storage import Storage, StorageError
@@ -320,8 +320,8 @@
 
 
 def test_a_line_of_the_longest_lists_is_taken(tmp_path):
-    from caperdeck.leases.turning import HELD, LONGEST_LIST, short
-    from caperdeck.ops.front import LONGEST_CALL
+    from caperdeck.leases.outlier_ejection import HELD, LONGEST_LIST, short
+    from caperdeck.ops.admin_server import LONGEST_CALL
 
     uids = short([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
     body = {"number": 123456, "out": uids, "ms": HELD, "ask": uids}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 
 from caperdeck.lab.sharing_network import Net
 from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
-from caperdeck.ledger.sharing import Uses
+from caperdeck.gossip.sharing import Uses
 from caperdeck.peers import codec
 from caperdeck.peers.codec import Beat, DatagramError, Kind, Message, State, Update
 from caperdeck.peers.swim import ACK_WAIT, MOST_NEWS, PERIOD, SUSPICION, Swim
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -3,7 +3,7 @@
 import orjson
 import pytest
 
-from caperdeck.lab.agree import BrokenError, Line, World, play
+from caperdeck.lab.raft_simulation import BrokenError, Line, World, play
 from caperdeck.raft.core import (
     ELECTION, Append, Appended, Apply, Ask, Raft, Readable, Role, Save, Send, TakeOver, Unreadable, Voted,
 )  # fmt: skip
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -10,7 +10,7 @@
 from caperdeck.core.model import (
     Dial, Effect, HostState, Outcome, Refuse, RosterScope, Scope, TearDown, Withdraw,
 )  # fmt: skip
-from caperdeck.core.rights import ROOM_BUDGET
+from caperdeck.core.quotas import ROOM_BUDGET
 
 
 def fail(n, sid, dial, result, at=START):
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -14,13 +14,13 @@
     write,
 )  # fmt: skip
 
-from caperdeck.core.rights import ROOM_BUDGET
-from caperdeck.core.shares import Shares
-from caperdeck.ledger.marked import Marked
-from caperdeck.ledger.sharing import ROOM, Uses, life_from
+from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.fleet_state import Shares
+from caperdeck.gossip.shared_decisions import Marked
+from caperdeck.gossip.sharing import ROOM, Uses, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
 from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
-from caperdeck.ops.show import show_peers
+from caperdeck.ops.show_peers import show_peers
 from caperdeck.state.addresses import Address
 from caperdeck.wire.peers import PeerPort
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -16,7 +16,7 @@
     CONFIG, OPEN, SETUP, Loopback, connect, desk, logged, lost, made_and_closed, opening, read_all,
     row, service_over, up,
 )  # fmt: skip
-from test_crossings import answers, serve_all
+from test_race_conditions import answers, serve_all
 
 from caperdeck.ops.bans import FILE, Ban, Bans, BansError
 from caperdeck.state.errors import CALLS, call_again
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from twisted.internet.task import Clock
 
 from caperdeck.ops.link import FILE, LARGEST, Doorbell, FolderAddress, Link, NodeAddress, encode, reach
-from caperdeck.ops.succession import BAN_WAIT, LIST_WAIT, VERSION, Incumbent, Successor
+from caperdeck.ops.upgrade_protocol import BAN_WAIT, LIST_WAIT, VERSION, Incumbent, Successor
 from caperdeck.state.clocks import unix_time
 
 WHO = [VERSION, "n1", "127.0.0.1:9000"]
