--- a/caperdeck/core/decide.py
+++ b/caperdeck/core/decide.py
@@ -91,12 +91,12 @@
         self.mean_figure, self.unit = None, 0.0  # load that fills a host of size 1, 0 while unknown
         self.held_full = 0.0  # without figures: the part of the hosts not marked here that others found full
         self.watch_wait, self.watch_at = 250.0, math.inf
-        self.retune(now, settings)
+        self.apply_settings(now, settings)
 
     def start(self) -> list[Action]:
         return [Watch()] * self.set.subscribe + [Wake(TICK * (0.5 + self.chance()), TICK_TOKEN)]
 
-    def retune(self, now: float, settings: Settings) -> list[Action]:
+    def apply_settings(self, now: float, settings: Settings) -> list[Action]:
         """Other settings from now on; a session keeps the listener and the dials that it began with."""
         self.set, self.fleet = settings, settings.nodes  # so many like this one send, unless told otherwise
         self.most_utility = max(c.utility for c in settings.listeners) or 1.0
@@ -117,7 +117,7 @@
 
     # ---- hosts: roster, warmth, health
 
-    def roster(self, now: float, scope: RosterScope, entries: list[Entry]) -> list[Action]:
+    def update_roster(self, now: float, scope: RosterScope, entries: list[Entry]) -> list[Action]:
         self.now = now
         if scope is RosterScope.FAILED:
             # Danger: unsubscribed and silent, we would be held to know of drains we never heard of.
@@ -132,14 +132,14 @@
         self._recount(self.now)
         return self._done()
 
-    def ban(self, now: float, h: int, out: bool) -> list[Action]:
+    def set_ban(self, now: float, h: int, out: bool) -> list[Action]:
         """By hand: nothing new to the host from now until it is called back, whatever the roster says."""
         self.now = now
         self._enter_ban(now, h, out)
         self._recount(self.now)
         return []
 
-    def forget(self, now: float) -> None:
+    def forget_hosts(self, now: float) -> None:
         """The node was away for longer than figures last."""
         # Danger: its own absence looks like the hosts'; old budgets and room were taken by others meanwhile.
         for h in range(len(self.state)):
@@ -159,12 +159,12 @@
         # Danger: an error that most hosts show says nothing about one of them.
         return self.ill[h] < ILL or self.most_ill or (now >= self.shunned[h] and not self.dialing[h])
 
-    def avoids(self, now: float, h: int) -> bool:
+    def is_avoided(self, now: float, h: int) -> bool:
         return h in self.banned or self.state[h] is HostState.RUNNING and not self._well(now, h)
 
     # ---- forecasts
 
-    def note(self, now: float, sid: int, kind: Note, value: float) -> list[Action]:
+    def handle_note(self, now: float, sid: int, kind: Note, value: float) -> list[Action]:
         self.now = now
         if (s := self.sessions.get(sid)) is None:
             return []
@@ -384,7 +384,7 @@
         over = s.answered or s.out or now >= s.deadline or len(s.dials) >= s.most_dials
         return not over and self.state[h] is HostState.RUNNING and self._harmless(now, s, h, s.dials)
 
-    def still_allowed(self, now: float, sid: int) -> bool:
+    def may_send_request(self, now: float, sid: int) -> bool:
         """The same at the send, once the connection is up: whether the dial that is out may go on."""
         # Danger: meanwhile the host began to drain or started anew, or a window or the client's time ran out.
         if (s := self.sessions.get(sid)) is None or s.answered or now >= s.deadline:
@@ -416,14 +416,14 @@
 
     # ---- sessions
 
-    def ask(self, now: float, a: Ask) -> list[Action]:
+    def open_session(self, now: float, a: Ask) -> list[Action]:
         self.now = now
         s = self._new(now, a)
         s.run = self._session(s)
         self._go_on(s, None)
         return self._done()
 
-    def taken_over(self, now: float, a: Ask, h: int) -> list[Action]:
+    def resume_session(self, now: float, a: Ask, h: int) -> list[Action]:
         """A connection that stood before this node started; its dial 0 counts as made."""
         s = self._new(now, a)
         s.dials.append(Sent(h, now, self.born[h], self._group(s, h)))
@@ -482,7 +482,7 @@
             s.answered = True
             del self.sessions[s.id]
 
-    def stands(self, now: float, sid: int) -> list[Action]:
+    def session_established(self, now: float, sid: int) -> list[Action]:
         if (s := self.sessions.get(sid)) is None or not s.out or s.stands is not None:
             return []
         self._stand(s, now)
@@ -492,7 +492,7 @@
         self.taken_at[h] = now
         return []
 
-    def outcome(self, now: float, sid: int, dial: int, result: Outcome, last: bool) -> list[Action]:
+    def dial_ended(self, now: float, sid: int, dial: int, result: Outcome, last: bool) -> list[Action]:
         self.now = now
         if (s := self.sessions.get(sid)) is None or not s.out or dial != len(s.dials) - 1:
             return []
@@ -514,7 +514,7 @@
             self._go_on(s, result)
         return self._done()
 
-    def hangup(self, now: float, sid: int) -> list[Action]:
+    def client_disconnected(self, now: float, sid: int) -> list[Action]:
         if (s := self.sessions.get(sid)) is None:
             return []
         s.answered = True
@@ -524,7 +524,7 @@
             self.acts.append(Withdraw(sid, len(s.dials) - 1))
         return self._done()
 
-    def bell(self, now: float, token: int) -> list[Action]:
+    def timer_fired(self, now: float, token: int) -> list[Action]:
         self.now = now
         if token == TICK_TOKEN:
             self._tick(now)
@@ -567,7 +567,7 @@
         self.acts.append(Probe(h))
         return True
 
-    def probed(self, now: float, h: int, result: Outcome, report: Report) -> list[Action]:
+    def probe_completed(self, now: float, h: int, result: Outcome, report: Report) -> list[Action]:
         self.now, self.probe_out[h] = now, 0.0
         if result is Outcome.GOOD:
             self.seen_at[h] = now
--- a/caperdeck/core/facade.py
+++ b/caperdeck/core/facade.py
@@ -31,51 +31,51 @@
     until: float
 
 
-class Abandon(NamedTuple):
+class CancelDial(NamedTuple):
     """Stop waiting on this dial."""
 
     session: int
     dial: int
 
 
-class Decline(NamedTuple):
+class RefuseSession(NamedTuple):
     """Answer the client that trying again does no harm, after back_off where that is not 0."""
 
     session: int
     back_off: float
 
 
-class GiveUp(NamedTuple):
+class FailSession(NamedTuple):
     """Answer the client that it failed."""
 
     session: int
 
 
-class SendAway(NamedTuple):
+class RedirectClient(NamedTuple):
     """Tell the client of a standing session to come again, and end the session."""
 
     session: int
 
 
-class Look(NamedTuple):
+class ProbeHost(NamedTuple):
     """Probe the host."""
 
     host: int
 
 
-Order = Connect | Abandon | Decline | GiveUp | SendAway | Look
+Command = Connect | CancelDial | RefuseSession | FailSession | RedirectClient | ProbeHost
 
 
 # ---- news: what the caller has seen
 
 
-class Up(NamedTuple):
+class SessionEstablished(NamedTuple):
     """The host has taken the session, which stands from now on."""
 
     session: int
 
 
-class Over(NamedTuple):
+class DialEnded(NamedTuple):
     """A dial, or the standing session that came of it, has ended; last if the client needs no answer."""
 
     session: int
@@ -84,20 +84,20 @@
     last: bool
 
 
-class Left(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client went before it had an answer."""
 
     session: int
 
 
-class Load(NamedTuple):
+class LoadReported(NamedTuple):
     """The host told the load of a standing session, in milliseconds of work a second."""
 
     session: int
     value: float
 
 
-class Looked(NamedTuple):
+class ProbeCompleted(NamedTuple):
     """A probe's result, with what the host told."""
 
     host: int
@@ -105,41 +105,44 @@
     told: Report = Report()
 
 
-class Listed(NamedTuple):
+class RosterUpdated(NamedTuple):
     """Discovery's list of hosts: all of it, or what changed."""
 
     whole: bool
     entries: list[Entry]
 
 
-class Banned(NamedTuple):
+class BanChanged(NamedTuple):
     """An operator has taken the host out, or lets it serve again: nothing new to it between the two."""
 
     host: int
     out: bool
 
 
-class Retuned(NamedTuple):
+class SettingsChanged(NamedTuple):
     """Other settings hold from now on."""
 
     settings: Settings
 
 
-class Narrowed(NamedTuple):
+class SubsetsChanged(NamedTuple):
     """The hosts that this node draws first: of all, and of its own zone."""
 
     first: list[int]
     near: list[int]
 
 
-class Crowded(NamedTuple):
+class HostOverloaded(NamedTuple):
     """Enough other nodes have seen the host at this load over capacity, past full."""
 
     host: int
     load: float
 
 
-News = Up | Over | Left | Load | Looked | Listed | Banned | Retuned | Crowded | Narrowed
+Event = (
+    SessionEstablished | DialEnded | ClientDisconnected | LoadReported | ProbeCompleted | RosterUpdated
+    | BanChanged | SettingsChanged | HostOverloaded | SubsetsChanged
+)  # fmt: skip
 
 
 class Balancer:
@@ -147,65 +150,67 @@
 
     def __init__(self, settings: Settings, now: float, decides: type[Node] = Node) -> None:
         self._node = decides(settings, now)
-        self._bells: list[tuple[float, int, int]] = []
+        self._timers: list[tuple[float, int, int]] = []
         self._dials: dict[int, int] = {}  # of each session without an answer, how many were made
-        self._rung = 0
-        self._orders(now, self._node.start())  # no orders yet, only the first bell
+        self._timers_set = 0
+        self._commands(now, self._node.start())  # no orders yet, only the first bell
 
     @property
-    def due(self) -> float:
+    def next_timer_at(self) -> float:
         """When tick is to be called next."""
-        return self._bells[0][0] if self._bells else math.inf
+        return self._timers[0][0] if self._timers else math.inf
 
-    def pick(
+    def open_session(
         self, now: float, session: int, listener: int, customer: int, left: float,
         load: float | None = None, group: int | None = None,
-    ) -> list[Order]:  # fmt: skip
+    ) -> list[Command]:  # fmt: skip
         """Place a new session whose client waits so many milliseconds."""
         self._dials[session] = 0
-        return self._orders(now, self._node.ask(now, Ask(session, listener, customer, left, load, group)))
+        return self._commands(
+            now, self._node.open_session(now, Ask(session, listener, customer, left, load, group))
+        )
 
-    def resume(
+    def resume_session(
         self, now: float, session: int, listener: int, customer: int, host: int,
         load: float | None = None, group: int | None = None,
-    ) -> list[Order]:  # fmt: skip
+    ) -> list[Command]:  # fmt: skip
         """A session that stood on the host before this node started; its dial 0 counts as made."""
         ask = Ask(session, listener, customer, 0.0, load, group)
-        return self._orders(now, self._node.taken_over(now, ask, host))
+        return self._commands(now, self._node.resume_session(now, ask, host))
 
-    def tick(self, now: float) -> list[Order]:
-        orders: list[Order] = []
-        while self._bells and self._bells[0][0] <= now:
-            _, _, token = heapq.heappop(self._bells)
-            orders += self._orders(now, self._node.bell(now, token))
-        return orders
+    def run_timers(self, now: float) -> list[Command]:
+        commands: list[Command] = []
+        while self._timers and self._timers[0][0] <= now:
+            _, _, token = heapq.heappop(self._timers)
+            commands += self._commands(now, self._node.timer_fired(now, token))
+        return commands
 
-    def report(self, now: float, news: News) -> list[Order]:
-        return self._orders(now, self._event(now, news))
+    def handle_event(self, now: float, event: Event) -> list[Command]:
+        return self._commands(now, self._event(now, event))
 
-    def forget(self, now: float) -> None:
+    def forget_hosts(self, now: float) -> None:
         """The caller was away for longer than figures last: what was known of the hosts is void."""
-        self._node.forget(now)
+        self._node.forget_hosts(now)
 
-    def avoids(self, now: float, host: int) -> bool:
+    def is_avoided(self, now: float, host: int) -> bool:
         """Whether a listed host is sent nothing now by this node's choice; changes nothing."""
-        return self._node.avoids(now, host)
+        return self._node.is_avoided(now, host)
 
     @property
     def settings(self) -> Settings:
         return self._node.set
 
     @property
-    def shares(self) -> Shares:
+    def fleet_state(self) -> Shares:
         """What the node tells other nodes and takes from them."""
         return Shares(self._node)
 
-    def memory(self) -> dict[str, Any]:
+    def learned_state(self) -> dict[str, Any]:
         """What is learned slowly, for another process of this node; hosts in the order of indices."""
         n = self._node
         return {"unit": n.unit, "mean": n.mean_hint, "asked": n.asked, "each": n.each, "able": list(n.able)}
 
-    def remember(self, memory: dict[str, Any], able: dict[int, float]) -> None:
+    def restore_learned_state(self, memory: dict[str, Any], able: dict[int, float]) -> None:
         """The same at that process, with the loads of hosts under the indices that they have there."""
         n = self._node
         n.unit, n.mean_hint, n.asked, n.each = (memory[key] for key in ("unit", "mean", "asked", "each"))
@@ -223,72 +228,72 @@
         self._node.take_slots_back()
 
     @property
-    def called_back(self) -> dict[int, float]:
+    def readmitted(self) -> dict[int, float]:
         """Hosts that count as started when an operator called them back, and when that was."""
-        return self._node.called_back
+        return self._node.readmitted
 
-    def may_send(self, host: int) -> bool:
+    def accepts_sessions(self, host: int) -> bool:
         """Whether anything new may go to the host."""
         return self._node.state[host] is HostState.RUNNING
 
-    def still_allowed(self, now: float, session: int) -> bool:
+    def may_send_request(self, now: float, session: int) -> bool:
         """Whether the session's dial, whose connection has come up, may still be sent its request line."""
-        return self._node.still_allowed(now, session)
+        return self._node.may_send_request(now, session)
 
-    def _event(self, now: float, news: News) -> list[Action]:
-        match news:
-            case Up(session):
+    def _event(self, now: float, event: Event) -> list[Action]:
+        match event:
+            case SessionEstablished(session):
                 self._dials.pop(session, None)
-                return self._node.stands(now, session)
-            case Over(session, dial, outcome, last):
+                return self._node.session_established(now, session)
+            case DialEnded(session, dial, outcome, last):
                 if last:
                     self._dials.pop(session, None)
-                return self._node.outcome(now, session, dial, outcome, last)
-            case Left(session):
+                return self._node.dial_ended(now, session, dial, outcome, last)
+            case ClientDisconnected(session):
                 self._dials.pop(session, None)
-                return self._node.hangup(now, session)
-            case Load(session, value):
-                return self._node.note(now, session, Note.LOAD, value)
-            case Looked(host, outcome, told):
-                return self._node.probed(now, host, outcome, told)
-            case Listed(whole, entries):
+                return self._node.client_disconnected(now, session)
+            case LoadReported(session, value):
+                return self._node.handle_note(now, session, Note.LOAD, value)
+            case ProbeCompleted(host, outcome, told):
+                return self._node.probe_completed(now, host, outcome, told)
+            case RosterUpdated(whole, entries):
                 scope = RosterScope.FULL if whole else RosterScope.CHANGES
-                return self._node.roster(now, scope, entries)
-            case Banned(host, out):
-                return self._node.ban(now, host, out)
-            case Crowded(host, load):
-                return self.shares.told_full(now, host, load)
-            case Narrowed(first, near):
+                return self._node.update_roster(now, scope, entries)
+            case BanChanged(host, out):
+                return self._node.set_ban(now, host, out)
+            case HostOverloaded(host, load):
+                return self.fleet_state.told_full(now, host, load)
+            case SubsetsChanged(first, near):
                 self._node.first, self._node.first_near = first, near
                 return []
-            case Retuned(settings):
-                return self._node.retune(now, settings)
-        raise TypeError(f"no news: {news!r}")
+            case SettingsChanged(settings):
+                return self._node.apply_settings(now, settings)
+        raise TypeError(f"unknown event: {event!r}")
 
-    def _orders(self, now: float, actions: list[Action]) -> list[Order]:
-        return [order for act in actions if (order := self._order(now, act)) is not None]
+    def _commands(self, now: float, actions: list[Action]) -> list[Command]:
+        return [command for act in actions if (command := self._command(now, act)) is not None]
 
-    def _order(self, now: float, act: Action) -> Order | None:
+    def _command(self, now: float, act: Action) -> Command | None:
         match act:
             case Dial(session, host, until):
                 dial = self._dials[session]
                 self._dials[session] = dial + 1
                 return Connect(session, dial, host, until)
             case Withdraw(session, dial):
-                return Abandon(session, dial)
+                return CancelDial(session, dial)
             case Refuse(session, back_off):
                 self._dials.pop(session, None)
-                return Decline(session, back_off)
+                return RefuseSession(session, back_off)
             case TearDown(session):
                 self._dials.pop(session, None)
-                return GiveUp(session)
+                return FailSession(session)
             case Move(session):
-                return SendAway(session)
+                return RedirectClient(session)
             case Probe(host):
-                return Look(host)
+                return ProbeHost(host)
             case Wake(after, token):
-                self._rung += 1
-                heapq.heappush(self._bells, (now + after, self._rung, token))
+                self._timers_set += 1
+                heapq.heappush(self._timers, (now + after, self._timers_set, token))
             case Watch():
                 pass  # an agent on the node's own machine is watched from the start on
         return None
--- a/caperdeck/core/host_table.py
+++ b/caperdeck/core/host_table.py
@@ -31,7 +31,7 @@
         self.born: list[float] = []  # the start on the own clock, 0 if long ago
         self.boot: list[float] = []  # the same as the roster tells it
         self.banned: dict[int, float] = {}  # hosts taken out by hand, since when
-        self.called_back: dict[int, float] = {}  # hosts that count as started when they were called back
+        self.readmitted: dict[int, float] = {}  # hosts that count as started when they were called back
         # the own sessions
         self.held: list[int] = []  # dials out and standing sessions
         self.holding = 0  # the same at all hosts together
@@ -102,7 +102,7 @@
         self.size[h] = e.size or 1.0 if self.set.sizes_stand else 1.0
         self.listed[h], self.zone[h], self.cell[h], self.mark[h] = e.state, e.zone, e.cell, e.mark
         if e.boot >= self.boot[h]:
-            self.boot[h], self.born[h] = e.boot, max(e.born, self.called_back.get(h, 0.0))
+            self.boot[h], self.born[h] = e.boot, max(e.born, self.readmitted.get(h, 0.0))
 
     def _drop_unlisted(self, entries: list[Entry]) -> None:
         """What the whole roster does not name is gone."""
@@ -118,7 +118,7 @@
         elif since is not None:
             # Danger: it was restarted meanwhile, and the roster that tells may come late; it counts as cold.
             if self.born[h] <= since:
-                self.born[h] = self.called_back[h] = now
+                self.born[h] = self.readmitted[h] = now
             self._forget(now, h)
 
     def _forget(self, now: float, h: int) -> None:
--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -16,8 +16,8 @@
 from loguru import logger
 
 from caperdeck.core.facade import (
-    Abandon, Balancer, Banned, Connect, Decline, GiveUp, Left, Listed, Look, Looked, Narrowed, News, Order,
-    Over, Retuned, SendAway,
+    Balancer, BanChanged, CancelDial, ClientDisconnected, Command, Connect, DialEnded, Event, FailSession,
+    ProbeCompleted, ProbeHost, RedirectClient, RefuseSession, RosterUpdated, SettingsChanged, SubsetsChanged,
 )  # fmt: skip
 from caperdeck.core.model import HostState, Outcome, Settings
 from caperdeck.core.settings import MS, Names
@@ -41,7 +41,7 @@
 IDLE_SHORT = 30.0  # the same while sockets are short
 
 
-AT_ONCE = (Listed, Banned, Retuned, Narrowed)  # news that lead to nothing being sent
+AT_ONCE = (RosterUpdated, BanChanged, SettingsChanged, SubsetsChanged)  # news that lead to nothing being sent
 
 
 class Carrier(CatchUp):
@@ -75,7 +75,7 @@
         # takes in which hosts other processes of this node were told to leave out
         self.look_for_bans: Callable[[], None] = lambda: None
         self.making_room = None  # the timer after which idle clients are looked at again
-        self.orders: deque[Order] = deque()
+        self.orders: deque[Command] = deque()
         self.at_work = False
         self.timer = None
         self.timer_due = 0.0
@@ -102,19 +102,19 @@
         logger.warning("away ms={:.0f} sessions={}", span, len(self.sessions.table))
 
     def _forget_figures(self, now: float) -> None:
-        self.balancer.forget(now)
+        self.balancer.forget_hosts(now)
 
     def _caught_up(self) -> None:
         self._timer_fired()
 
     # ---- the balancer
 
-    def report(self, news: News) -> None:
+    def report(self, news: Event) -> None:
         # Danger: decided between two readings, a second dial would go by the first half of what came.
         if isinstance(news, AT_ONCE) or not self.later(partial(self.report, news)):
-            self.carry_out(self.balancer.report(self.clock(), news))
+            self.carry_out(self.balancer.handle_event(self.clock(), news))
 
-    def carry_out(self, orders: list[Order]) -> None:
+    def carry_out(self, orders: list[Command]) -> None:
         """Carries orders out, those that they bring about after them."""
         self.orders += orders
         if self.at_work:
@@ -130,7 +130,7 @@
     def _set_timer(self) -> None:
         if self.catching_up:
             return
-        due, now = self.balancer.due, self.clock()
+        due, now = self.balancer.next_timer_at, self.clock()
         if self.timer is not None and self.timer.active():
             if self.timer_due <= due:
                 return
@@ -143,12 +143,12 @@
         if self.catching_up:
             return
         try:
-            self.carry_out(self.balancer.tick(self.clock()))
+            self.carry_out(self.balancer.run_timers(self.clock()))
         finally:
             self._set_timer()
 
-    def _carry_out(self, order: Order) -> None:
-        if isinstance(order, Look):
+    def _carry_out(self, order: Command) -> None:
+        if isinstance(order, ProbeHost):
             self.probes.probe(order.host, self.hosts.address[order.host])
             return
         s = self.sessions.table.get(order.session)
@@ -161,15 +161,15 @@
                     self.dial(s, dial, host, until, self.limits.connect_time_out)
                     return
                 self._end(s, "client-left")
-                self.report(Left(s.index))
-                self.report(Over(s.index, dial, Outcome.NEVER_SENT, True))
-            case Abandon():
+                self.report(ClientDisconnected(s.index))
+                self.report(DialEnded(s.index, dial, Outcome.NEVER_SENT, True))
+            case CancelDial():
                 self._end_dial(s, Outcome.WITHDRAWN)
-            case Decline(_, back_off):
+            case RefuseSession(_, back_off):
                 self._answer(s, self.busy(back_off), "refused", Status.THROTTLED)
-            case GiveUp():
+            case FailSession():
                 self._answer(s, self.failed, "failed")
-            case SendAway():
+            case RedirectClient():
                 self.move(s, "moved")
 
     # ---- clients
@@ -217,9 +217,9 @@
         if s.request.at is not None and not up:
             return  # the balancer has not heard of it yet
         if not up:
-            self.report(Left(s.index))
+            self.report(ClientDisconnected(s.index))
         if dialing:
-            self.report(Over(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
     # ---- dials
 
@@ -251,7 +251,7 @@
     def _send(self, s: Session, conn: HostSide) -> None:
         self.look_for_bans()
         # Danger: what held when the host was chosen may have lapsed while its connection came up.
-        if s.request.at is None and not self.balancer.still_allowed(self.clock(), s.index):
+        if s.request.at is None and not self.balancer.may_send_request(self.clock(), s.index):
             self._end_dial(s, Outcome.NEVER_SENT)
         elif not self.send_request(conn):
             self._end_dial(s, Outcome.UNREACHED)
@@ -279,7 +279,7 @@
         )  # fmt: skip
         self._hang_up(s, reset=False)
         if s.request.at is None:
-            self.report(Over(s.index, s.dial, outcome, False))
+            self.report(DialEnded(s.index, s.dial, outcome, False))
         else:
             self.resumption.dial_failed(s, name)
 
@@ -298,12 +298,14 @@
         # Danger: its class may have been dropped since; of one that stands no more is asked of it.
         listener = self.names.listeners.get(request.listener, -1)
         customer, hints = self.names.customers.get(request.tenant, -1), self.hints(s)
-        self.carry_out(self.balancer.resume(now, s.index, listener, customer, s.host, *hints))
+        self.carry_out(self.balancer.resume_session(now, s.index, listener, customer, s.host, *hints))
 
     def remember(self, memory: dict[str, Any], able: dict[str, float]) -> None:
         """What another process of this node has learned, and the load that fills each host."""
         index = self.hosts.index
-        self.balancer.remember(memory, {index[uid]: load for uid, load in able.items() if uid in index})
+        self.balancer.restore_learned_state(
+            memory, {index[uid]: load for uid, load in able.items() if uid in index}
+        )
 
     def handed_on(self, s: Session) -> None:
         """Another process of this node has the session now; it has not ended."""
@@ -312,7 +314,7 @@
         self.sessions.drop(s)
         self.budget.sessions -= 1
         self.budget.clients -= 1
-        self.report(Over(s.index, s.dial, Outcome.WITHDRAWN, True))
+        self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
     def host_gone(self, conn: HostSide, reset: bool) -> None:
         """The host has ended its connection."""
@@ -329,7 +331,7 @@
             s.client.abort()
         else:
             s.client.close()
-        self.report(Over(s.index, s.dial, outcome, True))
+        self.report(DialEnded(s.index, s.dial, outcome, True))
 
     # ---- ends
 
@@ -346,9 +348,9 @@
         self._answer(s, self.failed, reason)
         if s.request.at is not None:
             return  # the balancer has not heard of it yet
-        self.report(Left(s.index))
+        self.report(ClientDisconnected(s.index))
         if dialing:
-            self.report(Over(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
     def answer_all(self) -> None:
         """The process ends: who has no answer by now has one from this node, or from nobody."""
@@ -363,7 +365,7 @@
         self._end(s, reason)
         self._hang_up(s, reset=outcome is Outcome.RESET)
         s.client.close(self.moved)
-        self.report(Over(s.index, s.dial, outcome, True))
+        self.report(DialEnded(s.index, s.dial, outcome, True))
 
     def _end(self, s: Session, reason: str) -> None:
         """The one log line of a session."""
@@ -386,19 +388,19 @@
         self.names, self.limits = names, limits
         self.figures.know(names.listeners)
         self.probes.retune(limits.reports, 2 * limits.connect_time_out)
-        self.report(Retuned(settings))
+        self.report(SettingsChanged(settings))
         self.narrow()
 
     def gauges(self) -> dict[str, int]:
         listed, now = self.hosts.listed(), self.clock()
         return {
             "open_requests": len(self.sessions.table), "registry_entries": len(listed),
-            "out_of_rotation": sum(self.balancer.avoids(now, h) for h in listed),
+            "out_of_rotation": sum(self.balancer.is_avoided(now, h) for h in listed),
         }  # fmt: skip
 
     # ---- the roster and probes
 
-    def probed(self, news: Looked) -> None:
+    def probed(self, news: ProbeCompleted) -> None:
         uid = self.hosts.uid[news.host]
         report = news.told
         logger.debug(
@@ -419,7 +421,7 @@
 
     def ban(self, uid: str, out: bool) -> None:
         """An operator takes a host out, or lets it serve again."""
-        self.report(Banned(self.hosts.know(uid), out))
+        self.report(BanChanged(self.hosts.know(uid), out))
         logger.info("roster reason={} uids={}", "taken-out" if out else "called-back", uid)
 
     def listed(self, whole: bool, rows: Any) -> None:
@@ -428,7 +430,7 @@
         for host in list(self.probes.open):
             if self.hosts.state[host] is HostState.GONE:
                 self.probes.close(host)
-        self.report(Listed(whole, entries))
+        self.report(RosterUpdated(whole, entries))
         self.narrow()
 
     def narrow(self) -> None:
@@ -443,13 +445,13 @@
         ])  # fmt: skip
         if reason is not None:
             logger.warning("subset reason=unusable {}", reason)
-        self.report(Narrowed(self.subsets.narrowed(False), self.subsets.narrowed(True)))
+        self.report(SubsetsChanged(self.subsets.narrowed(False), self.subsets.narrowed(True)))
 
     def discovery_spoke(self) -> None:
         """Anything at all has come from discovery."""
         self.told_at = self.clock()
         if self.hosts.held:
-            self.report(Listed(False, self.hosts.release()))
+            self.report(RosterUpdated(False, self.hosts.release()))
 
     def _mind_silence(self, now: float) -> None:
         # Danger: what a silent discovery has to tell counts as told all the same; a host that drains
@@ -457,7 +459,7 @@
         if now - self.told_at > SILENT_LIST and (entries := self.hosts.hold(now - MOVED_LIFE)):
             uids = ",".join(self.hosts.uid[e.host] for e in entries)
             logger.info("roster reason=held-to-drain uids={}", uids)
-            self.report(Listed(False, entries))
+            self.report(RosterUpdated(False, entries))
 
     def complain_entry(self, text: str) -> None:
         logger.warning("roster reason=bad-entry {}", text)
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -5,7 +5,7 @@
 import zlib
 from collections.abc import Callable
 
-from caperdeck.core.facade import Crowded, News
+from caperdeck.core.facade import HostOverloaded, Event
 from caperdeck.core.quotas import ROOM_BUDGET
 from caperdeck.core.fleet_state import Shares
 
@@ -19,7 +19,7 @@
 
 
 class Marked:
-    def __init__(self, shares: Shares, uses: Uses, report: Callable[[News], None]) -> None:
+    def __init__(self, shares: Shares, uses: Uses, report: Callable[[Event], None]) -> None:
         self.shares, self.uses, self.report = shares, uses, report
         self.index: dict[int, int] = {}  # by mark
         self.marks: list[int] = []  # by which the index was made
@@ -85,7 +85,7 @@
 
     def told_full(self, now: float, host: int, figure: float) -> None:
         if (h := self._host(host)) is not None:
-            self.report(Crowded(h, figure))
+            self.report(HostOverloaded(h, figure))
 
     def others_send(self, alike: float | None) -> None:
         self.shares.others_send(alike)
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -17,7 +17,7 @@
 import orjson
 from twisted.internet.task import Clock
 
-from caperdeck.core.facade import Balancer, Connect, Looked, Over, Up
+from caperdeck.core.facade import Balancer, Connect, ProbeCompleted, DialEnded, SessionEstablished
 from caperdeck.core.model import Outcome, Report
 from caperdeck.lab.scenario import Scenario
 from caperdeck.lab.setup import node_config
@@ -70,21 +70,21 @@
         """Every host has just been looked at."""
         told = Report(FIGURE, None, None)
         for host in range(hosts):
-            self.balancer.report(self.now, Looked(host, Outcome.GOOD, told))
+            self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, told))
 
     def place(self) -> int:
         """A session that is placed at once; raises MeasuringError for one that is not."""
         self.made += 1
-        orders = self.balancer.pick(self.now, self.made, 0, 0, WAIT, LOAD)
+        orders = self.balancer.open_session(self.now, self.made, 0, 0, WAIT, LOAD)
         if len(orders) != 1 or not isinstance(orders[0], Connect):
             raise MeasuringError(f"a placement came to {orders}, not to one connection")
         return self.made
 
     def stands(self, session: int) -> None:
-        self.balancer.report(self.now, Up(session))
+        self.balancer.handle_event(self.now, SessionEstablished(session))
 
     def ends(self, session: int) -> None:
-        self.balancer.report(self.now, Over(session, 0, Outcome.GOOD, True))
+        self.balancer.handle_event(self.now, DialEnded(session, 0, Outcome.GOOD, True))
 
 
 def row(number: int, state: str = "Ready") -> dict[str, Any]:
@@ -182,10 +182,10 @@
     node = loaded_node(hosts, small)
 
     def come_due() -> None:
-        node.now = node.balancer.due
+        node.now = node.balancer.next_timer_at
         node.figures(hosts)
 
-    return taken(lambda: node.balancer.tick(node.now), SMALL_REPEATS if small else REPEATS, come_due)
+    return taken(lambda: node.balancer.run_timers(node.now), SMALL_REPEATS if small else REPEATS, come_due)
 
 
 def of_placement(hosts: int, small: bool) -> float:
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -116,10 +116,10 @@
         return [u for u, state in zip(hosts.uid, hosts.state, strict=True) if state is HostState.RUNNING]
 
     def _words(self) -> list:
-        return self.desk.balancer.shares.words(self.desk.clock())
+        return self.desk.balancer.fleet_state.words(self.desk.clock())
 
     def _ill(self) -> list[str] | None:
-        if self.desk.balancer.shares.ill_everywhere(ILL_EVERYWHERE):
+        if self.desk.balancer.fleet_state.ill_everywhere(ILL_EVERYWHERE):
             return None
         uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.well]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -69,7 +69,7 @@
         # Danger: a list of peers that cannot be used must not keep a node from serving; it needs none.
         logger.warning("peers reason=unusable {}", error)
         return None
-    now, shares = desk.clock(), desk.balancer.shares
+    now, shares = desk.clock(), desk.balancer.fleet_state
     sharing = Sharing(
         Marked(shares, uses, desk.report), raw.me, len(addresses), life_from(now), config.settings.seed, now,
         uses, raw.tiers,
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -144,13 +144,13 @@
 
     def tell_state(self) -> tuple[list[dict], dict, list[int]]:
         node = self.node
-        memory = node.desk.balancer.memory()
+        memory = node.desk.balancer.learned_state()
         # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
         able, rows = memory.pop("able"), node.desk.hosts.rows()
         for row in rows:
             h = node.desk.hosts.index[row["uid"]]
             row["able"] = able[h] if h < len(able) else 0.0
-        called_back = node.desk.balancer.called_back
+        called_back = node.desk.balancer.readmitted
         state = {
             "rev": node.discovery.rev,
             "bans": list(node.bans.uids),
@@ -230,7 +230,7 @@
         hosts.take_starts(ahead, starts | in_rows)
         # Danger: a host that was called back counts as cold though discovery may not have told its start yet.
         called_back = {hosts.know(uid): at for uid, at in state.get("called_back", {}).items()}
-        node.desk.balancer.called_back.update(called_back)
+        node.desk.balancer.readmitted.update(called_back)
         node.know(rows, state)
         for row in rows:
             hosts.sent_away[hosts.know(row["uid"])] = row["sent_away"]
--- a/caperdeck/simwire/host.py
+++ b/caperdeck/simwire/host.py
@@ -36,52 +36,54 @@
             # only what the wire handed over can be short or of the wrong kind here
             raise WireError(f"event {name!r} {v!r}: {error}") from error
 
-    def roster(self, now: float, v: list) -> list[Action]:
+    def update_roster(self, now: float, v: list) -> list[Action]:
         scope = codec.lookup(codec.ROSTERS, v[1], "roster scope")
         entries = [self.indices.entry(row) for row in (v[2] if len(v) > 2 else None) or []]
-        return self.node.roster(now, scope, entries)
+        return self.node.update_roster(now, scope, entries)
 
-    def ask(self, now: float, v: list) -> list[Action]:
-        return self.node.ask(now, self.indices.ask(v))
+    def open_session(self, now: float, v: list) -> list[Action]:
+        return self.node.open_session(now, self.indices.ask(v))
 
-    def taken_over(self, now: float, v: list) -> list[Action]:
-        return self.node.taken_over(now, self.indices.ask(v[:8]), self.indices.known_host(v[8]))
+    def resume_session(self, now: float, v: list) -> list[Action]:
+        return self.node.resume_session(now, self.indices.ask(v[:8]), self.indices.known_host(v[8]))
 
-    def stands(self, now: float, v: list) -> list[Action]:
-        return self.node.stands(now, self.indices.session(v[0]))
+    def session_established(self, now: float, v: list) -> list[Action]:
+        return self.node.session_established(now, self.indices.session(v[0]))
 
-    def note(self, now: float, v: list) -> list[Action]:
+    def handle_note(self, now: float, v: list) -> list[Action]:
         note = codec.decode_note(v[3], v[4])
-        return self.node.note(now, self.indices.session(v[0]), *note) if note else []
+        return self.node.handle_note(now, self.indices.session(v[0]), *note) if note else []
 
-    def outcome(self, now: float, v: list) -> list[Action]:
+    def dial_ended(self, now: float, v: list) -> list[Action]:
         ending = codec.decode_outcome(v[3])
-        return self.node.outcome(now, self.indices.session(v[0]), v[1], ending, bool(v[5]))
+        return self.node.dial_ended(now, self.indices.session(v[0]), v[1], ending, bool(v[5]))
 
-    def hangup(self, now: float, v: list) -> list[Action]:
-        return self.node.hangup(now, self.indices.session(v[0]))
+    def client_disconnected(self, now: float, v: list) -> list[Action]:
+        return self.node.client_disconnected(now, self.indices.session(v[0]))
 
-    def bell(self, now: float, v: list) -> list[Action]:
-        return self.node.bell(now, int(v[0]))
+    def timer_fired(self, now: float, v: list) -> list[Action]:
+        return self.node.timer_fired(now, int(v[0]))
 
-    def probed(self, now: float, v: list) -> list[Action]:
+    def probe_completed(self, now: float, v: list) -> list[Action]:
         report = decode_report(v[3] if len(v) > 3 else None)
-        return self.node.probed(now, self.indices.known_host(v[0]), codec.decode_outcome(v[1]), report)
+        return self.node.probe_completed(
+            now, self.indices.known_host(v[0]), codec.decode_outcome(v[1]), report
+        )
 
     def message(self, now: float, v: list) -> list[Action]:
         return []
 
 
 EVENTS = {
-    "rosterChange": RunningNode.roster,
-    "ask": RunningNode.ask,
-    "takenOver": RunningNode.taken_over,
-    "headReceived": RunningNode.stands,
-    "interim": RunningNode.note,
-    "reportBack": RunningNode.outcome,
-    "hangup": RunningNode.hangup,
-    "bell": RunningNode.bell,
-    "pingResult": RunningNode.probed,
+    "rosterChange": RunningNode.update_roster,
+    "ask": RunningNode.open_session,
+    "takenOver": RunningNode.resume_session,
+    "headReceived": RunningNode.session_established,
+    "interim": RunningNode.handle_note,
+    "reportBack": RunningNode.dial_ended,
+    "hangup": RunningNode.client_disconnected,
+    "bell": RunningNode.timer_fired,
+    "pingResult": RunningNode.probe_completed,
     "neighbourSays": RunningNode.message,
 }
 
--- a/caperdeck/wire/probe.py
+++ b/caperdeck/wire/probe.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from caperdeck.core.facade import Looked
+from caperdeck.core.facade import ProbeCompleted
 from caperdeck.core.model import Outcome
 from caperdeck.core.settings import MS, decode_report
 from caperdeck.state.addresses import Address
@@ -71,7 +71,7 @@
             return
         cancel(self.waits)
         self.waits, self.sent = None, False
-        self.pool.concluded(Looked(self.host, outcome, decode_report(values)))
+        self.pool.concluded(ProbeCompleted(self.host, outcome, decode_report(values)))
 
     def end(self, outcome: Outcome) -> None:
         """Closes the connection and concludes the probe that is out, if any."""
@@ -97,7 +97,8 @@
 
     def __init__(
         self, reactor: Any, budget: SocketBudget, reports: bool, time_out: float,
-        concluded: Callable[[Looked], None], later: Callable[[Callable[[], None]], bool] = lambda do: False,
+        concluded: Callable[[ProbeCompleted], None],
+        later: Callable[[Callable[[], None]], bool] = lambda do: False,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.budget = budget
@@ -116,12 +117,12 @@
             conn.end(Outcome.UNREACHED)
             conn = None
         if address is None:
-            self.concluded(Looked(host, Outcome.UNREACHED))
+            self.concluded(ProbeCompleted(host, Outcome.UNREACHED))
             return
         if conn is None:
             if not self._make_room():
                 # what this node lacks says nothing about the host
-                self.concluded(Looked(host, Outcome.NEVER_SENT))
+                self.concluded(ProbeCompleted(host, Outcome.NEVER_SENT))
                 return
             conn = ProbeConnection(self, host, address)
         self._use(conn)
--- a/caperdeck/wire/session_handler.py
+++ b/caperdeck/wire/session_handler.py
@@ -12,7 +12,7 @@
 
 from caperdeck.execution.executor import Carrier
 from caperdeck.execution.resumption import ANSWER_MARGIN
-from caperdeck.core.facade import Load, Up
+from caperdeck.core.facade import LoadReported, SessionEstablished
 from caperdeck.core.model import Outcome
 from caperdeck.core.settings import MS
 from caperdeck.state.figures import Status
@@ -98,7 +98,7 @@
         request, now = s.request, self.clock()
         left = max(s.deadline - now - ANSWER_MARGIN, 0.0)
         customer = self.names.customers.get(request.tenant, -1)
-        self.carry_out(self.balancer.pick(now, s.index, listener, customer, left, *self.hints(s)))
+        self.carry_out(self.balancer.open_session(now, s.index, listener, customer, left, *self.hints(s)))
 
     def hints(self, s: Session) -> tuple[float | None, int | None]:
         request = s.request
@@ -156,7 +156,7 @@
     def _load_reported(self, s: Session, line: bytes) -> None:
         # Danger: a load that is no number, or is under 0, would stay in every sum that it enters.
         if (load := parse_load(line[5:])) is not None:
-            self.report(Load(s.index, load / MS))
+            self.report(LoadReported(s.index, load / MS))
         else:
             logger.warning("host uid={} reason=bad-load line={!r}", self.hosts.uid[s.host], line[:80])
 
@@ -170,7 +170,7 @@
         self.figures.answered(request.listener, Status.FULFILLED)
         self._join(client, conn)
         if request.at is None:
-            self.report(Up(s.index))
+            self.report(SessionEstablished(s.index))
         else:
             self._resumed(s, now)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -55,7 +55,7 @@
 
 def node(hosts=4, entries=None, **changes) -> Node:
     n = Node(settings(**changes), START)
-    n.roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
+    n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
     n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
     return n
 
@@ -80,7 +80,7 @@
 def standing(n, host, loads, since=START - 60000.0, first=100):
     """Connections of these loads that stand on a host since long ago."""
     for i, load in enumerate(loads):
-        n.taken_over(since, ask(first + i, load), host)
+        n.resume_session(since, ask(first + i, load), host)
         n.sessions[first + i].stands = since
     return range(first, first + len(loads))
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -11,7 +11,7 @@
 
 
 def placed(n, count=1, **kw):
-    return [dials(n.ask(START, ask(i, **kw)))[0].host for i in range(count)]
+    return [dials(n.open_session(START, ask(i, **kw)))[0].host for i in range(count)]
 
 
 def test_the_lesser_loaded_of_two_takes_a_new_connection():
@@ -38,7 +38,7 @@
 def test_with_no_room_anywhere_a_session_is_refused_rather_than_piled_on():
     n = node(3)
     figures(n, [0.9, 1.1, 0.95])
-    acts = n.ask(START, ask(1, left=50.0))
+    acts = n.open_session(START, ask(1, left=50.0))
     assert [type(a) for a in acts] == [Refuse]
 
 
@@ -46,10 +46,10 @@
     high = settings().listeners[0]
     n = node(4, listeners=(high, replace(high, utility=0.2)))
     figures(n, [0.8, 0.8, 0.8, ROOM - 0.15])
-    assert not dials(n.ask(START, ask(1)._replace(listener=1, left=50.0)))
-    assert dials(n.ask(START, ask(2)))[0].host == 3
+    assert not dials(n.open_session(START, ask(1)._replace(listener=1, left=50.0)))
+    assert dials(n.open_session(START, ask(2)))[0].host == 3
     figures(n, [0.4, 0.4, 0.4, 0.8])
-    assert dials(n.ask(START, ask(3)._replace(listener=1)))
+    assert dials(n.open_session(START, ask(3)._replace(listener=1)))
 
 
 @pytest.mark.parametrize("cross_price", [0.0, 0.02])
@@ -59,14 +59,14 @@
     n.first, n.first_near = [3, 4, 5], [3, 4]
     assert set(placed(n, 12)) <= {3, 4, 5}
     figures(n, [0.2] * 3 + [ROOM + 0.05] * 3 + [0.2] * 6)
-    assert {dials(n.ask(START, ask(i)))[0].host for i in range(100, 112)}.isdisjoint({3, 4, 5})
+    assert {dials(n.open_session(START, ask(i)))[0].host for i in range(100, 112)}.isdisjoint({3, 4, 5})
 
 
 def test_a_subset_of_hosts_that_have_gone_keeps_nobody_from_the_others():
     n = node(6)
     figures(n, [0.2] * 6)
     n.first = [4, 5]
-    n.roster(START, RosterScope.CHANGES, [entry(h, state=HostState.GONE) for h in (4, 5)])
+    n.update_roster(START, RosterScope.CHANGES, [entry(h, state=HostState.GONE) for h in (4, 5)])
     assert set(placed(n, 6)) <= {0, 1, 2, 3}
 
 
@@ -74,42 +74,42 @@
     n = node(2)
     figures(n, [0.5, 0.5])
     standing(n, 0, [1.0])
-    n.note(START, 100, Note.MESSAGE_DELAY, 600.0)
+    n.handle_note(START, 100, Note.MESSAGE_DELAY, 600.0)
     assert placed(n, 5) == [1] * 5
 
 
 def test_candidates_with_old_figures_are_looked_at_before_one_is_chosen():
     n = node(9)
     n.seen_at = [-1e9] * 9
-    acts = n.ask(START, ask(1))
+    acts = n.open_session(START, ask(1))
     first, second = [a.host for a in acts if isinstance(a, Probe)]
-    assert n.probed(START + 5, first, Outcome.GOOD, Report(0.6)) == []
-    assert n.probed(START + 9, second, Outcome.GOOD, Report(0.2))[0].host == second
+    assert n.probe_completed(START + 5, first, Outcome.GOOD, Report(0.6)) == []
+    assert n.probe_completed(START + 9, second, Outcome.GOOD, Report(0.2))[0].host == second
 
 
 def test_a_candidate_that_does_not_answer_in_time_is_passed_over():
     n = node(2)
     n.seen_at = [-1e9] * 2
-    wake = n.ask(START, ask(1))[-1]
-    n.probed(START + 5, 1, Outcome.GOOD, Report(0.2))
-    assert dials(n.bell(START + wake.after - 0.001, wake.token))[0].host == 1
+    wake = n.open_session(START, ask(1))[-1]
+    n.probe_completed(START + 5, 1, Outcome.GOOD, Report(0.2))
+    assert dials(n.timer_fired(START + wake.after - 0.001, wake.token))[0].host == 1
 
 
 def test_a_look_leaves_a_client_in_a_hurry_time_for_its_answer():
     n = node(9)
     n.seen_at = [-1e9] * 9
-    now, acts = START, n.ask(START, ask(1, left=30.0))
+    now, acts = START, n.open_session(START, ask(1, left=30.0))
     while not isinstance(acts[-1], Refuse):
         now += acts[-1].after
         assert now < START + 31
-        acts = n.bell(now, 1)
+        acts = n.timer_fired(now, 1)
 
 
 def test_a_host_nobody_looked_at_is_found_though_the_mean_is_full():
     n = node(3)
     figures(n, [0.9, 0.9, None])
     n.seen_at[2] = -1e9
-    assert n.ask(START, ask(1))[0] == Probe(2)
+    assert n.open_session(START, ask(1))[0] == Probe(2)
 
 
 @pytest.mark.parametrize("group", [None, 7])
@@ -117,12 +117,12 @@
     n = node(3, nodes=100)
     figures(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
-    assert not [a for a in n.ask(START, ask(0, group=group)) if isinstance(a, Probe)]
+    assert not [a for a in n.open_session(START, ask(0, group=group)) if isinstance(a, Probe)]
     n = node(3)
     figures(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
-    assert n.ask(START, ask(1, group=group))[0] == Probe(1)
-    assert dials(n.probed(START + 5, 1, Outcome.GOOD, Report(0.3)))[0].host == 1
+    assert n.open_session(START, ask(1, group=group))[0] == Probe(1)
+    assert dials(n.probe_completed(START + 5, 1, Outcome.GOOD, Report(0.3)))[0].host == 1
 
 
 @pytest.mark.parametrize("nodes", [1, 10, 160, 1000])
@@ -132,7 +132,7 @@
         n = node(40, nodes=nodes, seed=seed * 0x9E3779B1)
         n.unit = 300.0
         figures(n, [0.6] * 40)
-        sent += sum(bool(dials(n.ask(START, ask(i, left=50.0)))) for i in range(100))
+        sent += sum(bool(dials(n.open_session(START, ask(i, left=50.0)))) for i in range(100))
     room = 40 * (ROOM - 0.6) * 30
     assert 0 < sent / 20 <= 3 * room / nodes + 1
 
@@ -172,7 +172,7 @@
     n = node(1)
     standing(n, 0, [10.0])
     for at, value in notes:
-        n.note(START + at, 100, Note.LOAD, value)
+        n.handle_note(START + at, 100, Note.LOAD, value)
     assert low <= n._forecast(START + 16000, n.sessions[100]) <= high
 
 
@@ -180,8 +180,8 @@
     n = node(3)
     standing(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
     figures(n, [0.5, 0.1, 0.1])
-    assert n.probed(START + 60000, 0, Outcome.GOOD, Report(0.8)) == []
-    acts = n.probed(START + 120000, 0, Outcome.GOOD, Report(0.95))
+    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(0.8)) == []
+    acts = n.probe_completed(START + 120000, 0, Outcome.GOOD, Report(0.95))
     assert acts[0] == Move(182) and len(acts) <= 2
 
 
@@ -191,7 +191,7 @@
         n = node(3, seed=seed)
         standing(n, 0, [50.0, 50.0])
         figures(n, [0.5, 0.1, 0.1])
-        moved += len(n.probed(START + 60000, 0, Outcome.GOOD, Report(0.95)))
+        moved += len(n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(0.95)))
     assert 10 <= moved <= 50
 
 
@@ -201,24 +201,24 @@
     standing(n, 0, [1000.0, 999.0])
     figures(n, [0.5, 0.1, 0.1])
     n.chance = lambda: 1.0
-    assert n.probed(START + 60000, 0, Outcome.GOOD, Report(figure)) == []
+    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(figure)) == []
     n.chance = lambda: 0.0
-    assert bool(n.probed(START + 61100, 0, Outcome.GOOD, Report(figure))) is again
+    assert bool(n.probe_completed(START + 61100, 0, Outcome.GOOD, Report(figure))) is again
 
 
 def test_a_steep_rise_lowers_the_threshold():
     n = node(3)
     standing(n, 0, [1.0] * 80 + [8.0])
     figures(n, [0.5, 0.1, 0.1])
-    assert n.probed(START + 1000, 0, Outcome.GOOD, Report(0.8))[0] == Move(180)
+    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(0.8))[0] == Move(180)
 
 
 def test_a_report_that_does_not_show_the_last_moves_moves_nothing():
     n = node(3)
     standing(n, 0, [10.0] * 6)
     figures(n, [1.2, 0.1, 0.1])
-    assert n.probed(START + 1000, 0, Outcome.GOOD, Report(1.2))
-    assert n.probed(START + 2000, 0, Outcome.GOOD, Report(1.2)) == []
+    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(1.2))
+    assert n.probe_completed(START + 2000, 0, Outcome.GOOD, Report(1.2)) == []
 
 
 @pytest.mark.parametrize("figure, moves", [(0.95, 0), (1.3, 2)])
@@ -226,31 +226,31 @@
     n = node(2)
     standing(n, 0, [10.0] * 4)
     figures(n, [0.95, 0.95])
-    assert len(n.probed(START + 1000, 0, Outcome.GOOD, Report(figure))) == moves
+    assert len(n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(figure))) == moves
 
 
 def test_work_piling_up_moves_connections_before_a_report_shows_it():
     n = node(3)
     standing(n, 0, [10.0] * 10)
     figures(n, [0.5, 0.1, 0.1])
-    assert n.note(START, 100, Note.MESSAGE_DELAY, 40.0) == []
-    acts = n.note(START + 1000, 100, Note.MESSAGE_DELAY, 240.0)
+    assert n.handle_note(START, 100, Note.MESSAGE_DELAY, 40.0) == []
+    acts = n.handle_note(START + 1000, 100, Note.MESSAGE_DELAY, 240.0)
     assert 2 <= len([a for a in acts if isinstance(a, Move)]) <= 5
-    assert n.note(START + 1100, 101, Note.MESSAGE_DELAY, 240.0) == []
+    assert n.handle_note(START + 1100, 101, Note.MESSAGE_DELAY, 240.0) == []
 
 
 def test_young_connections_are_spared():
     n = node(2)
     standing(n, 0, [40.0], since=START - 4000)
     figures(n, [1.2, 0.1])
-    assert n.probed(START, 0, Outcome.GOOD, Report(1.2)) == []
+    assert n.probe_completed(START, 0, Outcome.GOOD, Report(1.2)) == []
 
 
 def by_counts(n, hosts):
     """The moves of a node whose probes have all been answered without a figure, and of its next tick."""
-    acts = [act for h in hosts for act in n.probed(START, h, Outcome.GOOD, Report())]
+    acts = [act for h in hosts for act in n.probe_completed(START, h, Outcome.GOOD, Report())]
     n.seen_at, n.probe_credit = [START - 3000.0] * len(n.state), 100.0
-    return [act for act in acts + n.bell(START, -1) if isinstance(act, Move)]
+    return [act for act in acts + n.timer_fired(START, -1) if isinstance(act, Move)]
 
 
 def test_without_a_figure_the_count_triggers():
@@ -278,10 +278,10 @@
         n = node(60, nodes=nodes, may_probe=False, seed=seed)
         for sid in range(7000 // nodes):
             taken += 1
-            n.taken_over(START - 60000, ask(sid, 10.0), rnd.randrange(60))
+            n.resume_session(START - 60000, ask(sid, 10.0), rnd.randrange(60))
             n.sessions[sid].stands = START - 60000
         n.seen_at, n.probe_credit = [START - 3000.0] * 60, 100.0
-        moved += sum(isinstance(act, Move) for act in n.bell(START, -1))
+        moved += sum(isinstance(act, Move) for act in n.timer_fired(START, -1))
     assert moved <= 0.01 * taken
 
 
@@ -289,17 +289,17 @@
     # Danger: the mean of what is known is full load then, for all hosts, and their room is the fleet's.
     n = node(8, may_probe=False, figures=False)
     for h in range(2):
-        n.taken_over(START, ask(900 + h, 10.0), h)
-        n.outcome(START, 900 + h, 0, Outcome.LATE, True)
+        n.resume_session(START, ask(900 + h, 10.0), h)
+        n.dial_ended(START, 900 + h, 0, Outcome.LATE, True)
     n._survey(START)
-    assert {act.host for i in range(30) for act in dials(n.ask(START, ask(i)))} == {2, 3, 4, 5, 6, 7}
+    assert {act.host for i in range(30) for act in dials(n.open_session(START, ask(i)))} == {2, 3, 4, 5, 6, 7}
 
 
 def marked(n, hosts, at=START):
     """A connection of the own at each of the hosts has come too late."""
     for h in hosts:
-        n.taken_over(at, ask(900 + h, 10.0), h)
-        n.outcome(at, 900 + h, 0, Outcome.LATE, True)
+        n.resume_session(at, ask(900 + h, 10.0), h)
+        n.dial_ended(at, 900 + h, 0, Outcome.LATE, True)
     n._survey(at)
 
 
@@ -311,9 +311,9 @@
     n = node(hosts, nodes=nodes, may_probe=False, figures=False)
     standing(n, hosts - 1, [10.0])
     marked(n, range(full))
-    assert all(not dials(n.ask(START, ask(i, left=50.0))) for i in range(20)) == closed
-    n.bell(START + 7000.0, -1)
-    assert dials(n.ask(START + 7000.0, ask(50)))
+    assert all(not dials(n.open_session(START, ask(i, left=50.0))) for i in range(20)) == closed
+    n.timer_fired(START + 7000.0, -1)
+    assert dials(n.open_session(START + 7000.0, ask(50)))
 
 
 @pytest.mark.parametrize("nodes, ends", [(3, 2333.0), (190, 36.0)])
@@ -321,10 +321,10 @@
     n = node(8, nodes=nodes, may_probe=False, figures=False)
     marked(n, range(7))
     n.taken_at[7] = START
-    assert [act.host for act in dials(n.ask(START + ends, ask(1)))] == [7]
-    n.stands(START + ends, 1)
+    assert [act.host for act in dials(n.open_session(START + ends, ask(1)))] == [7]
+    n.session_established(START + ends, 1)
     assert n.taken_at[7] == START + ends
-    assert not dials(n.ask(START + 2 * ends + 2.0, ask(2, left=50.0)))
+    assert not dials(n.open_session(START + 2 * ends + 2.0, ask(2, left=50.0)))
 
 
 @pytest.mark.parametrize("nodes, part", [(1, 0.0), (3, 0.234), (190, 1.0)])
@@ -342,11 +342,11 @@
     n.unit = 100.0
     n._add(START, 0, 1000.0)
     n._add(START + 5000.0, 0, 10.0)
-    n.bell(START + 6900.0, -1)
+    n.timer_fired(START + 6900.0, -1)
     assert n._load(n.now, 0) > 1.0 and n.extra[0] == 1010.0
-    n.bell(START + 7100.0, -1)
+    n.timer_fired(START + 7100.0, -1)
     assert n._load(n.now, 0) < 1.0 and n.added[0] == [(START + 5000.0, 10.0)]
-    n.bell(START + 12100.0, -1)
+    n.timer_fired(START + 12100.0, -1)
     assert (n.extra[0], n.added[0]) == (0.0, [])
 
 
@@ -356,7 +356,7 @@
         n._know(START, h, 1.0)
     n._survey(START)
     assert (n.scarce, n.alike) == (1.0, 100.0)
-    n.bell(START + 7100.0, -1)
+    n.timer_fired(START + 7100.0, -1)
     assert (n.scarce, n.alike) == (0.0, 10.0)
 
 
@@ -364,8 +364,8 @@
     n = node(2)
     standing(n, 0, [10.0] * 5)
     figures(n, [0.5, 0.5])
-    n.roster(START, RosterScope.FULL, [entry(h, HostState.DRAINING) for h in range(2)])
-    assert Wake(500.0, -1) in n.bell(START, -1)
+    n.update_roster(START, RosterScope.FULL, [entry(h, HostState.DRAINING) for h in range(2)])
+    assert Wake(500.0, -1) in n.timer_fired(START, -1)
 
 
 def test_the_room_of_a_host_that_drains_is_no_room():
@@ -373,8 +373,8 @@
     standing(n, 1, [10.0] * 20)
     figures(n, [0.0, 0.6, 0.6])
     before = n.part
-    n.roster(START, RosterScope.CHANGES, [entry(0, HostState.DRAINING)])
-    n.bell(START, -1)
+    n.update_roster(START, RosterScope.CHANGES, [entry(0, HostState.DRAINING)])
+    n.timer_fired(START, -1)
     assert 0 < n.part < before / 2
 
 
@@ -383,11 +383,11 @@
     n = node(1, figures=figures_told)
     standing(n, 0, [10.0] * 3)
     for tick in range(1, 9):
-        n.bell(START + 500.0 * tick, -1)
-        n.probed(START + 500.0 * tick, 0, Outcome.GOOD, Report())
-    assert n.acts == [] and (Probe(0) in n.bell(START + 4500.0, -1)) == again
-    n.probed(START + 4500.0, 0, Outcome.GOOD, Report(0.5))
-    assert Probe(0) not in n.bell(START + 5000.0, -1)
+        n.timer_fired(START + 500.0 * tick, -1)
+        n.probe_completed(START + 500.0 * tick, 0, Outcome.GOOD, Report())
+    assert n.acts == [] and (Probe(0) in n.timer_fired(START + 4500.0, -1)) == again
+    n.probe_completed(START + 4500.0, 0, Outcome.GOOD, Report(0.5))
+    assert Probe(0) not in n.timer_fired(START + 5000.0, -1)
 
 
 @pytest.mark.parametrize("nodes, looks", [(3, 4), (300, 2)])
@@ -398,11 +398,11 @@
     figures(n, [0.5] * 4)
     n.probe_credit, seen = 0.0, []
     for tick in range(1, 9):
-        acts = n.bell(START + 500.0 * tick, -1)
+        acts = n.timer_fired(START + 500.0 * tick, -1)
         seen += [a.host for a in acts if isinstance(a, Probe)]
         for a in acts:
             if isinstance(a, Probe):
-                n.probed(START + 500.0 * tick, a.host, Outcome.GOOD, Report(0.5))
+                n.probe_completed(START + 500.0 * tick, a.host, Outcome.GOOD, Report(0.5))
     assert len(set(seen)) == looks
 
 
@@ -415,18 +415,18 @@
     n = node(hosts=2)
     standing(n, 0, [10.0] * 10)
     for h in range(2):
-        n.probed(START, h, Outcome.GOOD, Report(0.5, None, (10.0 + 2 * others) / 2))
+        n.probe_completed(START, h, Outcome.GOOD, Report(0.5, None, (10.0 + 2 * others) / 2))
     n._survey(START)
     assert n.unit == pytest.approx(10.0 * (10 + 2 * others))
 
 
 def test_a_host_that_holds_connections_and_tells_no_load_has_not_measured_it():
     n = node(hosts=2)
-    n.probed(START, 0, Outcome.GOOD, Report(0.0, None, 120.0))
-    n.probed(START, 1, Outcome.GOOD, Report(0.0, None, 0.0))
+    n.probe_completed(START, 0, Outcome.GOOD, Report(0.0, None, 120.0))
+    n.probe_completed(START, 1, Outcome.GOOD, Report(0.0, None, 0.0))
     assert (n.figure[0], n.figure[1]) == (None, 0.0)
     n.unit, n.mean_hint = 1000.0, 10.0
-    n.probed(START, 0, Outcome.GOOD, Report(0.0, None, 3.0))
+    n.probe_completed(START, 0, Outcome.GOOD, Report(0.0, None, 3.0))
     assert n.figure[0] == 0.0  # a few light ones only
 
 
@@ -434,12 +434,12 @@
     # Danger: a host that drains answers no probe; sessions that wait all look again, by the hundred.
     n = node(2, entries=[entry(0)])
     n.seen_at = [-1e9]
-    looks = n.ask(START, ask(1))
+    looks = n.open_session(START, ask(1))
     assert Probe(0) in looks
-    n.probed(START + 1, 0, Outcome.ERROR, Report())
-    later = [n.bell(START + t, 1) for t in (101.0, 202.0)] + [n.ask(START + 300, ask(2))]
+    n.probe_completed(START + 1, 0, Outcome.ERROR, Report())
+    later = [n.timer_fired(START + t, 1) for t in (101.0, 202.0)] + [n.open_session(START + 300, ask(2))]
     assert not any(isinstance(a, Probe) for acts in later for a in acts)
-    assert Probe(0) in n.ask(START + 1500, ask(3))
+    assert Probe(0) in n.open_session(START + 1500, ask(3))
 
 
 @pytest.mark.parametrize("others", [0.3, 0.9])
--- a/tests/test_core_parts.py
+++ b/tests/test_core_parts.py
@@ -46,8 +46,8 @@
 
 def test_a_forecast_starts_at_the_hint_or_the_mean_and_goes_to_the_last_note_by_its_time_constant():
     n = node(1)
-    n.taken_over(START, ask(1, load=10.0), 0)
-    n.taken_over(START, ask(2, load=None), 0)
+    n.resume_session(START, ask(1, load=10.0), 0)
+    n.resume_session(START, ask(2, load=None), 0)
     hinted, unknown = n.sessions[1], n.sessions[2]
     assert forecast(hinted, START, 30.0) == 10.0 and forecast(unknown, START, 30.0) == 30.0
     take_load_note(hinted, START, 50.0, 30.0)
@@ -109,13 +109,13 @@
 
 def test_what_the_whole_roster_does_not_name_is_gone():
     n = node(3)
-    n.roster(START, RosterScope.FULL, [entry(1)])
+    n.update_roster(START, RosterScope.FULL, [entry(1)])
     assert n.listed == [HostState.GONE, HostState.RUNNING, HostState.GONE]
 
 
 def test_a_dial_and_a_stream_count_at_their_host():
     n = node(1)
-    n.ask(START, ask(1))
+    n.open_session(START, ask(1))
     assert (n.held, n.dialing, n.sent, n.extra) == ([1], [1], {(0, 0.0): 1}, [10.0])
-    n.stands(START, 1)
+    n.session_established(START, 1)
     assert (n.held, n.dialing, list(n.standing[0]), list(n.mine)) == ([1], [0], [1], [0])
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -149,10 +149,10 @@
     born = [START - 2000.0] * cold + [0.0] * (servers - cold)
     n = node(nodes=200, entries=[entry(h, zone=h % 3, born=born[h]) for h in range(servers)])
     for h in range(0, servers, servers // 60):
-        n.probed(START, h, Outcome.GOOD, Report(0.4, None, 6000.0 / servers))
+        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 6000.0 / servers))
     for i in range(40):
-        n.taken_over(START, ask(1000 + i), i * servers // 40)
-    n.bell(START, TICK_TOKEN)
+        n.resume_session(START, ask(1000 + i), i * servers // 40)
+    n.timer_fired(START, TICK_TOKEN)
     return n
 
 
@@ -160,11 +160,11 @@
     """20 sessions of groups of their own come, look, and leave; two ticks."""
     for i in range(20):
         now, number = start + 50.0 * i, int(start) + i
-        n.ask(now, ask(number, group=number))
-        n.bell(now + 20.0, number)
-        n.hangup(now + 40.0, number)
+        n.open_session(now, ask(number, group=number))
+        n.timer_fired(now + 20.0, number)
+        n.client_disconnected(now + 40.0, number)
         if i % 10 == 9:
-            n.bell(now, TICK_TOKEN)
+            n.timer_fired(now, TICK_TOKEN)
 
 
 def calls_in_service(servers, cold):
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -18,7 +18,18 @@
     serve_list, service_over, settings, up, write,
 )  # fmt: skip
 
-from caperdeck.core.facade import Balancer, Connect, Decline, Left, Listed, Look, Looked, Over, SendAway, Up
+from caperdeck.core.facade import (
+    Balancer,
+    Connect,
+    RefuseSession,
+    ClientDisconnected,
+    RosterUpdated,
+    ProbeHost,
+    ProbeCompleted,
+    DialEnded,
+    RedirectClient,
+    SessionEstablished,
+)
 from caperdeck.core.model import Entry, HostState, Outcome, Report
 from caperdeck.lifecycle.config import ConfigError, load_config
 from caperdeck.lifecycle.logs import MOST_WAITING, Sink
@@ -29,48 +40,50 @@
 
 def balancer(hosts=2, **changes):
     b = Balancer(settings(**changes), START)
-    b.report(START, Listed(True, [Entry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)]))
+    b.handle_event(
+        START, RosterUpdated(True, [Entry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)])
+    )
     return b
 
 
 def test_a_pick_that_waits_for_looks_is_settled_by_their_report():
     b = balancer()
-    looks = b.pick(START, 0, 0, -1, 1200.0)
-    assert {type(order) for order in looks} == {Look} and len(looks) == 2
-    assert b.report(START + 1, Looked(looks[0].host, Outcome.GOOD, Report(0.5))) == []
-    orders = b.report(START + 2, Looked(looks[1].host, Outcome.GOOD, Report(0.2)))
+    looks = b.open_session(START, 0, 0, -1, 1200.0)
+    assert {type(order) for order in looks} == {ProbeHost} and len(looks) == 2
+    assert b.handle_event(START + 1, ProbeCompleted(looks[0].host, Outcome.GOOD, Report(0.5))) == []
+    orders = b.handle_event(START + 2, ProbeCompleted(looks[1].host, Outcome.GOOD, Report(0.2)))
     assert [(type(o), o.dial, o.host) for o in orders] == [(Connect, 0, looks[1].host)]
 
 
 def test_a_pick_whose_looks_stay_away_is_settled_by_a_tick():
     b = balancer(hosts=1, max_dials=2)
-    b.pick(START, 0, 0, -1, 1200.0)
+    b.open_session(START, 0, 0, -1, 1200.0)
     orders, now = [], START
     while not orders and now < START + 1200:
-        now = b.due
-        orders = [o for o in b.tick(now) if not isinstance(o, Look)]
-    assert [type(o) for o in orders] == [Decline]
+        now = b.next_timer_at
+        orders = [o for o in b.run_timers(now) if not isinstance(o, ProbeHost)]
+    assert [type(o) for o in orders] == [RefuseSession]
 
 
 def test_dials_are_numbered_and_a_session_leaves_nothing_behind():
     b = balancer(may_probe=False)
-    first = b.pick(START, 0, 0, -1, 1200.0)[0]
-    second = b.report(START, Over(0, first.dial, Outcome.ERROR, False))[0]
+    first = b.open_session(START, 0, 0, -1, 1200.0)[0]
+    second = b.handle_event(START, DialEnded(0, first.dial, Outcome.ERROR, False))[0]
     assert (first.dial, second.dial) == (0, 1)
-    b.report(START, Up(0))
-    b.report(START, Over(0, 1, Outcome.GOOD, True))
-    b.pick(START, 1, 0, -1, 1200.0)
-    b.report(START, Left(1))
+    b.handle_event(START, SessionEstablished(0))
+    b.handle_event(START, DialEnded(0, 1, Outcome.GOOD, True))
+    b.open_session(START, 1, 0, -1, 1200.0)
+    b.handle_event(START, ClientDisconnected(1))
     assert not b._dials
 
 
 def test_a_host_past_its_headroom_has_clients_sent_away():
     b = balancer()
     for i in range(10):
-        b.resume(START - 60000, i, 0, -1, 0, 10.0)
-    b.tick(START)
-    orders = b.report(START, Looked(0, Outcome.GOOD, Report(1.5)))
-    assert orders and {type(order) for order in orders} == {SendAway}
+        b.resume_session(START - 60000, i, 0, -1, 0, 10.0)
+    b.run_timers(START)
+    orders = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, Report(1.5)))
+    assert orders and {type(order) for order in orders} == {RedirectClient}
 
 
 # ---- configuration
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -183,7 +183,7 @@
     for _ in range(12):
         connect(d, opening(d.sessions.made))
     assert {port for _, port, *_ in d.reactor.tcpClients} == {9001}
-    assert say(service, b"include s-0") == "ACK" and d.balancer.may_send(0)
+    assert say(service, b"include s-0") == "ACK" and d.balancer.accepts_sessions(0)
     assert d.gauges()["out_of_rotation"] == 0
 
 
@@ -192,7 +192,7 @@
     say(service, b"exclude s-0")
     d.listed(False, [row("s-0", "Terminating")])
     say(service, b"include s-0")
-    assert not d.balancer.may_send(0)
+    assert not d.balancer.accepts_sessions(0)
 
 
 def test_bans_outlive_the_process_and_a_call_back_too(tmp_path):
@@ -210,9 +210,9 @@
     path, service.bans.folder = service.bans.folder, str(tmp_path / "no" / "folder")
     said = []
     service.calls.call(b"exclude s-0", said.append)
-    assert not said and not d.balancer.may_send(0)
+    assert not said and not d.balancer.accepts_sessions(0)
     d.reactor.pump([0.05] * 16)
-    assert said == [["NAK bans-unwritable"]] and not d.balancer.may_send(0)
+    assert said == [["NAK bans-unwritable"]] and not d.balancer.accepts_sessions(0)
     service.bans.folder = path
     service.sweep()
     later = Bans(str(tmp_path))
@@ -230,13 +230,13 @@
 def test_a_host_called_back_is_cold_and_soon_tried():
     n = node(12)
     figures(n, [0.2] * 12)
-    n.ban(START, 5, True)
-    assert 5 not in {dials(n.ask(START, ask(i)))[0].host for i in range(30)}
-    n.ban(START + 2000, 5, False)
+    n.set_ban(START, 5, True)
+    assert 5 not in {dials(n.open_session(START, ask(i)))[0].host for i in range(30)}
+    n.set_ban(START + 2000, 5, False)
     assert n._warmth(START + 2000, 5) == pytest.approx(0.3)
     n.unit = 400.0  # a part of the budget that saves up for a light session within a few
     n.seen_at = [START + 5000.0] * 12
-    tried = [dials(n.ask(START + 2100 + 100 * i, ask(40 + i, load=1.0)))[0].host for i in range(20)]
+    tried = [dials(n.open_session(START + 2100 + 100 * i, ask(40 + i, load=1.0)))[0].host for i in range(20)]
     assert 5 in tried
 
 
@@ -246,16 +246,16 @@
     n = node(5, nodes=2)
     n.unit, n.mean_hint, n.asked = 1200.0, 10.0, 1000
     figures(n, [0.1, *others])
-    n.ban(START - 4000, 0, True)
-    n.ban(START, 0, False)
+    n.set_ban(START - 4000, 0, True)
+    n.set_ban(START, 0, False)
     tried = []
     for i in range(20):
-        acts = n.ask(START + 250.0 * i, ask(i))
+        acts = n.open_session(START + 250.0 * i, ask(i))
         looks = [a.host for a in acts if isinstance(a, Probe)]
         assert not looks or not dials(acts)  # nothing is sent there before the look is answered
         for h in looks:
             told = Report(others[h - 1] if h else 0.0, None, 80 if h else 0)
-            acts += n.probed(START + 250.0 * i, h, Outcome.GOOD, told)
+            acts += n.probe_completed(START + 250.0 * i, h, Outcome.GOOD, told)
         tried += [a.host for a in dials(acts)]
     assert len(tried) == 20 and tried.count(0) > 10
 
@@ -264,18 +264,22 @@
     n = node(3)
     figures(n, [0.2] * 3)
     for out in (True, False, True):
-        n.ban(START, 1, out)
-    assert 1 not in n.cold and 1 not in {a.host for i in range(30) for a in dials(n.ask(START, ask(i)))}
+        n.set_ban(START, 1, out)
+    assert 1 not in n.cold and 1 not in {
+        a.host for i in range(30) for a in dials(n.open_session(START, ask(i)))
+    }
 
 
 @pytest.mark.parametrize("listed_born, born", [(0.0, 2000.0), (500.0, 2000.0), (1500.0, 1500.0)])
 def test_a_host_called_back_is_as_old_as_its_latest_restart_or_the_call(listed_born, born):
     n = node(2)
-    n.ban(START + 1000, 0, True)
-    n.roster(START + 1600, RosterScope.CHANGES, [entry(0, born=START + listed_born if listed_born else 0.0)])
-    n.ban(START + 2000, 0, False)
+    n.set_ban(START + 1000, 0, True)
+    n.update_roster(
+        START + 1600, RosterScope.CHANGES, [entry(0, born=START + listed_born if listed_born else 0.0)]
+    )
+    n.set_ban(START + 2000, 0, False)
     assert n.born[0] == START + born
-    n.roster(START + 2100, RosterScope.CHANGES, [entry(0)])
+    n.update_roster(START + 2100, RosterScope.CHANGES, [entry(0)])
     assert n.born[0] == START + born
 
 
@@ -284,14 +288,14 @@
     n = node(4)
     for h in range(4):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probed(START, h, Outcome.GOOD, Report(figure, None, held if h == 0 else 40))
+        n.probe_completed(START, h, Outcome.GOOD, Report(figure, None, held if h == 0 else 40))
     n._survey(START)
     mean = n.unit
     assert n._fills(1) == pytest.approx(10.0 * 40 / 0.4, rel=0.05)
     assert n._fills(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
     assert n._fills(0) >= mean / 2
-    n.ban(START, 0, True)
-    n.ban(START + 3000, 0, False)
+    n.set_ban(START, 0, True)
+    n.set_ban(START + 3000, 0, False)
     assert n._fills(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
 
 
@@ -299,7 +303,7 @@
     n = node(entries=[entry(0, born=START - 1000.0), entry(1)])
     for h in range(2):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probed(START, h, Outcome.GOOD, Report(0.4, None, 40))
+        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 40))
     n._survey(START)
     assert not n.able[0] and n.able[1]
 
@@ -308,12 +312,12 @@
     n = node(4)
     for h in range(4):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probed(START, h, Outcome.GOOD, Report(0.4, None, 40))
+        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 40))
     n._survey(START)
     for i in range(300):
         n._new(START, ask(1000 + i, load=500.0))
     n._survey(START)
-    n.roster(START, RosterScope.CHANGES, [entry(0, born=START)])
+    n.update_roster(START, RosterScope.CHANGES, [entry(0, born=START)])
     assert n._price(START + 900, n.sessions[100]) < 60.0 and n.mean_hint > 300.0
 
 
@@ -322,7 +326,7 @@
     n = d.balancer._node
     n.unit, n.each, n.able[1] = 4000.0, 25.0, 5000.0
     later.listed(True, [row("s-2", port=9002), row("s-1", port=9001)])
-    memory = d.balancer.memory()
+    memory = d.balancer.learned_state()
     later.remember(memory, dict(zip(d.hosts.uid, memory["able"], strict=True)))
     m = later.balancer._node
     assert (m.unit, m.each, m.able[later.hosts.index["s-1"]]) == (4000.0, 25.0, 5000.0)
@@ -332,16 +336,18 @@
     n = node(3)
     standing(n, 0, [10.0] * 20)
     figures(n, [0.3, 0.3, 0.1])
-    n.ban(START, 0, True)
-    assert not [a for i in range(1, 4) for a in n.bell(START + 500 * i, TICK_TOKEN) if isinstance(a, Move)]
+    n.set_ban(START, 0, True)
+    assert not [
+        a for i in range(1, 4) for a in n.timer_fired(START + 500 * i, TICK_TOKEN) if isinstance(a, Move)
+    ]
 
 
 def test_with_every_host_taken_out_a_session_is_refused_with_a_back_off():
     n = node(2, may_probe=False)
     for h in range(2):
-        n.ban(START, h, True)
-    n.ask(START, ask(1, left=50.0))
-    acts = n.ask(START, ask(2, left=50.0))
+        n.set_ban(START, h, True)
+    n.open_session(START, ask(1, left=50.0))
+    acts = n.open_session(START, ask(2, left=50.0))
     assert isinstance(acts[-1], Refuse) and acts[-1].back_off > 0
 
 
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -144,10 +144,10 @@
     here, there = both(tmp_path)
     assert say(there, b"exclude s-0") == "ACK"
     here.sweep()
-    assert not here.desk.balancer.may_send(0) and list(here.bans.uids) == ["s-0"]
+    assert not here.desk.balancer.accepts_sessions(0) and list(here.bans.uids) == ["s-0"]
     assert say(here, b"include s-0") == "ACK"
     there.sweep()
-    assert there.desk.balancer.may_send(0) and not there.bans.uids
+    assert there.desk.balancer.accepts_sessions(0) and not there.bans.uids
 
 
 def test_calls_to_both_processes_at_once_are_all_kept(tmp_path):
@@ -174,10 +174,10 @@
         full.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.EIO))
         here.calls.call(b"exclude s-0", said.append)
         here.desk.reactor.pump([0.02] * 10)
-        assert not said and not here.desk.balancer.may_send(0)
+        assert not said and not here.desk.balancer.accepts_sessions(0)
     here.desk.reactor.pump([0.02] * 2)
     there.sweep()
-    assert said == [["ACK"]] and not there.desk.balancer.may_send(0)
+    assert said == [["ACK"]] and not there.desk.balancer.accepts_sessions(0)
 
 
 def test_a_call_back_that_no_disk_took_is_not_undone_by_the_old_file(tmp_path, monkeypatch):
@@ -186,7 +186,7 @@
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.ENOSPC))
     assert say(here, b"include s-0") is None
     here.sweep()
-    assert here.desk.balancer.may_send(0)
+    assert here.desk.balancer.accepts_sessions(0)
     successor = Bans(str(tmp_path))
     successor.adopt(list(here.bans.uids), here.bans.unsaved)
     assert not successor.uids
@@ -198,7 +198,7 @@
     assert say(here, b"exclude s-0") == "ACK"
     there.know(rows, json.loads(orjson.dumps(state)))
     here.sweep()
-    assert not here.desk.balancer.may_send(0) and not there.desk.balancer.may_send(0)
+    assert not here.desk.balancer.accepts_sessions(0) and not there.desk.balancer.accepts_sessions(0)
 
 
 def tell_state(service):
@@ -212,7 +212,7 @@
     here.sweep()
     (tmp_path / FILE).unlink()
     here.sweep()
-    assert not here.desk.balancer.may_send(0)
+    assert not here.desk.balancer.accepts_sessions(0)
     later = Bans(str(tmp_path))
     later.load()
     assert list(later.uids) == ["s-0"]
@@ -225,7 +225,7 @@
     with logged() as lines:
         here.sweep()
         here.sweep()
-    assert not here.desk.balancer.may_send(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
+    assert not here.desk.balancer.accepts_sessions(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
     assert say(here, b"exclude s-1") == "ACK"
     assert set(orjson.loads((tmp_path / FILE).read_bytes())) == {"s-0", "s-1"}
 
@@ -237,7 +237,7 @@
     fcntl.flock(fd, fcntl.LOCK_EX)
     here.calls.call(b"exclude s-0", said.append)
     here.desk.reactor.advance(0.02)
-    assert not said and not here.desk.balancer.may_send(0)
+    assert not said and not here.desk.balancer.accepts_sessions(0)
     os.close(fd)
     here.desk.reactor.advance(0.02)
     assert said == [["ACK"]]
@@ -270,7 +270,7 @@
     here, there = both(tmp_path)
     say(here, b"exclude s-0")
     say(here, b"include s-0")
-    at = here.desk.balancer.called_back[0]
+    at = here.desk.balancer.readmitted[0]
     rows, state, _ = tell_state(here)
     there.listen = there.discovery.start = lambda *_: None
     there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
@@ -286,7 +286,7 @@
 def cold_node(now):
     """A node of three that knows what a session weighs; of its two hosts the first has just started."""
     made = Node(settings(), now)
-    made.roster(now, RosterScope.SAVED, [entry(0, born=START), entry(1)])
+    made.update_roster(now, RosterScope.SAVED, [entry(0, born=START), entry(1)])
     made.unit, made.mean_hint, made.asked, made.each = 2000.0, 10.0, 1000, 10.0
     return made
 
@@ -299,9 +299,9 @@
             made.seen_at = [now, now]
             figures(made, [0.1, 0.1], now)
             sid = int(now) * len(nodes) + number
-            count += sum(dial.host == 0 for dial in dials(made.ask(now, ask(sid))))
-            made.hangup(now, sid)
-            made.outcome(now, sid, 0, Outcome.WITHDRAWN, True)
+            count += sum(dial.host == 0 for dial in dials(made.open_session(now, ask(sid))))
+            made.client_disconnected(now, sid)
+            made.dial_ended(now, sid, 0, Outcome.WITHDRAWN, True)
         now += EVERY
     return count
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -352,8 +352,8 @@
     later = desk(hosts=0)
     successor = service_over(later, tmp_path)
     successor.know(d.hosts.rows(), {"bans": ["s-0"]})
-    assert not later.balancer.may_send(later.hosts.index["s-0"])
-    assert not later.balancer.may_send(later.hosts.index["s-1"])
+    assert not later.balancer.accepts_sessions(later.hosts.index["s-0"])
+    assert not later.balancer.accepts_sessions(later.hosts.index["s-1"])
 
 
 def test_a_process_that_has_given_its_port_takes_nobody_and_is_not_ready(tmp_path):
@@ -375,7 +375,7 @@
     service.calls.call(b"include s-9", said.append)
     assert not said
     service.know([row("s-0")])
-    assert said == [["ACK"], ["NAK unknown-host"]] and not d.balancer.may_send(0)
+    assert said == [["ACK"], ["NAK unknown-host"]] and not d.balancer.accepts_sessions(0)
 
 
 def test_an_incumbent_that_is_told_to_stop_hands_on_before_it_ends(tmp_path):
