--- a/caperdeck/core/decide.py
+++ b/caperdeck/core/decide.py
@@ -14,8 +14,9 @@
 from .seeded_random import chance
 from .forecast import forecast, take_load_note
 from .model import (
-    NEVER_RAN, Action, Ask, Dial, Effect, Entry, Held, HostState, Move, Note, Outcome, Probe, Refuse, Report,
-    RosterScope, Scope, Sent, Settings, TearDown, Wake, Watch, Withdraw,
+    NEVER_RAN, Action, Dial, DialRecord, Effect, HostState, LoadReport, Move, NoteKind, Outcome, Probe,
+    Refuse, RosterEntry, RosterScope, Scope, SessionRequest, SessionState, Settings, TearDown, Wake, Watch,
+    Withdraw,
 )  # fmt: skip
 from .quotas import ROOM_BUDGET
 from .sampling import without_replacement
@@ -78,10 +79,10 @@
         super().__init__(settings)
         self.now, self.draws = now, 0
         self.acts: list[Action] = []
-        self.sessions: dict[int, Held] = {}
+        self.sessions: dict[int, SessionState] = {}
         self.rights.grow(now, ROOM_BUDGET)
         self.alike = math.sqrt(settings.nodes)  # how many nodes are held to do as this one does
-        self.first, self.first_near = [], []  # own subsets of running and near, drawn before the rest
+        self.preferred, self.preferred_near = [], []  # own subsets of running and near, drawn before the rest
         self.known = {}  # hosts with a figure not too old, oldest first
         self.ailing, self.most_ill = {}, False  # hosts that look ill; more than half of those known do
         self.probe_credit = 0.0  # probes that the sessions taken allow
@@ -117,7 +118,7 @@
 
     # ---- hosts: roster, warmth, health
 
-    def update_roster(self, now: float, scope: RosterScope, entries: list[Entry]) -> list[Action]:
+    def update_roster(self, now: float, scope: RosterScope, entries: list[RosterEntry]) -> list[Action]:
         self.now = now
         if scope is RosterScope.FAILED:
             # Danger: unsubscribed and silent, we would be held to know of drains we never heard of.
@@ -164,11 +165,11 @@
 
     # ---- forecasts
 
-    def handle_note(self, now: float, sid: int, kind: Note, value: float) -> list[Action]:
+    def handle_note(self, now: float, sid: int, kind: NoteKind, value: float) -> list[Action]:
         self.now = now
         if (s := self.sessions.get(sid)) is None:
             return []
-        if kind is not Note.MESSAGE_DELAY:
+        if kind is not NoteKind.MESSAGE_DELAY:
             take_load_note(s, now, value, self.mean_hint)
         elif s.stands is not None:
             self._piled(now, s.dials[-1].host, value)
@@ -186,12 +187,12 @@
         if self._old(h) and now - self.acted_at[h] > SETTLE:
             self._probe(now, h)
 
-    def _forecast(self, now: float, s: Held) -> float:
+    def _forecast(self, now: float, s: SessionState) -> float:
         return forecast(s, now, self.mean_hint)
 
     # ---- placement
 
-    def _choose(self, s: Held) -> Generator[list[Probe], None, int]:
+    def _choose(self, s: SessionState) -> Generator[list[Probe], None, int]:
         """The lesser-loaded of two random hosts that may be sent to and have room; -1 if there is none."""
         # Danger: many nodes see the same room in one report; each filling it would overfill it many times.
         if self.rights.have(self.now, ROOM_BUDGET) <= 0:
@@ -221,18 +222,18 @@
     def _old(self, h: int, span: float = FRESH) -> bool:
         return self.set.may_probe and self.now - self.seen_at[h] > span
 
-    def _fit(self, s: Held, h: int, room: float) -> bool:
+    def _fit(self, s: SessionState, h: int, room: float) -> bool:
         # Danger: past its headroom a host soon serves nobody; what it is sent there is lost with the rest.
         fit = self.now >= self.unseen[h] and (self._load(self.now, h) < room or self._unlooked(s, h))
         fit = fit and self._well(self.now, h) and self._open(self.now, s, h)
         return fit and self._allowed(self.now, s, h)
 
-    def _unlooked(self, s: Held, h: int) -> bool:
+    def _unlooked(self, s: SessionState, h: int) -> bool:
         """Whether a slot is open at a cold host that is full by the mean alone, as nobody has looked yet."""
         # Danger: while any host has room no session looks at it, and one that was called back stays unused.
         return h in s.lots and self._figure(self.now, h) is None and self._old(h)
 
-    def _draws(self, s: Held) -> Iterator[tuple[float, Iterator[int]]]:
+    def _draws(self, s: SessionState) -> Iterator[tuple[float, Iterator[int]]]:
         """Levels to be under and hosts as drawn; the own zone first where leaving it has a price."""
         # the fewer hosts have room, the more of it is kept for the sessions of the highest utility
         room = ROOM - LESSER * max(1 - s.listener.utility / self.most_utility, 0.0) * self.scarce
@@ -242,9 +243,9 @@
         else:
             # Danger: drawn from all, nearly every session pays for new looks; of few, one serves several.
             if self.set.cross_price:
-                yield ROOM_NEAR, self._drawn(self.first_near)
+                yield ROOM_NEAR, self._drawn(self.preferred_near)
                 yield ROOM_NEAR, self._drawn(self.near)
-            yield room, self._drawn(self.first)
+            yield room, self._drawn(self.preferred)
             yield room, self._drawn(self.running)
         # Danger: a host nobody looks at stays full on paper, by an old figure, own sends or the mean; many
         # nodes that all look again would use up the probes that a host answers.
@@ -254,7 +255,7 @@
     def _order_of(self, group: int) -> list[int]:
         """The first hosts of those that run in the order that all nodes give them for the group."""
         if (order := self.orders.get(group)) is None:
-            marks = self.mark
+            marks = self.stable_id
             mixed = [(group * marks[h] % GROUP_PRIME) << 20 | h for h in self.running]
             order = [x & 0xFFFFF for x in heapq.nsmallest(DRAWS, mixed)]
             # Danger: groups come and go for as long as no host does.
@@ -377,10 +378,10 @@
 
     # ---- send gate: every dial passes here, and each rule stands here and nowhere else
 
-    def _passes(self, now: float, s: Held, h: int) -> bool:
+    def _passes(self, now: float, s: SessionState, h: int) -> bool:
         return self._allowed(now, s, h) and self._pay(now, s, h)
 
-    def _allowed(self, now: float, s: Held, h: int) -> bool:
+    def _allowed(self, now: float, s: SessionState, h: int) -> bool:
         over = s.answered or s.out or now >= s.deadline or len(s.dials) >= s.most_dials
         return not over and self.state[h] is HostState.RUNNING and self._harmless(now, s, h, s.dials)
 
@@ -390,22 +391,22 @@
         if (s := self.sessions.get(sid)) is None or s.answered or now >= s.deadline:
             return False
         h, before = s.dials[-1].host, s.dials[:-1]
-        same = self.state[h] is HostState.RUNNING and self.born[h] == s.dials[-1].born
+        same = self.state[h] is HostState.RUNNING and self.started_at[h] == s.dials[-1].started_at
         return same and self._harmless(now, s, h, before)
 
-    def _harmless(self, now: float, s: Held, h: int, before: list[Sent]) -> bool:
+    def _harmless(self, now: float, s: SessionState, h: int, before: list[DialRecord]) -> bool:
         """Whether nothing ran yet, or what ran makes the host drop the repeat."""
         ran = self._ran(before)
         if ran is None or s.listener.effect is Effect.REPEATABLE:
             return True
         # Danger: a repeat counts when it arrives; and a host that has started since remembers nothing.
-        late = now + ARRIVAL >= ran.at + s.listener.memory_span or self.born[h] > ran.at
+        late = now + ARRIVAL >= ran.at + s.listener.memory_span or self.started_at[h] > ran.at
         return s.listener.effect is Effect.REFERENCED and not late and ran.group == self._group(s, h)
 
-    def _ran(self, dials: list[Sent]) -> Sent | None:
+    def _ran(self, dials: list[DialRecord]) -> DialRecord | None:
         return next((d for d in dials if d.may_have_run), None)
 
-    def _may_refuse(self, s: Held, wait: float) -> bool:
+    def _may_refuse(self, s: SessionState, wait: float) -> bool:
         ran, listener = self._ran(s.dials), s.listener
         if ran is None or listener.effect is Effect.REPEATABLE:
             return True
@@ -416,31 +417,31 @@
 
     # ---- sessions
 
-    def open_session(self, now: float, a: Ask) -> list[Action]:
+    def open_session(self, now: float, a: SessionRequest) -> list[Action]:
         self.now = now
         s = self._new(now, a)
         s.run = self._session(s)
         self._go_on(s, None)
         return self._done()
 
-    def resume_session(self, now: float, a: Ask, h: int) -> list[Action]:
+    def resume_session(self, now: float, a: SessionRequest, h: int) -> list[Action]:
         """A connection that stood before this node started; its dial 0 counts as made."""
         s = self._new(now, a)
-        s.dials.append(Sent(h, now, self.born[h], self._group(s, h)))
+        s.dials.append(DialRecord(h, now, self.started_at[h], self._group(s, h)))
         self._hold(h, 1)
         self._stand(s, now - MOVE_AGE)
         return []
 
-    def _new(self, now: float, a: Ask) -> Held:
+    def _new(self, now: float, a: SessionRequest) -> SessionState:
         self.asked += 1
         self.mean_hint += ((1.0 if a.load is None else a.load) - self.mean_hint) * max(0.02, 1 / self.asked)
         self.probe_credit += 1
-        s = self.sessions[a.session] = Held(
+        s = self.sessions[a.session] = SessionState(
             a.session, self.set.listeners[a.listener], self.set.max_dials, now, now + a.left, a.load,
             a.group, smooth=a.load or 0.0)  # fmt: skip
         return s
 
-    def _session(self, s: Held) -> Generator[Action | list[Probe], Outcome | None, None]:
+    def _session(self, s: SessionState) -> Generator[Action | list[Probe], Outcome | None, None]:
         """One session, from its ask to its answer; a stream's end needs no decision."""
         target = s.listener.handshake_target
         while True:
@@ -459,7 +460,7 @@
         else:
             yield TearDown(s.id)
 
-    def _go_on(self, s: Held, result: Outcome | None) -> None:
+    def _go_on(self, s: SessionState, result: Outcome | None) -> None:
         """Carries the session on to what it wants done next."""
         act = s.run.send(result)
         if isinstance(act, list):
@@ -567,7 +568,7 @@
         self.acts.append(Probe(h))
         return True
 
-    def probe_completed(self, now: float, h: int, result: Outcome, report: Report) -> list[Action]:
+    def probe_completed(self, now: float, h: int, result: Outcome, report: LoadReport) -> list[Action]:
         self.now, self.probe_out[h] = now, 0.0
         if result is Outcome.GOOD:
             self.seen_at[h] = now
@@ -587,13 +588,17 @@
                 self._go_on(s, None)
         return self._done()
 
-    def _learn(self, now: float, h: int, report: Report) -> None:
-        figure, self.crowd[h] = report.load, report.held
+    def _learn(self, now: float, h: int, report: LoadReport) -> None:
+        figure, self.crowd[h] = report.load, report.connections
         # Danger: a host that holds connections and tells no load yet has not measured it; it is not empty.
-        if not figure and report.held and report.held * self.mean_hint >= NOT_MEASURED * self._fills(h):
+        if (
+            not figure
+            and report.connections
+            and report.connections * self.mean_hint >= NOT_MEASURED * self._fills(h)
+        ):
             figure = None
-        if figure is None and report.piled is not None:
-            figure = report.piled / self.shortest
+        if figure is None and report.backlog is not None:
+            figure = report.backlog / self.shortest
         if figure is None:
             return
         last, span = self._figure(now, h), max(now - self.figure_at[h], REPORT_LAG)
--- a/caperdeck/core/facade.py
+++ b/caperdeck/core/facade.py
@@ -13,10 +13,10 @@
 
 from .decide import Node
 from .model import (
-    Action, Ask, Dial, Entry, HostState, Move, Note, Outcome, Probe, Refuse, Report, RosterScope, Settings,
-    TearDown, Wake, Watch, Withdraw,
+    Action, Dial, HostState, LoadReport, Move, NoteKind, Outcome, Probe, Refuse, RosterEntry, RosterScope,
+    SessionRequest, Settings, TearDown, Wake, Watch, Withdraw,
 )  # fmt: skip
-from .fleet_state import Shares
+from .fleet_state import FleetState
 
 
 # ---- orders: what the caller is to do
@@ -81,7 +81,7 @@
     session: int
     dial: int
     outcome: Outcome
-    last: bool
+    final: bool
 
 
 class ClientDisconnected(NamedTuple):
@@ -94,7 +94,7 @@
     """The host told the load of a standing session, in milliseconds of work a second."""
 
     session: int
-    value: float
+    load: float
 
 
 class ProbeCompleted(NamedTuple):
@@ -102,21 +102,21 @@
 
     host: int
     outcome: Outcome
-    told: Report = Report()
+    report: LoadReport = LoadReport()
 
 
 class RosterUpdated(NamedTuple):
     """Discovery's list of hosts: all of it, or what changed."""
 
-    whole: bool
-    entries: list[Entry]
+    complete: bool
+    entries: list[RosterEntry]
 
 
 class BanChanged(NamedTuple):
     """An operator has taken the host out, or lets it serve again: nothing new to it between the two."""
 
     host: int
-    out: bool
+    banned: bool
 
 
 class SettingsChanged(NamedTuple):
@@ -128,8 +128,8 @@
 class SubsetsChanged(NamedTuple):
     """The hosts that this node draws first: of all, and of its own zone."""
 
-    first: list[int]
-    near: list[int]
+    preferred: list[int]
+    preferred_near: list[int]
 
 
 class HostOverloaded(NamedTuple):
@@ -167,7 +167,7 @@
         """Place a new session whose client waits so many milliseconds."""
         self._dials[session] = 0
         return self._commands(
-            now, self._node.open_session(now, Ask(session, listener, customer, left, load, group))
+            now, self._node.open_session(now, SessionRequest(session, listener, customer, left, load, group))
         )
 
     def resume_session(
@@ -175,7 +175,7 @@
         load: float | None = None, group: int | None = None,
     ) -> list[Command]:  # fmt: skip
         """A session that stood on the host before this node started; its dial 0 counts as made."""
-        ask = Ask(session, listener, customer, 0.0, load, group)
+        ask = SessionRequest(session, listener, customer, 0.0, load, group)
         return self._commands(now, self._node.resume_session(now, ask, host))
 
     def run_timers(self, now: float) -> list[Command]:
@@ -201,9 +201,9 @@
         return self._node.set
 
     @property
-    def fleet_state(self) -> Shares:
+    def fleet_state(self) -> FleetState:
         """What the node tells other nodes and takes from them."""
-        return Shares(self._node)
+        return FleetState(self._node)
 
     def learned_state(self) -> dict[str, Any]:
         """What is learned slowly, for another process of this node; hosts in the order of indices."""
@@ -245,26 +245,26 @@
             case SessionEstablished(session):
                 self._dials.pop(session, None)
                 return self._node.session_established(now, session)
-            case DialEnded(session, dial, outcome, last):
-                if last:
+            case DialEnded(session, dial, outcome, final):
+                if final:
                     self._dials.pop(session, None)
-                return self._node.dial_ended(now, session, dial, outcome, last)
+                return self._node.dial_ended(now, session, dial, outcome, final)
             case ClientDisconnected(session):
                 self._dials.pop(session, None)
                 return self._node.client_disconnected(now, session)
-            case LoadReported(session, value):
-                return self._node.handle_note(now, session, Note.LOAD, value)
-            case ProbeCompleted(host, outcome, told):
-                return self._node.probe_completed(now, host, outcome, told)
-            case RosterUpdated(whole, entries):
-                scope = RosterScope.FULL if whole else RosterScope.CHANGES
+            case LoadReported(session, load):
+                return self._node.handle_note(now, session, NoteKind.LOAD, load)
+            case ProbeCompleted(host, outcome, report):
+                return self._node.probe_completed(now, host, outcome, report)
+            case RosterUpdated(complete, entries):
+                scope = RosterScope.FULL if complete else RosterScope.CHANGES
                 return self._node.update_roster(now, scope, entries)
-            case BanChanged(host, out):
-                return self._node.set_ban(now, host, out)
+            case BanChanged(host, banned):
+                return self._node.set_ban(now, host, banned)
             case HostOverloaded(host, load):
                 return self.fleet_state.told_full(now, host, load)
-            case SubsetsChanged(first, near):
-                self._node.first, self._node.first_near = first, near
+            case SubsetsChanged(preferred, preferred_near):
+                self._node.preferred, self._node.preferred_near = preferred, preferred_near
                 return []
             case SettingsChanged(settings):
                 return self._node.apply_settings(now, settings)
--- a/caperdeck/core/fleet_state.py
+++ b/caperdeck/core/fleet_state.py
@@ -13,7 +13,7 @@
 KEPT = 0.5  # of what it saves a node lends the rest
 
 
-class Word(NamedTuple):
+class HostObservation(NamedTuple):
     """What the node has seen of a host: whether it answers, and when."""
 
     host: int
@@ -21,7 +21,7 @@
     seen: float
 
 
-class Shares:
+class FleetState:
     """One node's decisions, as the part that speaks with other nodes sees them. Pots as in quotas.py."""
 
     def __init__(self, node: Node) -> None:
@@ -40,7 +40,11 @@
     def sent_cold(self) -> list[tuple[int, float, int]]:
         """Cold hosts, their starts as the roster tells them, the dials since; grows only for one start."""
         n = self.node
-        return [(h, n.boot[h], n.sent[h, n.boot[h]]) for h in n.cold if (h, n.boot[h]) in n.sent]
+        return [
+            (h, n.roster_start[h], n.sent[h, n.roster_start[h]])
+            for h in n.cold
+            if (h, n.roster_start[h]) in n.sent
+        ]
 
     def wants(self, now: float) -> list[tuple[int, float]]:
         """Pots in which the node is short, and the load that it would take there."""
@@ -63,11 +67,17 @@
         """The node's own looks after that time which show a host past full load."""
         return [row for row in self.figures(now) if row[1] > FULL_LOAD and row[2] > since]
 
-    def words(self, now: float) -> list[Word]:
+    def words(self, now: float) -> list[HostObservation]:
         """Hosts that do not answer this node, and those that have."""
         n = self.node
-        ill = [Word(h, False, now) for h in n.ailing if n.ill[h] >= ILL and n.state[h] is HostState.RUNNING]
-        return ill + [Word(h, True, n.seen_at[h]) for h, _, _ in self.figures(now) if n.ill[h] < ILL]
+        ill = [
+            HostObservation(h, False, now)
+            for h in n.ailing
+            if n.ill[h] >= ILL and n.state[h] is HostState.RUNNING
+        ]
+        return ill + [
+            HostObservation(h, True, n.seen_at[h]) for h, _, _ in self.figures(now) if n.ill[h] < ILL
+        ]
 
     def ill_everywhere(self, part: float) -> bool:
         """Whether so large a part of the hosts that the node knows of looks ill: then it is rather itself."""
--- a/caperdeck/core/host_table.py
+++ b/caperdeck/core/host_table.py
@@ -8,8 +8,8 @@
 import math
 from typing import Any
 
-from .model import LONG_AGO, Entry, Held, HostState, Sent, Settings
-from .quotas import Rights
+from .model import START_UNKNOWN, DialRecord, HostState, RosterEntry, SessionState, Settings
+from .quotas import Quotas
 from .warmup import warm_share
 
 
@@ -27,22 +27,22 @@
         self.size: list[float] = []
         self.zone: list[int] = []
         self.cell: list[int] = []
-        self.mark: list[int] = []  # alike at every node
-        self.born: list[float] = []  # the start on the own clock, 0 if long ago
-        self.boot: list[float] = []  # the same as the roster tells it
+        self.stable_id: list[int] = []  # alike at every node
+        self.started_at: list[float] = []  # the start on the own clock, 0 if long ago
+        self.roster_start: list[float] = []  # the same as the roster tells it
         self.banned: dict[int, float] = {}  # hosts taken out by hand, since when
         self.readmitted: dict[int, float] = {}  # hosts that count as started when they were called back
         # the own sessions
         self.held: list[int] = []  # dials out and standing sessions
         self.holding = 0  # the same at all hosts together
         self.dialing: list[int] = []  # dials out
-        self.standing: list[dict[int, Held]] = []  # standing sessions by number
+        self.standing: list[dict[int, SessionState]] = []  # standing sessions by number
         self.mine: dict[int, None] = {}  # hosts with standing sessions
         self.sent: dict[tuple[int, float], int] = {}  # dials by host and its start, as the roster tells it
         self.added: list[list[tuple[float, float]]] = []  # own load sent since the last report, with times
         self.extra: list[float] = []  # and its sum
         self.loaded: dict[int, None] = {}  # hosts with any of it
-        self.rights = Rights()  # own parts, in load: of the fleet's room, and at h + 1 of cold hosts
+        self.rights = Quotas()  # own parts, in load: of the fleet's room, and at h + 1 of cold hosts
         self.in_turn: list[bool] = []  # the own slots at a cold host go on from its start
         self.slots_elsewhere = False  # another process of this node uses them
         # reports and health
@@ -80,8 +80,8 @@
     def _append_blank(self) -> None:
         blanks: tuple[tuple[list[Any], Any], ...] = (
             (self.listed, HostState.GONE), (self.size, 1.0), (self.zone, 0), (self.cell, 0),
-            (self.mark, 0), (self.born, 0.0), (self.boot, 0.0), (self.held, 0), (self.dialing, 0),
-            (self.standing, {}), (self.added, []), (self.extra, 0.0), (self.pile, 0.0),
+            (self.stable_id, 0), (self.started_at, 0.0), (self.roster_start, 0.0), (self.held, 0),
+            (self.dialing, 0), (self.standing, {}), (self.added, []), (self.extra, 0.0), (self.pile, 0.0),
             (self.pile_at, -math.inf),
             (self.figure, None), (self.figure_at, -math.inf), (self.seen_at, -math.inf),
             (self.probe_out, 0.0), (self.acted_at, -math.inf), (self.ill, 0.0), (self.shunned, 0.0),
@@ -92,19 +92,24 @@
         for array, blank in blanks:
             array.append(blank)
 
-    def _enter(self, now: float, e: Entry) -> None:
+    def _enter(self, now: float, e: RosterEntry) -> None:
         """Takes a line of the roster in; a process that started anew is another host."""
         h = e.host
         self._grow(now, h)
-        if e.state is HostState.RUNNING and (self.listed[h] is HostState.GONE or e.boot > self.boot[h]):
+        if e.state is HostState.RUNNING and (
+            self.listed[h] is HostState.GONE or e.roster_start > self.roster_start[h]
+        ):
             self._forget(now, h)
         # a listed size that is lowered by what the host holds says little of the host's own
         self.size[h] = e.size or 1.0 if self.set.sizes_stand else 1.0
-        self.listed[h], self.zone[h], self.cell[h], self.mark[h] = e.state, e.zone, e.cell, e.mark
-        if e.boot >= self.boot[h]:
-            self.boot[h], self.born[h] = e.boot, max(e.born, self.readmitted.get(h, 0.0))
-
-    def _drop_unlisted(self, entries: list[Entry]) -> None:
+        self.listed[h], self.zone[h], self.cell[h], self.stable_id[h] = e.state, e.zone, e.cell, e.stable_id
+        if e.roster_start >= self.roster_start[h]:
+            self.roster_start[h], self.started_at[h] = (
+                e.roster_start,
+                max(e.started_at, self.readmitted.get(h, 0.0)),
+            )
+
+    def _drop_unlisted(self, entries: list[RosterEntry]) -> None:
         """What the whole roster does not name is gone."""
         for h in set(range(len(self.state))).difference(e.host for e in entries):
             self.listed[h] = HostState.GONE
@@ -117,8 +122,8 @@
             self.banned[h] = now if since is None else since
         elif since is not None:
             # Danger: it was restarted meanwhile, and the roster that tells may come late; it counts as cold.
-            if self.born[h] <= since:
-                self.born[h] = self.readmitted[h] = now
+            if self.started_at[h] <= since:
+                self.started_at[h] = self.readmitted[h] = now
             self._forget(now, h)
 
     def _forget(self, now: float, h: int) -> None:
@@ -146,28 +151,28 @@
         """Those of the hosts that are not warm yet."""
         if self.set.cold_from >= 1:
             return []
-        born, since = self.born, now - self.set.warm_after
-        return [h for h in hosts if born[h] > since and born[h] != LONG_AGO]
+        started_at, since = self.started_at, now - self.set.warm_after
+        return [h for h in hosts if started_at[h] > since and started_at[h] != START_UNKNOWN]
 
     def _is_cold(self, now: float, h: int) -> bool:
         return self._warmth(now, h) < 1
 
     def _warmth(self, now: float, h: int) -> float:
         """The least share of its capacity that a host has now."""
-        if self.born[h] == LONG_AGO:
+        if self.started_at[h] == START_UNKNOWN:
             return 1.0
-        return warm_share(now - self.born[h], self.set.cold_from, self.set.warm_after)
+        return warm_share(now - self.started_at[h], self.set.cold_from, self.set.warm_after)
 
-    def _group(self, s: Held, h: int) -> int:
+    def _group(self, s: SessionState, h: int) -> int:
         """The hosts that drop repeats of what the host has run, as the roster has it now."""
         return (0, self.zone[h], self.cell[h])[s.listener.scope]
 
     # ---- the own sessions
 
-    def _enter_dial(self, now: float, s: Held, h: int) -> None:
+    def _enter_dial(self, now: float, s: SessionState, h: int) -> None:
         """A dial of the session goes out to the host."""
-        self.sent[h, self.boot[h]] = self.sent.get((h, self.boot[h]), 0) + 1
-        s.dials.append(Sent(h, now, self.born[h], self._group(s, h)))
+        self.sent[h, self.roster_start[h]] = self.sent.get((h, self.roster_start[h]), 0) + 1
+        s.dials.append(DialRecord(h, now, self.started_at[h], self._group(s, h)))
         s.out = True
         self._hold(h, 1)
         self.dialing[h] += 1
@@ -177,7 +182,7 @@
         self.held[h] += more
         self.holding += more
 
-    def _stand(self, s: Held, since: float) -> None:
+    def _stand(self, s: SessionState, since: float) -> None:
         """The session's last dial has become a stream."""
         h = s.dials[-1].host
         s.stands, s.out, s.answered, self.standing[h][s.id], self.mine[h] = since, True, True, s, None
--- a/caperdeck/core/model.py
+++ b/caperdeck/core/model.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 
-LONG_AGO = 0.0  # the start of a host whose start is not told, on any clock
+START_UNKNOWN = 0.0  # the start of a host whose start is not told, on any clock
 
 
 class Effect(IntEnum):
@@ -61,7 +61,7 @@
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHED, Outcome.NEVER_SENT})
 
 
-class Note(IntEnum):
+class NoteKind(IntEnum):
     LOAD = 1
     MESSAGE_DELAY = 2
 
@@ -99,7 +99,7 @@
     sizes_stand: bool
 
 
-class Entry(NamedTuple):
+class RosterEntry(NamedTuple):
     """A line of the roster; mark and boot are alike at every node.
 
     born is the host's start on this node's clock; boot is the same as the roster tells it, and names the
@@ -111,22 +111,22 @@
     size: float
     zone: int
     cell: int
-    born: float
-    mark: int
-    boot: float = 0.0
+    started_at: float
+    stable_id: int
+    roster_start: float = 0.0
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """What a probe told: load over capacity, work piled up in milliseconds, and the connections that the host
     holds for all nodes together; None where not told.
     """
 
     load: float | None = None
-    piled: float | None = None
-    held: float | None = None
+    backlog: float | None = None
+    connections: float | None = None
 
 
-class Ask(NamedTuple):
+class SessionRequest(NamedTuple):
     """A session as it arrives; left is the time until its dial timeout, load is None without a hint,
     group where connections of one group share work.
     """
@@ -185,18 +185,18 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class DialRecord:
     """A dial that was made."""
 
     host: int
     at: float
-    born: float  # the host's start, as the roster had it then
+    started_at: float  # the host's start, as the roster had it then
     group: int  # of the hosts that drop repeats of it, as the roster had it then
     may_have_run: bool = True
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class SessionState:
     """A session from its ask to its end."""
 
     id: int
@@ -206,7 +206,7 @@
     deadline: float
     usual: float | None  # the usual-load hint
     group: int | None
-    dials: list[Sent] = field(default_factory=list)
+    dials: list[DialRecord] = field(default_factory=list)
     out: bool = False  # a dial is out or a stream stands
     stands: float | None = None  # since when
     answered: bool = False  # concluded for the client: nothing may be sent any more
--- a/caperdeck/core/quotas.py
+++ b/caperdeck/core/quotas.py
@@ -13,7 +13,7 @@
 ROOM_BUDGET = 0  # the room of all hosts; host h's budget is h + 1
 
 
-class Rights:
+class Quotas:
     """Parallel arrays under the budget's number; amounts in any one unit, times in float milliseconds."""
 
     def __init__(self) -> None:
--- a/caperdeck/core/settings.py
+++ b/caperdeck/core/settings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from .seeded_random import chance
-from .model import Effect, Listener, Report, Scope, Settings
+from .model import Effect, Listener, LoadReport, Scope, Settings
 
 MS = 1000.0
 EFFECTS = {
@@ -130,7 +130,7 @@
     )
 
 
-def decode_report(values: dict | None) -> Report:
+def decode_report(values: dict | None) -> LoadReport:
     values = values or {}
     piled = values.get("x1")
-    return Report(values.get("x0"), None if piled is None else piled * MS, values.get("active"))
+    return LoadReport(values.get("x0"), None if piled is None else piled * MS, values.get("active"))
--- a/caperdeck/core/slow_start.py
+++ b/caperdeck/core/slow_start.py
@@ -9,7 +9,7 @@
 from abc import abstractmethod
 
 from .host_table import HostTable
-from .model import Held
+from .model import SessionState
 from .warmup import mean_share, warm_time
 
 COLD_PART = 0.75  # of a cold host's budget, for all nodes' parts together
@@ -24,7 +24,7 @@
         """A random number from 0 to under 1."""
 
     @abstractmethod
-    def _forecast(self, now: float, s: Held) -> float:
+    def _forecast(self, now: float, s: SessionState) -> float:
         """The load that the session is expected to bring."""
 
     @abstractmethod
@@ -49,9 +49,9 @@
         if not slot:
             return math.inf
         if not self.in_turn[h]:
-            grown = warm_time(now - self.born[h], self.set.cold_from, self.set.warm_after)
+            grown = warm_time(now - self.started_at[h], self.set.cold_from, self.set.warm_after)
             turn = warm_part * grown / slot + self.set.me / self.set.nodes
-            self.rights.settle(now, budget, (turn + self.mark[h] / 2**32) % 1 * slot)
+            self.rights.settle(now, budget, (turn + self.stable_id[h] / 2**32) % 1 * slot)
             self.in_turn[h] = True
         self.mint_cold(now, h)
         # Danger: kept open for long, slots that lay idle are used at once when clients come in a wave. Those
@@ -66,17 +66,17 @@
         """The own part of a cold host's budget grows up to now, however long ago that was last worked out."""
         span = now - self.rights.at[h + 1]
         if span > 0:
-            share = mean_share(now - self.born[h], span, self.set.cold_from, self.set.warm_after)
+            share = mean_share(now - self.started_at[h], span, self.set.cold_from, self.set.warm_after)
             self.rights.mint(now, h + 1, self.part_of_warm(h) * share, most)
 
-    def _lots(self, now: float, s: Held) -> list[int]:
+    def _lots(self, now: float, s: SessionState) -> list[int]:
         """The cold hosts with a slot that is open to the session."""
         if self.slots_elsewhere:
             return []
         idle_until = self.rights.idle_until
         return [h for h in self.cold if idle_until[h + 1] <= now and self._lot(now, s, h)]
 
-    def _lot(self, now: float, s: Held, h: int) -> bool:
+    def _lot(self, now: float, s: SessionState, h: int) -> bool:
         """Whether a slot at a cold host is open to the session."""
         slot = self._slot(now, h)
         if (lacking := slot - self.rights.have(now, h + 1)) > 0:
@@ -105,18 +105,18 @@
         """Of a connection: of those that stand, or of those that asked while none is known."""
         return self.each or self.mean_hint
 
-    def _price(self, now: float, s: Held) -> float:
+    def _price(self, now: float, s: SessionState) -> float:
         # Danger: at the mean's price heavy sessions come by chance in one second, and a host is pushed over;
         # and clients that are refused ask again and again, heavy ones most, and double the mean of all.
         return max(self._forecast(now, s), self._mean_load())
 
-    def _open(self, now: float, s: Held, h: int) -> bool:
+    def _open(self, now: float, s: SessionState, h: int) -> bool:
         slot = self._mean_load()
         if self._warmth(now, h) >= 1:
             return True
         return not self.slots_elsewhere and h in s.lots and self.rights.have(now, h + 1) >= slot
 
-    def _pay(self, now: float, s: Held, h: int) -> bool:
+    def _pay(self, now: float, s: SessionState, h: int) -> bool:
         """At the gate: what goes to a cold host takes a slot that is open to it."""
         if not self._open(now, s, h):
             return False
--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -402,9 +402,9 @@
 
     def probed(self, news: ProbeCompleted) -> None:
         uid = self.hosts.uid[news.host]
-        report = news.told
+        report = news.report
         logger.debug(
-            "look uid={} outcome={} load={} held={}", uid, news.outcome.name, report.load, report.held
+            "look uid={} outcome={} load={} held={}", uid, news.outcome.name, report.load, report.connections
         )
         alive = news.outcome in (Outcome.GOOD, Outcome.ERROR)
         if alive:
@@ -439,7 +439,7 @@
             return
         sized = self.balancer.settings.sizes_stand
         reason = self.subsets.update([
-            Place(e.host, e.mark, sized and e.size or 1.0, e.zone)
+            Place(e.host, e.stable_id, sized and e.size or 1.0, e.zone)
             for e, state in zip(self.hosts.entry, self.hosts.state, strict=True)
             if e is not None and state is HostState.RUNNING
         ])  # fmt: skip
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -5,9 +5,9 @@
 import zlib
 from collections.abc import Callable
 
-from caperdeck.core.facade import HostOverloaded, Event
+from caperdeck.core.facade import Event, HostOverloaded
 from caperdeck.core.quotas import ROOM_BUDGET
-from caperdeck.core.fleet_state import Shares
+from caperdeck.core.fleet_state import FleetState
 
 from .judgements import ILL_EVERYWHERE, Kind
 from .sharing import DIALS, ENDED, ROOM, Shown, Uses
@@ -19,14 +19,14 @@
 
 
 class Marked:
-    def __init__(self, shares: Shares, uses: Uses, report: Callable[[Event], None]) -> None:
+    def __init__(self, shares: FleetState, uses: Uses, report: Callable[[Event], None]) -> None:
         self.shares, self.uses, self.report = shares, uses, report
         self.index: dict[int, int] = {}  # by mark
         self.marks: list[int] = []  # by which the index was made
 
     def _host(self, mark: int) -> int | None:
         """The host's index; None for a host that this node's own list has not named."""
-        marks = self.shares.node.mark
+        marks = self.shares.node.stable_id
         if marks != self.marks:
             self.marks = list(marks)
             # Danger: two hosts with one mark would be taken for one; neither is spoken of.
@@ -41,7 +41,7 @@
         return None if h is None else h + 1
 
     def show(self, now: float) -> Shown:
-        node, uses, mark = self.shares.node, self.uses, self.shares.node.mark
+        node, uses, mark = self.shares.node, self.uses, self.shares.node.stable_id
         words = self.shares.words(now) if uses.lost else []
         return Shown(
             self.counts() if uses.weight else [],
@@ -52,13 +52,13 @@
         )
 
     def wants(self, now: float) -> list[tuple[int, float]]:
-        mark = self.shares.node.mark
+        mark = self.shares.node.stable_id
         return [
             (ROOM if budget == ROOM_BUDGET else mark[budget - 1], x) for budget, x in self.shares.wants(now)
         ]
 
     def counts(self) -> list[tuple[int, int]]:
-        s, mark = self.shares, self.shares.node.mark
+        s, mark = self.shares, self.shares.node.stable_id
         # a host that starts anew is counted anew: all nodes have the same mark and start for it
         cold = [(host_pot(mark[h], born), count) for h, born, count in s.sent_cold()]
         return [(DIALS, s.dialled()), (ENDED, s.ended()), *cold]
@@ -80,7 +80,7 @@
             self.shares.told_lost(now, h, until)
 
     def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
-        mark = self.shares.node.mark
+        mark = self.shares.node.stable_id
         return [(mark[h], x, at) for h, x, at in self.shares.overfull(now, since)]
 
     def told_full(self, now: float, host: int, figure: float) -> None:
--- a/caperdeck/lab/baselines.py
+++ b/caperdeck/lab/baselines.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from caperdeck.core.decide import Node
-from caperdeck.core.model import Held, Probe
+from caperdeck.core.model import Probe, SessionState
 
 
 class TwoByCount(Node):
     """The host with fewer of the own connections out of two random ones; nothing is looked at or moved."""
 
-    def _choose(self, s: Held) -> Generator[list[Probe], None, int]:
+    def _choose(self, s: SessionState) -> Generator[list[Probe], None, int]:
         yield from ()
         pair = list(islice((h for h in self._drawn(self.running) if self._allowed(self.now, s, h)), 2))
         return min(pair, key=lambda h: self.held[h], default=-1)
@@ -28,7 +28,7 @@
 class LeastLoaded(Node):
     """The host that was least loaded when it was last looked at, out of all; nothing is moved."""
 
-    def _choose(self, s: Held) -> Generator[list[Probe], None, int]:
+    def _choose(self, s: SessionState) -> Generator[list[Probe], None, int]:
         yield from ()
         open_ = [h for h in self.running if self._allowed(self.now, s, h)]
         return min(open_, key=lambda h: (self._figure(self.now, h) or 0.0, self.held[h]), default=-1)
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from caperdeck.core.quotas import Rights
+from caperdeck.core.quotas import Quotas
 from caperdeck.gossip.quota_transfers import LOAN, Loans
 
 from .exploration import BrokenError
@@ -26,14 +26,14 @@
 
     def __init__(self, me: int, now: float, life: int = 1) -> None:
         self.me, self.life, self.awake = me, life, True
-        self.rights, self.loans = Rights(), Loans(life * 100)
+        self.rights, self.loans = Quotas(), Loans(life * 100)
         self.rights.grow(now, 0)
         self.own, self.lent = (), ()
 
     def clone(self) -> NodeModel:
         c = object.__new__(type(self))
         c.me, c.life, c.awake, c.own, c.lent = self.me, self.life, self.awake, self.own, self.lent
-        c.rights, c.loans = Rights(), Loans(self.loans.nonce)
+        c.rights, c.loans = Quotas(), Loans(self.loans.nonce)
         for name in ("saved", "at", "loan", "until", "idle_until"):
             setattr(c.rights, name, list(getattr(self.rights, name)))
         c.loans.asked, c.loans.answered = dict(self.loans.asked), dict(self.loans.answered)
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass, field
 
-from caperdeck.core.quotas import Rights
+from caperdeck.core.quotas import Quotas
 from caperdeck.gossip.quota_transfers import LOAN
 from caperdeck.gossip.sharing import Sharing, Shown, Uses
 
@@ -24,7 +24,7 @@
 class Stub:
     """Decisions with one budget of rights, and what it has been given."""
 
-    rights: Rights = field(default_factory=Rights)
+    rights: Quotas = field(default_factory=Quotas)
     short: bool = False
     dialled: int = 0
     words: list = field(default_factory=list)
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -17,8 +17,8 @@
 import orjson
 from twisted.internet.task import Clock
 
-from caperdeck.core.facade import Balancer, Connect, ProbeCompleted, DialEnded, SessionEstablished
-from caperdeck.core.model import Outcome, Report
+from caperdeck.core.facade import Balancer, Connect, DialEnded, ProbeCompleted, SessionEstablished
+from caperdeck.core.model import LoadReport, Outcome
 from caperdeck.lab.scenario import Scenario
 from caperdeck.lab.setup import node_config
 from caperdeck.lifecycle.config import decode_config
@@ -68,7 +68,7 @@
 
     def figures(self, hosts: int) -> None:
         """Every host has just been looked at."""
-        told = Report(FIGURE, None, None)
+        told = LoadReport(FIGURE, None, None)
         for host in range(hosts):
             self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, told))
 
--- a/caperdeck/simwire/codec.py
+++ b/caperdeck/simwire/codec.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from caperdeck.core.model import (
-    Action, Ask, Dial, Entry, HostState, Move, Note, Outcome, Probe, Refuse, RosterScope, TearDown,
-    Wake, Watch, Withdraw,
+    Action, Dial, HostState, Move, NoteKind, Outcome, Probe, Refuse, RosterEntry, RosterScope, SessionRequest,
+    TearDown, Wake, Watch, Withdraw,
 )  # fmt: skip
 from caperdeck.core.settings import MS, decode_names
 
@@ -66,29 +66,29 @@
         """The index of a session; -1, which no session has, where it was never given to this node."""
         return self.sessions.get(name, -1)
 
-    def entry(self, row: list) -> Entry:
+    def entry(self, row: list) -> RosterEntry:
         state, size, _, zone, cell, host, born = (list(row) + [None] * 7)[:7]
         if not isinstance(host, str):
             raise WireError(f"roster entry without a host: {row!r}")
-        return Entry(
+        return RosterEntry(
             host=self.host(host),
             state=lookup(STATES, state, "host state"),
             size=1.0 if size is None else size,
             zone=self.names.zones.get(zone, -1),
             cell=cell or 0,
-            born=(born or 0.0) * MS,
-            mark=zlib.crc32(host.encode()),
-            boot=(born or 0.0) * MS,
+            started_at=(born or 0.0) * MS,
+            stable_id=zlib.crc32(host.encode()),
+            roster_start=(born or 0.0) * MS,
         )
 
-    def ask(self, row: list) -> Ask:
+    def ask(self, row: list) -> SessionRequest:
         corr, qos, customer, _, budget, hint, channel, flags = (list(row) + [None] * 8)[:8]
         if not isinstance(corr, str) or not isinstance(budget, (int, float)):
             raise WireError(f"a session needs an id and a time budget: {row!r}")
         index = len(self.session_names)
         self.sessions[corr] = index
         self.session_names.append(corr)
-        return Ask(
+        return SessionRequest(
             session=index,
             listener=lookup(self.names.listeners, qos, "listener"),
             customer=self.names.customers.get(customer, -1),
@@ -98,12 +98,12 @@
         )
 
 
-def decode_note(kind: Any, value: float) -> tuple[Note, float] | None:
+def decode_note(kind: Any, value: float) -> tuple[NoteKind, float] | None:
     """Loads come in microseconds of work a second whatever the hint's unit; unknown kinds are passed over."""
-    if kind == Note.LOAD:
-        return Note.LOAD, value / 1000.0
-    if kind == Note.MESSAGE_DELAY:
-        return Note.MESSAGE_DELAY, value
+    if kind == NoteKind.LOAD:
+        return NoteKind.LOAD, value / 1000.0
+    if kind == NoteKind.MESSAGE_DELAY:
+        return NoteKind.MESSAGE_DELAY, value
     return None
 
 
--- a/caperdeck/state/hosts.py
+++ b/caperdeck/state/hosts.py
@@ -6,7 +6,7 @@
 import zlib
 from collections.abc import Callable
 
-from caperdeck.core.model import Entry, HostState
+from caperdeck.core.model import HostState, RosterEntry
 
 from .addresses import Address, AddressError, parse_address
 from .start_times import Start, StartTimes
@@ -26,7 +26,7 @@
         self.uid: list[str] = []
         self.address: list[Address | None] = []
         self.state: list[HostState] = []
-        self.entry: list[Entry | None] = []  # as last listed
+        self.entry: list[RosterEntry | None] = []  # as last listed
         self.sent_away: list[float] = []  # when a client was last sent away by the host itself
         self.spoke_at: list[float] = []  # when anything last came from the host
         self.held: dict[int, None] = {}  # hosts held to drain though the list has not said so
@@ -38,18 +38,20 @@
     def listed(self) -> list[int]:
         return [h for h, state in enumerate(self.state) if state is not HostState.GONE]
 
-    def take(self, now: float, whole: bool, rows: object, complain: Callable[[str], None]) -> list[Entry]:
+    def take(
+        self, now: float, whole: bool, rows: object, complain: Callable[[str], None]
+    ) -> list[RosterEntry]:
         """The entries of one list or change; a row that is broken is complained of and left out."""
         entries = self._read(whole, rows, complain)
-        self.start_times.hear(now, whole, {e.host: e.boot for e in entries})
+        self.start_times.hear(now, whole, {e.host: e.roster_start for e in entries})
         return [self._placed(e) for e in entries]
 
-    def _placed(self, e: Entry) -> Entry:
+    def _placed(self, e: RosterEntry) -> RosterEntry:
         """With the host's start on the node's clock."""
-        placed = self.entry[e.host] = e._replace(born=self.start_times.at(e.host, e.boot))
+        placed = self.entry[e.host] = e._replace(started_at=self.start_times.at(e.host, e.roster_start))
         return placed
 
-    def _read(self, whole: bool, rows: object, complain: Callable[[str], None]) -> list[Entry]:
+    def _read(self, whole: bool, rows: object, complain: Callable[[str], None]) -> list[RosterEntry]:
         entries, broken = [], 0
         for row in rows if isinstance(rows, list) else []:
             try:
@@ -70,7 +72,7 @@
                     self.state[h] = HostState.GONE
         return entries
 
-    def _kept(self, row: object) -> Entry | None:
+    def _kept(self, row: object) -> RosterEntry | None:
         """The entry of a known host whose row is broken, in the state that it has."""
         uid = row.get("uid") if isinstance(row, dict) else None
         h = self.index.get(uid) if isinstance(uid, str) else None
@@ -90,7 +92,7 @@
             self.spoke_at.append(-math.inf)
         return h
 
-    def _entry(self, row: object) -> Entry:
+    def _entry(self, row: object) -> RosterEntry:
         if not isinstance(row, dict) or not isinstance(row.get("uid"), str) or not row["uid"]:
             raise EntryError(f"an entry needs a uid: {row!r:.200}")
         uid, state = row["uid"], row.get("state")
@@ -104,7 +106,7 @@
         zone = row.get("az")
         zone = self.zones.get(zone, -1) if isinstance(zone, str) else -1
         mark = zlib.crc32(uid.encode())
-        entry = Entry(h, STATES[state], float(size), zone, int(cell), 0.0, mark, float(boot))
+        entry = RosterEntry(h, STATES[state], float(size), zone, int(cell), 0.0, mark, float(boot))
         self.address[h], self.state[h], self.entry[h] = address, entry.state, entry
         self.held.pop(h, None)
         return entry
@@ -116,7 +118,7 @@
         return [
             {"uid": self.uid[e.host], "endpoint": "{}:{}".format(*self.address[e.host]),
              "state": names[e.state if e.host in self.held else self.state[e.host]], "az": zones.get(e.zone),
-             "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.boot,
+             "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.roster_start,
              "sent_away": max(self.sent_away[e.host], 0.0), "start": starts.get(self.uid[e.host])}
             for e in self.entry if e is not None and self.address[e.host] is not None
         ]  # fmt: skip
@@ -132,7 +134,7 @@
         known = ((self.know(uid), Start(*start)) for uid, start in starts.items())
         self.start_times.take_over(ahead, known)
 
-    def hold(self, since: float) -> list[Entry]:
+    def hold(self, since: float) -> list[RosterEntry]:
         """While discovery is silent: entries of the hosts that have sent clients away, as if they drained.
 
         Nothing if these are half of the hosts or more: clients that all come again are no drain.
@@ -145,7 +147,7 @@
             self.held[h] = None
         return [self.entry[h]._replace(state=HostState.DRAINING) for h in new]
 
-    def release(self) -> list[Entry]:
+    def release(self) -> list[RosterEntry]:
         """Discovery speaks again: the list holds for the hosts that were held to drain."""
         held, self.held = self.held, {}
         for h in held:
--- a/caperdeck/state/start_times.py
+++ b/caperdeck/state/start_times.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from caperdeck.core.model import LONG_AGO
+from caperdeck.core.model import START_UNKNOWN
 
 HEARD_WITHIN = 4000.0  # a change of the list tells of a start this soon after it, or its time is not believed
 NEWEST_WITHIN = 20_000.0  # the same of the newest start in a whole list, which may be some time ago
@@ -62,7 +62,7 @@
 
     def at(self, host: int, boot: float) -> float:
         """When that start was, on the node's clock; the latest known one for an older word."""
-        return self.starts[host].at if boot else LONG_AGO
+        return self.starts[host].at if boot else START_UNKNOWN
 
     def take_over(self, ahead: float, starts: Iterable[tuple[int, Start]]) -> None:
         """What another process of this node knows; both read one monotonic clock."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,9 @@
 
 from caperdeck.core.decide import Node
 from caperdeck.core.facade import Balancer
-from caperdeck.core.model import Ask, Dial, Effect, Entry, HostState, Listener, RosterScope, Scope, Settings
+from caperdeck.core.model import (
+    Dial, Effect, HostState, Listener, RosterEntry, RosterScope, Scope, SessionRequest, Settings,
+)  # fmt: skip
 from caperdeck.core.settings import decode_names, decode_settings
 from caperdeck.lifecycle.config import decode_limits, load_config, reload_config
 from caperdeck.lifecycle.logs import Sink
@@ -49,8 +51,8 @@
     return Settings(**(values | changes))
 
 
-def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> Entry:
-    return Entry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
+def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> RosterEntry:
+    return RosterEntry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
 
 
 def node(hosts=4, entries=None, **changes) -> Node:
@@ -60,8 +62,8 @@
     return n
 
 
-def ask(session, load=10.0, left=1200.0, group=None) -> Ask:
-    return Ask(session, 0, 0, left, load, group)
+def ask(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
+    return SessionRequest(session, 0, 0, left, load, group)
 
 
 def dials(acts):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -7,7 +7,9 @@
 from helpers import START, ask, dials, entry, figures, node, settings, standing
 
 from caperdeck.core.decide import ROOM
-from caperdeck.core.model import HostState, Move, Note, Outcome, Probe, Refuse, Report, RosterScope, Wake
+from caperdeck.core.model import (
+    HostState, LoadReport, Move, NoteKind, Outcome, Probe, Refuse, RosterScope, Wake,
+)  # fmt: skip
 
 
 def placed(n, count=1, **kw):
@@ -74,7 +76,7 @@
     n = node(2)
     figures(n, [0.5, 0.5])
     standing(n, 0, [1.0])
-    n.handle_note(START, 100, Note.MESSAGE_DELAY, 600.0)
+    n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 600.0)
     assert placed(n, 5) == [1] * 5
 
 
@@ -83,15 +85,15 @@
     n.seen_at = [-1e9] * 9
     acts = n.open_session(START, ask(1))
     first, second = [a.host for a in acts if isinstance(a, Probe)]
-    assert n.probe_completed(START + 5, first, Outcome.GOOD, Report(0.6)) == []
-    assert n.probe_completed(START + 9, second, Outcome.GOOD, Report(0.2))[0].host == second
+    assert n.probe_completed(START + 5, first, Outcome.GOOD, LoadReport(0.6)) == []
+    assert n.probe_completed(START + 9, second, Outcome.GOOD, LoadReport(0.2))[0].host == second
 
 
 def test_a_candidate_that_does_not_answer_in_time_is_passed_over():
     n = node(2)
     n.seen_at = [-1e9] * 2
     wake = n.open_session(START, ask(1))[-1]
-    n.probe_completed(START + 5, 1, Outcome.GOOD, Report(0.2))
+    n.probe_completed(START + 5, 1, Outcome.GOOD, LoadReport(0.2))
     assert dials(n.timer_fired(START + wake.after - 0.001, wake.token))[0].host == 1
 
 
@@ -122,7 +124,7 @@
     figures(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
     assert n.open_session(START, ask(1, group=group))[0] == Probe(1)
-    assert dials(n.probe_completed(START + 5, 1, Outcome.GOOD, Report(0.3)))[0].host == 1
+    assert dials(n.probe_completed(START + 5, 1, Outcome.GOOD, LoadReport(0.3)))[0].host == 1
 
 
 @pytest.mark.parametrize("nodes", [1, 10, 160, 1000])
@@ -172,7 +174,7 @@
     n = node(1)
     standing(n, 0, [10.0])
     for at, value in notes:
-        n.handle_note(START + at, 100, Note.LOAD, value)
+        n.handle_note(START + at, 100, NoteKind.LOAD, value)
     assert low <= n._forecast(START + 16000, n.sessions[100]) <= high
 
 
@@ -180,8 +182,8 @@
     n = node(3)
     standing(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
     figures(n, [0.5, 0.1, 0.1])
-    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(0.8)) == []
-    acts = n.probe_completed(START + 120000, 0, Outcome.GOOD, Report(0.95))
+    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.8)) == []
+    acts = n.probe_completed(START + 120000, 0, Outcome.GOOD, LoadReport(0.95))
     assert acts[0] == Move(182) and len(acts) <= 2
 
 
@@ -191,7 +193,7 @@
         n = node(3, seed=seed)
         standing(n, 0, [50.0, 50.0])
         figures(n, [0.5, 0.1, 0.1])
-        moved += len(n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(0.95)))
+        moved += len(n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.95)))
     assert 10 <= moved <= 50
 
 
@@ -201,24 +203,24 @@
     standing(n, 0, [1000.0, 999.0])
     figures(n, [0.5, 0.1, 0.1])
     n.chance = lambda: 1.0
-    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, Report(figure)) == []
+    assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(figure)) == []
     n.chance = lambda: 0.0
-    assert bool(n.probe_completed(START + 61100, 0, Outcome.GOOD, Report(figure))) is again
+    assert bool(n.probe_completed(START + 61100, 0, Outcome.GOOD, LoadReport(figure))) is again
 
 
 def test_a_steep_rise_lowers_the_threshold():
     n = node(3)
     standing(n, 0, [1.0] * 80 + [8.0])
     figures(n, [0.5, 0.1, 0.1])
-    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(0.8))[0] == Move(180)
+    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(0.8))[0] == Move(180)
 
 
 def test_a_report_that_does_not_show_the_last_moves_moves_nothing():
     n = node(3)
     standing(n, 0, [10.0] * 6)
     figures(n, [1.2, 0.1, 0.1])
-    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(1.2))
-    assert n.probe_completed(START + 2000, 0, Outcome.GOOD, Report(1.2)) == []
+    assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(1.2))
+    assert n.probe_completed(START + 2000, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
 
 @pytest.mark.parametrize("figure, moves", [(0.95, 0), (1.3, 2)])
@@ -226,29 +228,29 @@
     n = node(2)
     standing(n, 0, [10.0] * 4)
     figures(n, [0.95, 0.95])
-    assert len(n.probe_completed(START + 1000, 0, Outcome.GOOD, Report(figure))) == moves
+    assert len(n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(figure))) == moves
 
 
 def test_work_piling_up_moves_connections_before_a_report_shows_it():
     n = node(3)
     standing(n, 0, [10.0] * 10)
     figures(n, [0.5, 0.1, 0.1])
-    assert n.handle_note(START, 100, Note.MESSAGE_DELAY, 40.0) == []
-    acts = n.handle_note(START + 1000, 100, Note.MESSAGE_DELAY, 240.0)
+    assert n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 40.0) == []
+    acts = n.handle_note(START + 1000, 100, NoteKind.MESSAGE_DELAY, 240.0)
     assert 2 <= len([a for a in acts if isinstance(a, Move)]) <= 5
-    assert n.handle_note(START + 1100, 101, Note.MESSAGE_DELAY, 240.0) == []
+    assert n.handle_note(START + 1100, 101, NoteKind.MESSAGE_DELAY, 240.0) == []
 
 
 def test_young_connections_are_spared():
     n = node(2)
     standing(n, 0, [40.0], since=START - 4000)
     figures(n, [1.2, 0.1])
-    assert n.probe_completed(START, 0, Outcome.GOOD, Report(1.2)) == []
+    assert n.probe_completed(START, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
 
 def by_counts(n, hosts):
     """The moves of a node whose probes have all been answered without a figure, and of its next tick."""
-    acts = [act for h in hosts for act in n.probe_completed(START, h, Outcome.GOOD, Report())]
+    acts = [act for h in hosts for act in n.probe_completed(START, h, Outcome.GOOD, LoadReport())]
     n.seen_at, n.probe_credit = [START - 3000.0] * len(n.state), 100.0
     return [act for act in acts + n.timer_fired(START, -1) if isinstance(act, Move)]
 
@@ -384,9 +386,9 @@
     standing(n, 0, [10.0] * 3)
     for tick in range(1, 9):
         n.timer_fired(START + 500.0 * tick, -1)
-        n.probe_completed(START + 500.0 * tick, 0, Outcome.GOOD, Report())
+        n.probe_completed(START + 500.0 * tick, 0, Outcome.GOOD, LoadReport())
     assert n.acts == [] and (Probe(0) in n.timer_fired(START + 4500.0, -1)) == again
-    n.probe_completed(START + 4500.0, 0, Outcome.GOOD, Report(0.5))
+    n.probe_completed(START + 4500.0, 0, Outcome.GOOD, LoadReport(0.5))
     assert Probe(0) not in n.timer_fired(START + 5000.0, -1)
 
 
@@ -402,7 +404,7 @@
         seen += [a.host for a in acts if isinstance(a, Probe)]
         for a in acts:
             if isinstance(a, Probe):
-                n.probe_completed(START + 500.0 * tick, a.host, Outcome.GOOD, Report(0.5))
+                n.probe_completed(START + 500.0 * tick, a.host, Outcome.GOOD, LoadReport(0.5))
     assert len(set(seen)) == looks
 
 
@@ -415,18 +417,18 @@
     n = node(hosts=2)
     standing(n, 0, [10.0] * 10)
     for h in range(2):
-        n.probe_completed(START, h, Outcome.GOOD, Report(0.5, None, (10.0 + 2 * others) / 2))
+        n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.5, None, (10.0 + 2 * others) / 2))
     n._survey(START)
     assert n.unit == pytest.approx(10.0 * (10 + 2 * others))
 
 
 def test_a_host_that_holds_connections_and_tells_no_load_has_not_measured_it():
     n = node(hosts=2)
-    n.probe_completed(START, 0, Outcome.GOOD, Report(0.0, None, 120.0))
-    n.probe_completed(START, 1, Outcome.GOOD, Report(0.0, None, 0.0))
+    n.probe_completed(START, 0, Outcome.GOOD, LoadReport(0.0, None, 120.0))
+    n.probe_completed(START, 1, Outcome.GOOD, LoadReport(0.0, None, 0.0))
     assert (n.figure[0], n.figure[1]) == (None, 0.0)
     n.unit, n.mean_hint = 1000.0, 10.0
-    n.probe_completed(START, 0, Outcome.GOOD, Report(0.0, None, 3.0))
+    n.probe_completed(START, 0, Outcome.GOOD, LoadReport(0.0, None, 3.0))
     assert n.figure[0] == 0.0  # a few light ones only
 
 
@@ -436,7 +438,7 @@
     n.seen_at = [-1e9]
     looks = n.open_session(START, ask(1))
     assert Probe(0) in looks
-    n.probe_completed(START + 1, 0, Outcome.ERROR, Report())
+    n.probe_completed(START + 1, 0, Outcome.ERROR, LoadReport())
     later = [n.timer_fired(START + t, 1) for t in (101.0, 202.0)] + [n.open_session(START + 300, ask(2))]
     assert not any(isinstance(a, Probe) for acts in later for a in acts)
     assert Probe(0) in n.open_session(START + 1500, ask(3))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -184,7 +184,7 @@
     d.hosts.start_times.go_by(BOOT - d.clock() + date_ahead)
     d.listed(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
     node, h = d.balancer._node, d.hosts.index["s-9"]
-    return d.clock() - node.born[h], node._warmth(d.clock(), h)
+    return d.clock() - node.started_at[h], node._warmth(d.clock(), h)
 
 
 @pytest.mark.parametrize("ahead", [-HOUR * 1000, -20_000.0, -5000.0, 5000.0, 20_000.0, HOUR * 1000])
@@ -240,7 +240,7 @@
     after.hosts.take_starts(*before.hosts.starts())
     after.reactor.advance(2.0)
     after.listed(True, before.hosts.rows())
-    age = after.clock() - after.balancer._node.born[after.hosts.index["s-9"]]
+    age = after.clock() - after.balancer._node.started_at[after.hosts.index["s-9"]]
     assert age == pytest.approx(2000.0)
 
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -145,23 +145,23 @@
     d = desk(hosts=30)
     d.subsets = Subsets(3, 40)
     d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(30)])
-    first = d.balancer._node.first
+    first = d.balancer._node.preferred
     assert len(first) in (8, 9) and first == d.subsets.narrowed(False)
     gone = d.hosts.uid[first[0]]
     d.listed(False, [row(gone, state="Gone")])
-    assert first[0] not in d.balancer._node.first and len(d.balancer._node.first) in (8, 9)
+    assert first[0] not in d.balancer._node.preferred and len(d.balancer._node.preferred) in (8, 9)
     d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(5)])
-    assert d.balancer._node.first == []
+    assert d.balancer._node.preferred == []
 
 
 def test_a_list_with_one_mark_twice_leaves_the_last_subset_and_is_served():
     d = desk(hosts=30)
     d.subsets = Subsets(3, 40)
     d.narrow()
-    first = d.balancer._node.first
-    d.hosts.entry[2] = d.hosts.entry[2]._replace(mark=d.hosts.entry[1].mark)
+    first = d.balancer._node.preferred
+    d.hosts.entry[2] = d.hosts.entry[2]._replace(stable_id=d.hosts.entry[1].stable_id)
     d.narrow()
-    assert d.balancer._node.first == first and d.subsets.refused
+    assert d.balancer._node.preferred == first and d.subsets.refused
 
 
 def test_bounds_of_a_list():
--- a/tests/test_core_parts.py
+++ b/tests/test_core_parts.py
@@ -104,7 +104,7 @@
     assert (hosts.state[0], hosts.running) == (HostState.DRAINING, [1])
     hosts._enter_ban(START + 5.0, 0, False)
     hosts._recount(START + 5.0)
-    assert (hosts.running, hosts.cold, hosts.born[0]) == ([0, 1], [0], START + 5.0)
+    assert (hosts.running, hosts.cold, hosts.started_at[0]) == ([0, 1], [0], START + 5.0)
 
 
 def test_what_the_whole_roster_does_not_name_is_gone():
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from caperdeck.core.quotas import Rights
+from caperdeck.core.quotas import Quotas
 from caperdeck.lab import sharing_network
 from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
 from caperdeck.gossip import message_sections
@@ -22,7 +22,7 @@
 
 
 def rights(saved=0.0, now=0.0):
-    r = Rights()
+    r = Quotas()
     r.grow(now, 0)
     r.saved[0] = saved
     return r
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -16,7 +16,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from caperdeck.core.decide import TICK_TOKEN
-from caperdeck.core.model import Outcome, Report
+from caperdeck.core.model import LoadReport, Outcome
 from caperdeck.state.backoff import BackOff
 from caperdeck.wire.discovery import Discovery, LineInProgress, WatchBody
 
@@ -149,7 +149,7 @@
     born = [START - 2000.0] * cold + [0.0] * (servers - cold)
     n = node(nodes=200, entries=[entry(h, zone=h % 3, born=born[h]) for h in range(servers)])
     for h in range(0, servers, servers // 60):
-        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 6000.0 / servers))
+        n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
     for i in range(40):
         n.resume_session(START, ask(1000 + i), i * servers // 40)
     n.timer_fired(START, TICK_TOKEN)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -19,18 +19,10 @@
 )  # fmt: skip
 
 from caperdeck.core.facade import (
-    Balancer,
-    Connect,
-    RefuseSession,
-    ClientDisconnected,
-    RosterUpdated,
-    ProbeHost,
-    ProbeCompleted,
-    DialEnded,
-    RedirectClient,
-    SessionEstablished,
-)
-from caperdeck.core.model import Entry, HostState, Outcome, Report
+    Balancer, ClientDisconnected, Connect, DialEnded, ProbeCompleted, ProbeHost, RedirectClient,
+    RefuseSession, RosterUpdated, SessionEstablished,
+)  # fmt: skip
+from caperdeck.core.model import HostState, LoadReport, Outcome, RosterEntry
 from caperdeck.lifecycle.config import ConfigError, load_config
 from caperdeck.lifecycle.logs import MOST_WAITING, Sink
 from caperdeck.state.addresses import Address
@@ -41,7 +33,8 @@
 def balancer(hosts=2, **changes):
     b = Balancer(settings(**changes), START)
     b.handle_event(
-        START, RosterUpdated(True, [Entry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)])
+        START,
+        RosterUpdated(True, [RosterEntry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)]),
     )
     return b
 
@@ -50,8 +43,8 @@
     b = balancer()
     looks = b.open_session(START, 0, 0, -1, 1200.0)
     assert {type(order) for order in looks} == {ProbeHost} and len(looks) == 2
-    assert b.handle_event(START + 1, ProbeCompleted(looks[0].host, Outcome.GOOD, Report(0.5))) == []
-    orders = b.handle_event(START + 2, ProbeCompleted(looks[1].host, Outcome.GOOD, Report(0.2)))
+    assert b.handle_event(START + 1, ProbeCompleted(looks[0].host, Outcome.GOOD, LoadReport(0.5))) == []
+    orders = b.handle_event(START + 2, ProbeCompleted(looks[1].host, Outcome.GOOD, LoadReport(0.2)))
     assert [(type(o), o.dial, o.host) for o in orders] == [(Connect, 0, looks[1].host)]
 
 
@@ -82,7 +75,7 @@
     for i in range(10):
         b.resume_session(START - 60000, i, 0, -1, 0, 10.0)
     b.run_timers(START)
-    orders = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, Report(1.5)))
+    orders = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, LoadReport(1.5)))
     assert orders and {type(order) for order in orders} == {RedirectClient}
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,7 +7,7 @@
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
-from caperdeck.core.model import Move, Outcome, Probe, Refuse, Report, RosterScope
+from caperdeck.core.model import LoadReport, Move, Outcome, Probe, Refuse, RosterScope
 from caperdeck.ops.bans import FILE, Bans, BansError
 from caperdeck.ops.admin_calls import Calls, yes
 from caperdeck.state.figures import Figures, Status
@@ -254,7 +254,7 @@
         looks = [a.host for a in acts if isinstance(a, Probe)]
         assert not looks or not dials(acts)  # nothing is sent there before the look is answered
         for h in looks:
-            told = Report(others[h - 1] if h else 0.0, None, 80 if h else 0)
+            told = LoadReport(others[h - 1] if h else 0.0, None, 80 if h else 0)
             acts += n.probe_completed(START + 250.0 * i, h, Outcome.GOOD, told)
         tried += [a.host for a in dials(acts)]
     assert len(tried) == 20 and tried.count(0) > 10
@@ -278,9 +278,9 @@
         START + 1600, RosterScope.CHANGES, [entry(0, born=START + listed_born if listed_born else 0.0)]
     )
     n.set_ban(START + 2000, 0, False)
-    assert n.born[0] == START + born
+    assert n.started_at[0] == START + born
     n.update_roster(START + 2100, RosterScope.CHANGES, [entry(0)])
-    assert n.born[0] == START + born
+    assert n.started_at[0] == START + born
 
 
 @pytest.mark.parametrize("held", [40, 60, 20, 200])
@@ -288,7 +288,7 @@
     n = node(4)
     for h in range(4):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probe_completed(START, h, Outcome.GOOD, Report(figure, None, held if h == 0 else 40))
+        n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
     n._survey(START)
     mean = n.unit
     assert n._fills(1) == pytest.approx(10.0 * 40 / 0.4, rel=0.05)
@@ -303,7 +303,7 @@
     n = node(entries=[entry(0, born=START - 1000.0), entry(1)])
     for h in range(2):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 40))
+        n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     assert not n.able[0] and n.able[1]
 
@@ -312,7 +312,7 @@
     n = node(4)
     for h in range(4):
         standing(n, h, [10.0] * 20, first=100 * h + 100)
-        n.probe_completed(START, h, Outcome.GOOD, Report(0.4, None, 40))
+        n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     for i in range(300):
         n._new(START, ask(1000 + i, load=500.0))
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -15,7 +15,7 @@
 )  # fmt: skip
 
 from caperdeck.core.quotas import ROOM_BUDGET
-from caperdeck.core.fleet_state import Shares
+from caperdeck.core.fleet_state import FleetState
 from caperdeck.gossip.shared_decisions import Marked
 from caperdeck.gossip.sharing import ROOM, Uses, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
@@ -162,7 +162,7 @@
     d = desk()
     if cold:
         d.listed(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
-    s = Shares(d.balancer._node)
+    s = FleetState(d.balancer._node)
     return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report)
 
 
@@ -203,9 +203,9 @@
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
-    m.told(now, n.mark[0], 0.9, now - 100)
+    m.told(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
-    m.told(now, n.mark[0], 0.1, now - 500)  # older
+    m.told(now, n.stable_id[0], 0.1, now - 500)  # older
     m.told(now, 12345, 0.1, now)  # a host that this node's list does not name
     assert n._load(now, 0) == 0.9 and n._load(now + 5000, 0) == 0.5
 
@@ -214,14 +214,14 @@
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.seen_at = [now - 5000, now]
-    for mark in n.mark[:2]:
+    for mark in n.stable_id[:2]:
         m.told_lost(now, mark, now + 9000)
     assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
 
 
 def test_two_hosts_with_one_mark_are_not_spoken_of():
     d, s, m = shares()
-    s.node.mark[:] = [7, 7]
+    s.node.stable_id[:] = [7, 7]
     assert m.lend(d.clock(), 7, 1.0) == 0.0 and m._host(7) is None
 
 
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -275,7 +275,7 @@
     there.listen = there.discovery.start = lambda *_: None
     there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
     node = there.desk.balancer._node
-    assert node.born[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
+    assert node.started_at[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
     assert node._warmth(at + 1.0, 1) == 1.0
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from caperdeck.core.facade import ProbeCompleted
-from caperdeck.core.model import HostState, Outcome, Report
+from caperdeck.core.model import HostState, LoadReport, Outcome
 from caperdeck.state.addresses import Address
 from caperdeck.state.backoff import REFUSED, BackOff
 from caperdeck.state.budget import SocketBudget
@@ -267,7 +267,7 @@
 def test_a_host_that_answers_neither_line_nor_probe_loses_all_its_clients_at_once(alive, log):
     # Danger: when a zone is lost, each connection found it out for itself, 2 s after its client's next line.
     d = desk(hosts=1, mayProbe=True)
-    d.balancer.handle_event(d.clock(), ProbeCompleted(0, Outcome.GOOD, Report(0.2)))
+    d.balancer.handle_event(d.clock(), ProbeCompleted(0, Outcome.GOOD, LoadReport(0.2)))
     pairs = [up(d) for _ in range(3)]
     pairs[0][0].dataReceived(b"one\r\n")
     sweeps(d, 0.5)
@@ -427,7 +427,7 @@
     conn.dataReceived(answer + b"\r\n")
     pool.probe(3, Address("127.0.0.1", 9003))
     assert conn.transport.lines() == [b"STATS", b"STATS"]
-    assert told == [ProbeCompleted(3, outcome, Report(load, None, held))]
+    assert told == [ProbeCompleted(3, outcome, LoadReport(load, None, held))]
 
 
 def test_a_probe_that_fails_is_told_once_and_dialed_anew(probes):
