--- a/caperdeck/core/__init__.py
+++ b/caperdeck/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and their interface; knows no wire, no clock and no process."""
+"""The decisions and their interface, independent of protocols, clocks and processes."""
--- a/caperdeck/core/decide.py
+++ b/caperdeck/core/decide.py
@@ -1,7 +1,7 @@
-"""All decisions of a caperdeck node: where a session goes, when it is moved, when it is answered.
+"""All decisions of a node: where a session goes, when it is moved, and when it is answered.
 
-How to call it: make a Node from Settings, then call its method for each event in the order of arrival; each
-call returns the actions to carry out, in order. model.py is the interface; docs/design.md says why.
+Make a Node from Settings, then call its method for each event in the order of arrival; each call returns the
+actions to carry out, in order. model.py has the data types, docs/design.md the reasons.
 """
 
 from __future__ import annotations
@@ -11,623 +11,667 @@
 from collections.abc import Generator, Iterator
 from itertools import chain, islice
 
-from .seeded_random import chance
 from .forecast import forecast, take_load_note
 from .model import (
     NEVER_RAN, Action, Dial, DialRecord, Effect, HostState, LoadReport, Move, NoteKind, Outcome, Probe,
     Refuse, RosterEntry, RosterScope, Scope, SessionRequest, SessionState, Settings, TearDown, Wake, Watch,
     Withdraw,
 )  # fmt: skip
-from .quotas import ROOM_BUDGET
+from .quotas import HEADROOM_BUDGET
 from .sampling import without_replacement
+from .seeded_random import chance
 from .slow_start import ColdSlots
 
-# ---- constants (milliseconds, or shares of full load)
+# ---- constants; those without a unit are load over capacity, factors or counts
 
 FULL_LOAD = 1.0
-TRIGGER = 0.85  # the headroom threshold where the figure does not rise
-TRIGGER_LEAST = 0.6  # the lowest that a steep rise can push it
-ROOM = 0.75  # nothing new goes to a host at or above this
-ROOM_NEAR = 0.8  # the same for the own zone, where leaving it has a price
-LESSER = 0.4  # of full load lower, where nearly no host has room, is the level for next to no utility
-LANDING = 1000.0  # from a move until the moved load has gone
-COUNT_TRIGGER = 1.5  # without figures: this multiple of the mean count
-COUNT_CHANCE = 2.8  # and so many roots of the mean over it
-COUNT_LEAST = 3.5  # and so many connections over it at the least
-MOVE_AGE = 2000.0  # connections younger than this are spared
-SETTLE = 2500.0  # a report sooner after the last one acted on does not show its moves yet
-NOTE_SETTLE = 900.0  # a note of work piled up is not late: it shows all but the moves just before
-PROBE_EVERY = 2000.0  # hosts with own connections, as far as the sessions taken pay for it
-ALL_LOOKS = 3.0  # probes of a host in that time by all nodes together that no session has to pay for
-FRESH = 1000.0  # a candidate whose figure is older is looked at first
-FULL_LOOKS = 2.0  # in that time, by all nodes together, at a host that is full by its figure
-PROBE_LOST = 3000.0  # a probe unanswered for so long is held to be lost
-LOOK_WAIT = 0.25  # of the handshake target: so long a session waits for its candidates' figures
-LOOKS = 3  # so often at the most
-NOT_MEASURED = 0.2  # of full load by its connections: a figure of 0 is none yet
-FIGURE_LIFE = 7000.0  # an older figure says nothing
-PRIOR_LIFE = 2000.0  # and one that another node saw
-PILE_LIFE = 1500.0  # so long a note of work piled up holds
-DRAIN = 1000.0  # a pile is to be worked off in so long beside the load
-REPORT_LAG = 1000.0  # what a report tells is about so old when it comes
-DRAWS = 16  # so many hosts are drawn for two that may have room
-GROUP_PRIME = 4294967291  # shuffles the hosts' marks for a group
-MOST_ORDERS = 4096  # of groups are kept
-GROUP_MARGIN = 0.2  # the first host of a group is left only for one with so much less load
-TICK = 500.0
-FIRST_TIME_OUT = 0.6  # of the handshake target; each further dial has
-TIME_OUT_GROWTH = 1.5  # so many times more
-WAIT_FOR_HOST = 100.0
-ILL = 2.0  # failures, halved by each success, from which a host is shunned
-SHUN = 500.0  # and for how long at first, doubled with each failure
-SHUN_MOST = 8000.0
-FAILURES = (Outcome.ERROR, Outcome.LATE, Outcome.UNREACHED, Outcome.RESET)
-CROWDED = (Outcome.FULL, Outcome.LATE, Outcome.RESET)
-BACK_OFF = 500.0
-ARRIVAL = 50.0  # until what is sent has arrived at its host
-UNEVEN = 1.5  # times its even share of the fleet's room a node may fill: clients come unevenly
-UNIT_SMOOTH = 0.03  # of the way, each tick, to what the last reports say fills a host
-UNIT_SPAN = 2.0  # times as much or as little as the mean, at the most, is believed of one host
-SLACK = 1.0  # a bell may ring so much early by the rounding of its time
+SHED_THRESHOLD = 0.85  # load is moved off a host above this, unless its load rises
+MIN_SHED_THRESHOLD = 0.6  # lowest threshold for a host whose load rises steeply
+ADMISSION_LIMIT = 0.75  # no new session goes to a host at or above this load
+ADMISSION_LIMIT_IN_ZONE = 0.8  # the limit in this node's zone if leaving the zone has a price
+UTILITY_RESERVE = 0.4  # how much lower the limit is for sessions of no utility when nearly all hosts are full
+MOVE_LAG_MS = 1000.0  # time until the load of a moved session has gone from the host
+COUNT_FACTOR = 1.5  # without load reports: sessions are moved above this multiple of the mean count
+COUNT_SIGMAS = 2.8  # and only this many square roots of the mean above it, so that chance alone moves none
+COUNT_MARGIN = 3.5  # and only this many connections above the mean
+MIN_MOVE_AGE_MS = 2000.0  # younger sessions are not moved
+SHED_INTERVAL_MS = 2500.0  # a report sooner after the last moves does not show them yet
+BACKLOG_SHED_INTERVAL_MS = 900.0  # backlog notes are not delayed and show all but the latest moves
+PROBE_INTERVAL_MS = 2000.0  # for hosts with sessions of this node, as far as probe credit allows
+FREE_PROBES = 3.0  # probes of a host per interval, by all nodes together, without credit from new sessions
+FRESH_MS = 1000.0  # a candidate whose last report is older is probed before use
+FULL_HOST_PROBES = 2.0  # probes per FRESH_MS, by all nodes together, of a host that counts as full
+PROBE_TIMEOUT_MS = 3000.0  # a probe without an answer counts as lost after this time
+PROBE_WAIT_SHARE = 0.25  # share of the handshake target that a session waits for probe results
+MAX_PROBE_ROUNDS = 3
+UNMEASURED_LOAD = 0.2  # a reported 0 is no measurement if the connections suggest at least this load
+REPORT_LIFE_MS = 7000.0
+PEER_LOAD_LIFE_MS = 2000.0
+BACKLOG_LIFE_MS = 1500.0
+BACKLOG_DRAIN_MS = 1000.0  # a backlog counts as the load that works it off in this time
+REPORT_LAG_MS = 1000.0  # typical age of a load when its report arrives
+SAMPLE_SIZE = 16  # hosts drawn to find two that may have headroom
+GROUP_PRIME = 4294967291  # multiplier range that orders hosts pseudo-randomly for each group
+MAX_GROUP_ORDERS = 4096
+GROUP_MARGIN = 0.2  # a group leaves its first host only for one with a load lower by this much
+TICK_MS = 500.0
+FIRST_TIMEOUT_SHARE = 0.6  # share of the handshake target
+TIMEOUT_GROWTH = 1.5  # factor for each further dial
+RETRY_WAIT_MS = 100.0  # wait before the next attempt to find a host
+EJECTION_SCORE = 2.0  # a host is ejected from this failure score on
+EJECTION_MS = 500.0  # first ejection time, doubled with each further failure
+MAX_EJECTION_MS = 8000.0
+FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.LATE, Outcome.UNREACHED, Outcome.RESET)
+OVERLOAD_OUTCOMES = (Outcome.FULL, Outcome.LATE, Outcome.RESET)
+BACK_OFF_MS = 500.0
+ARRIVAL_MS = 50.0  # time until a request has arrived at its host
+UNEVEN_FACTOR = 1.5  # a node may use this multiple of its even headroom share, as clients come unevenly
+CAPACITY_SMOOTHING = 0.03  # weight of a new capacity estimate, each tick
+CAPACITY_SPREAD = 2.0  # largest factor by which a host's capacity is believed to differ from the mean
+TIMER_SLACK_MS = 1.0  # rounding may make a timer fire early by this much
 TICK_TOKEN = -1
 
 
 class Node(ColdSlots):
-    """One balancer's decisions. It knows only what its own events have told it."""
+    """One node's decisions, made only from the events that this node has received."""
 
     def __init__(self, settings: Settings, now: float) -> None:
         super().__init__(settings)
-        self.now, self.draws = now, 0
-        self.acts: list[Action] = []
+        self.now, self.draw_count = now, 0
+        self.actions: list[Action] = []
         self.sessions: dict[int, SessionState] = {}
-        self.rights.grow(now, ROOM_BUDGET)
-        self.alike = math.sqrt(settings.nodes)  # how many nodes are held to do as this one does
-        self.preferred, self.preferred_near = [], []  # own subsets of running and near, drawn before the rest
-        self.known = {}  # hosts with a figure not too old, oldest first
-        self.ailing, self.most_ill = {}, False  # hosts that look ill; more than half of those known do
-        self.probe_credit = 0.0  # probes that the sessions taken allow
-        self.part = self.rights.saved[ROOM_BUDGET] = math.inf  # own part of the fleet's room, all and left
-        self.scarce, self.short_at = 0.0, -math.inf  # of the hosts, without room; when one was last lacking
-        self.mean_hint, self.asked, self.each = 0.0, 0, 0.0  # of all that asked, so many; of those that stand
-        self.mean_figure, self.unit = None, 0.0  # load that fills a host of size 1, 0 while unknown
-        self.held_full = 0.0  # without figures: the part of the hosts not marked here that others found full
-        self.watch_wait, self.watch_at = 250.0, math.inf
+        self.quotas.add_budget(now, HEADROOM_BUDGET)
+        self.effective_senders = math.sqrt(settings.nodes)  # nodes assumed to make the same choice at once
+        self.preferred, self.preferred_in_zone = [], []  # this node's subsets, drawn before the other hosts
+        self.reported = {}  # hosts with a recent load report, oldest first
+        self.failing, self.majority_failing = {}, False  # failing hosts; whether most known hosts fail
+        self.probe_credit = 0.0  # probes that new sessions allow
+        self.headroom_share = self.quotas.saved[HEADROOM_BUDGET] = math.inf  # this node's; what is left of it
+        self.full_share, self.no_headroom_at = 0.0, -math.inf  # of the hosts; when headroom was last lacking
+        self.mean_hint, self.request_count, self.mean_session_load = 0.0, 0, 0.0  # requested; established
+        self.mean_reported_load, self.unit_capacity = (
+            None,
+            0.0,
+        )  # load that fills a host of size 1, 0 if unknown
+        self.peers_full_share = 0.0  # without load reports: of the hosts, assumed full by what others met
+        self.watch_retry_wait, self.watch_retry_at = 250.0, math.inf
         self.apply_settings(now, settings)
 
     def start(self) -> list[Action]:
-        return [Watch()] * self.set.subscribe + [Wake(TICK * (0.5 + self.chance()), TICK_TOKEN)]
+        """Returns the first actions: the subscription to discovery and the first tick."""
+        return [Watch()] * self.settings.subscribe + [Wake(TICK_MS * (0.5 + self.chance()), TICK_TOKEN)]
 
     def apply_settings(self, now: float, settings: Settings) -> list[Action]:
-        """Other settings from now on; a session keeps the listener and the dials that it began with."""
-        self.set, self.fleet = settings, settings.nodes  # so many like this one send, unless told otherwise
-        self.most_utility = max(c.utility for c in settings.listeners) or 1.0
-        self.shortest = min(c.message_target for c in settings.listeners)
-        self.has_figures = settings.may_probe and settings.figures  # hosts tell figures when probed
-        for budget in range(len(self.rights.idle_until)):
-            self.rights.look_again(budget)
-        self._recount(self.now)
+        """Applies new settings; a session keeps the listener and the number of dials that it began with."""
+        self.settings, self.senders = settings, settings.nodes  # other nodes' counts may change the senders
+        self.max_utility = max(listener.utility for listener in settings.listeners) or 1.0
+        self.min_message_target = min(listener.message_target for listener in settings.listeners)
+        self.has_reports = settings.may_probe and settings.reports_load
+        for budget in range(len(self.quotas.idle_until)):
+            self.quotas.clear_idle(budget)
+        self._refresh_subsets(self.now)
         return []
 
     def chance(self) -> float:
-        self.draws += 1
-        return chance(self.set.seed, self.draws)
+        self.draw_count += 1
+        return chance(self.settings.seed, self.draw_count)
 
-    def _done(self) -> list[Action]:
-        acts, self.acts = self.acts, []
-        return acts
+    def _take_actions(self) -> list[Action]:
+        actions, self.actions = self.actions, []
+        return actions
 
-    # ---- hosts: roster, warmth, health
+    # ---- hosts: roster, bans, outlier ejection
 
     def update_roster(self, now: float, scope: RosterScope, entries: list[RosterEntry]) -> list[Action]:
+        """Applies a roster message, or schedules a new subscription if the roster could not be fetched."""
         self.now = now
         if scope is RosterScope.FAILED:
-            # Danger: unsubscribed and silent, we would be held to know of drains we never heard of.
-            self.watch_at = now + self.watch_wait * (0.5 + self.chance())
-            self.watch_wait = min(self.watch_wait * 2, self.set.ask_every / 4)
-            return self._done()
-        self.watch_wait = 250.0
+            # Without a subscription the node would not hear of drains, and would be held to know of them.
+            self.watch_retry_at = now + self.watch_retry_wait * (0.5 + self.chance())
+            self.watch_retry_wait = min(self.watch_retry_wait * 2, self.settings.ask_every / 4)
+            return self._take_actions()
+        self.watch_retry_wait = 250.0
         if scope is not RosterScope.CHANGES:
             self._drop_unlisted(entries)
-        for e in entries:
-            self._enter(now, e)
-        self._recount(self.now)
-        return self._done()
+        for entry in entries:
+            self._apply_entry(now, entry)
+        self._refresh_subsets(self.now)
+        return self._take_actions()
 
-    def set_ban(self, now: float, h: int, out: bool) -> list[Action]:
-        """By hand: nothing new to the host from now until it is called back, whatever the roster says."""
+    def set_ban(self, now: float, host: int, banned: bool) -> list[Action]:
+        """Applies an operator's ban, under which the host gets no new sessions whatever the roster says."""
         self.now = now
-        self._enter_ban(now, h, out)
-        self._recount(self.now)
+        self._apply_ban(now, host, banned)
+        self._refresh_subsets(self.now)
         return []
 
     def forget_hosts(self, now: float) -> None:
-        """The node was away for longer than figures last."""
-        # Danger: its own absence looks like the hosts'; old budgets and room were taken by others meanwhile.
-        for h in range(len(self.state)):
-            self._forget(now, h)
-        self.known.clear()
-        self._survey(now)
-
-    def _failed(self, now: float, h: int) -> None:
-        self.ill[h] = min(self.ill[h] + 1, 8.0)
-        if self.ill[h] >= ILL:
-            self.ailing[h] = None
-            span = min(SHUN * 2 ** (self.ill[h] - ILL), SHUN_MOST)
-            self.shunned[h] = now + span * (0.75 + self.chance() / 2)
-
-    def _well(self, now: float, h: int) -> bool:
-        """Not shunned; once its time is over an ill host gets one dial at a time as a trial."""
-        # Danger: an error that most hosts show says nothing about one of them.
-        return self.ill[h] < ILL or self.most_ill or (now >= self.shunned[h] and not self.dialing[h])
-
-    def is_avoided(self, now: float, h: int) -> bool:
-        return h in self.banned or self.state[h] is HostState.RUNNING and not self._well(now, h)
+        """Discards what is known of the hosts, after a suspension for longer than reports are valid."""
+        # A suspension looks like failing hosts, and others have used the old quotas and headroom meanwhile.
+        for host in range(len(self.state)):
+            self._forget_host(now, host)
+        self.reported.clear()
+        self._update_fleet_view(now)
+
+    def _record_failure(self, now: float, host: int) -> None:
+        self.failure_score[host] = min(self.failure_score[host] + 1, 8.0)
+        if self.failure_score[host] >= EJECTION_SCORE:
+            self.failing[host] = None
+            span = min(EJECTION_MS * 2 ** (self.failure_score[host] - EJECTION_SCORE), MAX_EJECTION_MS)
+            self.ejected_until[host] = now + span * (0.75 + self.chance() / 2)
+
+    def _is_healthy(self, now: float, host: int) -> bool:
+        """Whether the host is not ejected; after an ejection it gets one trial dial at a time."""
+        # A failure that most hosts show says nothing about a single one of them.
+        return (self.failure_score[host] < EJECTION_SCORE or self.majority_failing
+                or (now >= self.ejected_until[host] and not self.pending_dials[host]))  # fmt: skip
+
+    def is_avoided(self, now: float, host: int) -> bool:
+        """Whether this node currently sends nothing to a listed host by its own choice."""
+        return (host in self.banned_at
+                or self.state[host] is HostState.RUNNING and not self._is_healthy(now, host))  # fmt: skip
 
     # ---- forecasts
 
-    def handle_note(self, now: float, sid: int, kind: NoteKind, value: float) -> list[Action]:
+    def handle_note(self, now: float, session_id: int, kind: NoteKind, value: float) -> list[Action]:
+        """Records a load or a message delay that the host of an established session has noted."""
         self.now = now
-        if (s := self.sessions.get(sid)) is None:
+        if (session := self.sessions.get(session_id)) is None:
             return []
         if kind is not NoteKind.MESSAGE_DELAY:
-            take_load_note(s, now, value, self.mean_hint)
-        elif s.stands is not None:
-            self._piled(now, s.dials[-1].host, value)
-        return self._done()
-
-    def _piled(self, now: float, h: int, pile: float) -> None:
-        """Work piled up, told by a connection: what it grew by since the last note is load past full."""
-        span = now - self.pile_at[h]
-        grown = (pile - self.pile[h]) / span if 0 < span < SETTLE else 0.0
-        self.pile[h], self.pile_at[h] = pile, now
-        # Danger: a burst on standing connections overfills every host at once, before any report shows it.
-        if pile >= self.shortest:
-            load = max(FULL_LOAD + grown, 0.0) + self._pile(now, h)
-            self._relieve(now, h, load, TRIGGER, True, NOTE_SETTLE)
-        if self._old(h) and now - self.acted_at[h] > SETTLE:
-            self._probe(now, h)
-
-    def _forecast(self, now: float, s: SessionState) -> float:
-        return forecast(s, now, self.mean_hint)
+            take_load_note(session, now, value, self.mean_hint)
+        elif session.established_at is not None:
+            self._record_backlog(now, session.dials[-1].host, value)
+        return self._take_actions()
+
+    def _record_backlog(self, now: float, host: int, backlog: float) -> None:
+        """Records a backlog noted by a session; its growth since the last note is load above full."""
+        span = now - self.backlog_at[host]
+        growth = (backlog - self.backlog[host]) / span if 0 < span < SHED_INTERVAL_MS else 0.0
+        self.backlog[host], self.backlog_at[host] = backlog, now
+        # A burst on established sessions overloads every host at once, before any report shows it.
+        if backlog >= self.min_message_target:
+            load_ratio = max(FULL_LOAD + growth, 0.0) + self._backlog_load(now, host)
+            self._shed_load(now, host, load_ratio, SHED_THRESHOLD, True, BACKLOG_SHED_INTERVAL_MS)
+        if self._is_stale(host) and now - self.shed_at[host] > SHED_INTERVAL_MS:
+            self._probe(now, host)
+
+    def _forecast(self, now: float, session: SessionState) -> float:
+        return forecast(session, now, self.mean_hint)
 
     # ---- placement
 
-    def _choose(self, s: SessionState) -> Generator[list[Probe], None, int]:
-        """The lesser-loaded of two random hosts that may be sent to and have room; -1 if there is none."""
-        # Danger: many nodes see the same room in one report; each filling it would overfill it many times.
-        if self.rights.have(self.now, ROOM_BUDGET) <= 0:
-            self.short_at = self.now
+    def _choose_host(self, session: SessionState) -> Generator[list[Probe], None, int]:
+        """The less loaded of two random hosts that may be dialled and have headroom; -1 if there is none."""
+        # Many nodes see the same headroom in one report; if each filled it, the host would be overloaded.
+        if self.quotas.available(self.now, HEADROOM_BUDGET) <= 0:
+            self.no_headroom_at = self.now
             return -1
-        looks, after, margin = 0, math.inf, 0.0 if s.group is None else GROUP_MARGIN
-        # Danger: drawn at random only, a cold host is met so seldom by a node with few sessions that most of
-        # its budget lapses, while the warm ones are filled past their headroom.
-        s.lots = self._lots(self.now, s)
-        for room, draw in self._draws(s):
-            after = min(after, room)
-            draw = chain(s.lots, draw)
-            while pair := list(islice((h for h in draw if self._fit(s, h, room)), 2)):
-                if old := [h for h in pair if self._old(h)]:
-                    if looks == LOOKS:
+        rounds, lowest, margin = 0, math.inf, 0.0 if session.group is None else GROUP_MARGIN
+        # Cold hosts with an open slot come first: by random draws alone a node with few sessions would seldom
+        # use them, most of their budget would expire, and warm hosts would be filled past their headroom.
+        session.open_slots = self._open_slots(self.now, session)
+        for limit, candidates in self._candidates(session):
+            lowest = min(lowest, limit)
+            candidates = chain(session.open_slots, candidates)
+            while pair := list(islice((h for h in candidates if self._eligible(session, h, limit)), 2)):
+                if stale := [host for host in pair if self._is_stale(host)]:
+                    if rounds == MAX_PROBE_ROUNDS:
                         return -1
-                    looks += 1
-                    yield [Probe(h) for h in old]
-                    pair = [h for h in pair if not self._old(h) and self._fit(s, h, after)]
+                    rounds += 1
+                    yield [Probe(host) for host in stale]
+                    pair = [h for h in pair if not self._is_stale(h) and self._eligible(session, h, lowest)]
                 if len(pair) == 2 and self._load(self.now, pair[1]) + margin < self._load(self.now, pair[0]):
                     pair.reverse()
-                if (h := next((h for h in pair if self._passes(self.now, s, h)), -1)) >= 0:
-                    return h
-        self.short_at = self.now
+                if (chosen := next((h for h in pair if self._admit(self.now, session, h)), -1)) >= 0:
+                    return chosen
+        self.no_headroom_at = self.now
         return -1
 
-    def _old(self, h: int, span: float = FRESH) -> bool:
-        return self.set.may_probe and self.now - self.seen_at[h] > span
-
-    def _fit(self, s: SessionState, h: int, room: float) -> bool:
-        # Danger: past its headroom a host soon serves nobody; what it is sent there is lost with the rest.
-        fit = self.now >= self.unseen[h] and (self._load(self.now, h) < room or self._unlooked(s, h))
-        fit = fit and self._well(self.now, h) and self._open(self.now, s, h)
-        return fit and self._allowed(self.now, s, h)
-
-    def _unlooked(self, s: SessionState, h: int) -> bool:
-        """Whether a slot is open at a cold host that is full by the mean alone, as nobody has looked yet."""
-        # Danger: while any host has room no session looks at it, and one that was called back stays unused.
-        return h in s.lots and self._figure(self.now, h) is None and self._old(h)
-
-    def _draws(self, s: SessionState) -> Iterator[tuple[float, Iterator[int]]]:
-        """Levels to be under and hosts as drawn; the own zone first where leaving it has a price."""
-        # the fewer hosts have room, the more of it is kept for the sessions of the highest utility
-        room = ROOM - LESSER * max(1 - s.listener.utility / self.most_utility, 0.0) * self.scarce
-        if s.group is not None:
-            # every host that holds one of a group pays for the group: all nodes draw the same two for it
-            yield room, iter(self._order_of(s.group))
+    def _is_stale(self, host: int, span: float = FRESH_MS) -> bool:
+        return self.settings.may_probe and self.now - self.probed_at[host] > span
+
+    def _eligible(self, session: SessionState, host: int, limit: float) -> bool:
+        # A host above its headroom soon serves nobody; what is sent there is lost with the rest.
+        fit = self.now >= self.no_probe_until[host] and (
+            self._load(self.now, host) < limit or self._has_unprobed_slot(session, host))  # fmt: skip
+        fit = fit and self._is_healthy(self.now, host) and self._slot_available(self.now, session, host)
+        return fit and self._may_dial(self.now, session, host)
+
+    def _has_unprobed_slot(self, session: SessionState, host: int) -> bool:
+        """Whether a slot is open at a cold host that counts as full only as it was not probed yet."""
+        # While any host has headroom no session would probe it, so that a readmitted host would stay unused.
+        return (host in session.open_slots
+                and self._recent_load(self.now, host) is None and self._is_stale(host))  # fmt: skip
+
+    def _candidates(self, session: SessionState) -> Iterator[tuple[float, Iterator[int]]]:
+        """Load limits, and random hosts to try under each; the own zone first if leaving it has a price."""
+        # the fewer hosts have headroom, the more of it is kept for the sessions of the highest utility
+        limit = ADMISSION_LIMIT - (UTILITY_RESERVE * max(
+            1 - session.listener.utility / self.max_utility, 0.0) * self.full_share)  # fmt: skip
+        if session.group is not None:
+            # every host that holds a session of a group pays for the group, so all draw the same hosts
+            yield limit, iter(self._group_hosts(session.group))
         else:
-            # Danger: drawn from all, nearly every session pays for new looks; of few, one serves several.
-            if self.set.cross_price:
-                yield ROOM_NEAR, self._drawn(self.preferred_near)
-                yield ROOM_NEAR, self._drawn(self.near)
-            yield room, self._drawn(self.preferred)
-            yield room, self._drawn(self.running)
-        # Danger: a host nobody looks at stays full on paper, by an old figure, own sends or the mean; many
-        # nodes that all look again would use up the probes that a host answers.
-        span = FRESH * max(self.set.nodes / FULL_LOOKS, 1.0)
-        yield math.inf, (h for h in self._drawn(self.running) if self._old(h, span))
-
-    def _order_of(self, group: int) -> list[int]:
-        """The first hosts of those that run in the order that all nodes give them for the group."""
-        if (order := self.orders.get(group)) is None:
-            marks = self.stable_id
-            mixed = [(group * marks[h] % GROUP_PRIME) << 20 | h for h in self.running]
-            order = [x & 0xFFFFF for x in heapq.nsmallest(DRAWS, mixed)]
-            # Danger: groups come and go for as long as no host does.
-            if len(self.orders) >= MOST_ORDERS:
-                del self.orders[next(iter(self.orders))]
-            self.orders[group] = order
+            # Drawn from all hosts, nearly every session needs new probes; in a subset one serves several.
+            if self.settings.cross_zone_price:
+                yield ADMISSION_LIMIT_IN_ZONE, self._sample(self.preferred_in_zone)
+                yield ADMISSION_LIMIT_IN_ZONE, self._sample(self.running_in_zone)
+            yield limit, self._sample(self.preferred)
+            yield limit, self._sample(self.running)
+        # A host that is not probed would keep counting as full, by an old report, this node's dials or the
+        # mean. If many nodes probed again at once, they would use up the probes that a host answers.
+        span = FRESH_MS * max(self.settings.nodes / FULL_HOST_PROBES, 1.0)
+        yield math.inf, (host for host in self._sample(self.running) if self._is_stale(host, span))
+
+    def _group_hosts(self, group: int) -> list[int]:
+        """The first running hosts in the order that all nodes compute for the group."""
+        if (order := self.group_order.get(group)) is None:
+            stable_id = self.stable_id
+            keys = [(group * stable_id[host] % GROUP_PRIME) << 20 | host for host in self.running]
+            order = [key & 0xFFFFF for key in heapq.nsmallest(SAMPLE_SIZE, keys)]
+            # Groups come and go while the hosts stay the same, so the cache needs a bound.
+            if len(self.group_order) >= MAX_GROUP_ORDERS:
+                del self.group_order[next(iter(self.group_order))]
+            self.group_order[group] = order
         return order
 
-    def _drawn(self, hosts: list[int]) -> Iterator[int]:
-        """Up to DRAWS of the hosts, in random order."""
-        return without_replacement(hosts, DRAWS, self.chance)
-
-    def _load(self, now: float, h: int) -> float:
-        """A host's load over its capacity, as last probed or else the mean, with what was sent since."""
-        if (figure := self._figure(now, h)) is None:  # unused or newly started
-            figure = self._unreported(now, h)
-        if now - self.prior_at[h] < PRIOR_LIFE and self.prior_at[h] - self.figure_at[h] > FRESH:
-            figure = self.prior[h]  # says whether the host is worth a look of the own, which decides
-        # Danger: work piled up serves nobody in time while the load over capacity looks fine again.
-        figure += self._pile(now, h)
-        if not self.unit:
-            return figure
-        # other nodes see the same reports; not all draw this host, and few connections tell little of theirs
-        alike = self.alike if self.has_figures else self.alike * self._met_by_others(1)
-        return figure + alike * self.extra[h] / self._fills(h)
-
-    def _unreported(self, now: float, h: int) -> float:
-        """The load of a host without a figure: the mean of those told, or else by what this node met."""
-        if self.has_figures:
-            return self._count_load(h) if self.mean_figure is None else self.mean_figure
-        # Danger: what one connection found free is soon used up by all nodes together.
-        fresh = now - self.taken_at[h] < FIGURE_LIFE / self.fleet
-        count = self._count_load(h)
-        return count if fresh else count + self.held_full * (FULL_LOAD - count)
-
-    def _met_by_others(self, hosts: int) -> float:
-        """The part of all hosts that the other nodes meet, if each of them meets so many at random."""
-        return 1 - (1 - min(hosts / len(self.running), 1.0)) ** (self.fleet - 1) if self.running else 0.0
-
-    def _fills(self, h: int) -> float:
-        """The load that fills a host once it is warm: by what it bore itself, if not far from the mean."""
-        mean = self.unit * self.size[h]
-        return min(max(self.able[h] or mean, mean / UNIT_SPAN), mean * UNIT_SPAN)
-
-    def _count_load(self, h: int) -> float:
-        """Without figures: own connections for the host's size, below every threshold; unused is the mean."""
-        mean = self.holding / (self.whole_size or 1.0)
-        own = self.held[h] / self.size[h] or mean
+    def _sample(self, hosts: list[int]) -> Iterator[int]:
+        """Up to SAMPLE_SIZE of the hosts, in random order."""
+        return without_replacement(hosts, SAMPLE_SIZE, self.chance)
+
+    def _load(self, now: float, host: int) -> float:
+        """A host's load over its capacity, as last probed or else estimated, plus what was sent since."""
+        if (load_ratio := self._recent_load(now, host)) is None:  # unused or newly started
+            load_ratio = self._estimated_load(now, host)
+        if (now - self.peer_load_at[host] < PEER_LOAD_LIFE_MS
+                and self.peer_load_at[host] - self.reported_at[host] > FRESH_MS):  # fmt: skip
+            load_ratio = self.peer_load[host]  # only tells whether the host is worth a probe of this node's
+        # A backlog delays every session even while load over capacity looks fine again.
+        load_ratio += self._backlog_load(now, host)
+        if not self.unit_capacity:
+            return load_ratio
+        # Other nodes see the same reports. Not all of them draw this host, and without reports a node's few
+        # connections tell little about theirs.
+        senders = self.effective_senders if self.has_reports else self.effective_senders * self._share_met(1)
+        return load_ratio + senders * self.unreported_total[host] / self._warm_capacity(host)
+
+    def _estimated_load(self, now: float, host: int) -> float:
+        """The load of a host without a report: the reported mean, or by this node's own connections."""
+        if self.has_reports:
+            return self._load_by_count(host) if self.mean_reported_load is None else self.mean_reported_load
+        # Headroom that one session has found is soon used up by all nodes together.
+        recently_accepted = now - self.accepted_at[host] < REPORT_LIFE_MS / self.senders
+        by_count = self._load_by_count(host)
+        return by_count if recently_accepted else by_count + self.peers_full_share * (FULL_LOAD - by_count)
+
+    def _share_met(self, hosts: int) -> float:
+        """The share of all hosts that the other nodes meet, if each of them meets `hosts` at random."""
+        return 1 - (1 - min(hosts / len(self.running), 1.0)) ** (self.senders - 1) if self.running else 0.0
+
+    def _warm_capacity(self, host: int) -> float:
+        """The load that fills the host once it is warm, by its own reports within a range around the mean."""
+        mean = self.unit_capacity * self.size[host]
+        return min(max(self.warm_capacity[host] or mean, mean / CAPACITY_SPREAD), mean * CAPACITY_SPREAD)
+
+    def _load_by_count(self, host: int) -> float:
+        """Without reports: this node's connections per size, scaled below every limit; the mean if unused."""
+        mean = self.total_connections / (self.total_size or 1.0)
+        own = self.connections[host] / self.size[host] or mean
         return own / (own + mean) * 0.5 if own else 0.0
 
-    def _figure(self, now: float, h: int) -> float | None:
-        return self.figure[h] if now - self.figure_at[h] < FIGURE_LIFE else None
-
-    def _pile(self, now: float, h: int) -> float:
-        return self.pile[h] / DRAIN if now - self.pile_at[h] < PILE_LIFE else 0.0  # as load, to work it off
-
-    def _survey(self, now: float) -> None:
-        """The fleet as the reports show it: mean load, what fills a host of size 1, the own share of room."""
-        while self.known and now - self.figure_at[oldest := next(iter(self.known))] >= FIGURE_LIFE:
-            del self.known[oldest]
-        # Danger: where no report comes own sends add up, until the host is closed to this node for good.
-        for h in [h for h in self.loaded if self.added[h][0][0] <= now - FIGURE_LIFE]:
-            self._drop_added(h, now - FIGURE_LIFE)
-        self.ailing = {h: None for h in self.ailing if self.ill[h] >= ILL}
-        # Danger: the room of a host that drains or is gone is no room.
-        known = [(self.figure[h], h) for h in sorted(self.known) if self._has_figure(h)]
-        self.most_ill = 2 * len(self.ailing) > len(self.known.keys() | self.ailing.keys())
-        self.mean_figure = sum(f for f, _ in known) / len(known) if known else None
-        if not known:
-            self.part = self.rights.saved[ROOM_BUDGET] = math.inf
-            # Danger: hosts that looked full long ago would go on closing those that were sent to since.
-            self.scarce, self.alike, self.held_full = 0.0, math.sqrt(self.fleet), 0.0
+    def _recent_load(self, now: float, host: int) -> float | None:
+        return self.reported_load[host] if now - self.reported_at[host] < REPORT_LIFE_MS else None
+
+    def _backlog_load(self, now: float, host: int) -> float:
+        """The load that works off the host's backlog in BACKLOG_DRAIN_MS."""
+        return self.backlog[host] / BACKLOG_DRAIN_MS if now - self.backlog_at[host] < BACKLOG_LIFE_MS else 0.0
+
+    def _update_fleet_view(self, now: float) -> None:
+        """Updates mean load, capacities, and this node's share of the fleet's headroom from the reports."""
+        while self.reported and now - self.reported_at[oldest := next(iter(self.reported))] >= REPORT_LIFE_MS:
+            del self.reported[oldest]
+        # Where no report comes, this node's dials would add up until it considers the host full for good.
+        for host in [h for h in self.unreported_hosts if self.unreported[h][0][0] <= now - REPORT_LIFE_MS]:
+            self._drop_unreported(host, now - REPORT_LIFE_MS)
+        self.failing = {h: None for h in self.failing if self.failure_score[h] >= EJECTION_SCORE}
+        # The headroom of a host that drains or is gone cannot be used.
+        reports = [(self.reported_load[h], h) for h in sorted(self.reported) if self._has_reported_load(h)]
+        self.majority_failing = 2 * len(self.failing) > len(self.reported.keys() | self.failing.keys())
+        self.mean_reported_load = sum(load for load, _ in reports) / len(reports) if reports else None
+        if not reports:
+            self.headroom_share = self.quotas.saved[HEADROOM_BUDGET] = math.inf
+            # Otherwise hosts that looked full long ago would keep closing those that were dialled since.
+            self.full_share, self.effective_senders, self.peers_full_share = (
+                0.0, math.sqrt(self.senders), 0.0)  # fmt: skip
             return
-        own = [self._forecast(now, s) for h in self.mine for s in self.standing[h].values()]
-        # Danger: a node that has just started holds next to nothing of what fills the hosts, and all of it
-        # while the others are away; what the hosts hold for all nodes says more where it is told.
-        told = [(f, h) for f, h in known if self.crowd[h] is not None and self._warmth(now, h) >= 1]
-        self.each = (sum(own) + self.mean_hint) / (len(own) + 1)
-        loads, full = self.each * sum(self.crowd[h] for _, h in told), sum(f * self.size[h] for f, h in told)
-        for f, h in told:
-            # Danger: by the mean of all a small host that starts cold would be sent what a large one bears.
-            if f >= NOT_MEASURED:
-                able = self.each * self.crowd[h] / f
-                self.able[h] += (able - self.able[h]) * (UNIT_SMOOTH if self.able[h] else 1.0)
-        if not told:
-            loads, full = self.set.nodes * sum(own), self.mean_figure * self.whole_size
-        # Danger: a list may leave no host running while figures of the last ones are still known.
-        if loads and full:
-            self.unit += (loads / full - self.unit) * (max(UNIT_SMOOTH, 1 / self.asked) if self.unit else 1.0)
-        # Danger: what cold hosts lack is room on paper; taken for that, it is sent to the warm ones.
-        most = [self._cold_rate(now, h) * REPORT_LAG if self._is_cold(now, h) else ROOM for _, h in known]
-        rooms = [
-            max(min(ROOM - f - self._pile(now, h), at_most), 0.0)
-            for (f, h), at_most in zip(known, most, strict=True)
-        ]
-        self.scarce = sum(r == 0 for r in rooms) / len(rooms)
-        if not self.has_figures:
-            # Danger: a mark tells of its own host. That the others look full too is read off the marks that
-            # all nodes together have if they are like this one: in a wave most hosts, of three nodes few.
-            full = len(known) / len(self.running)
-            self.held_full = self._met_by_others(len(known))
-            self.scarce = full + (1 - full) * self.held_full
-            self.part, self.rights.saved[ROOM_BUDGET] = 0.0, math.inf  # nothing is moved by counts meanwhile
-        elif self.unit:
-            share = min(UNEVEN / self.set.nodes, 1.0) / len(rooms)
-            self.part = self.unit * self.whole_size * share * sum(rooms)
-            self.rights.mint(now, ROOM_BUDGET, self.part / REPORT_LAG, self.part)
-        # Danger: the fewer hosts have room, the more nodes draw the same one and fill it many times over.
-        self.alike = self.fleet ** (0.5 + 0.5 * self.scarce)
-
-    def _has_figure(self, h: int) -> bool:
-        """Whether the host runs and has told a figure since it started."""
-        return self.state[h] is HostState.RUNNING and self.figure[h] is not None
-
-    def _know(self, now: float, h: int, figure: float) -> None:
-        self.figure[h], self.figure_at[h] = figure, now
-        self.known.pop(h, None)
-        self.known[h] = None
-        self._drop_added(h, now - REPORT_LAG)
-
-    # ---- send gate: every dial passes here, and each rule stands here and nowhere else
-
-    def _passes(self, now: float, s: SessionState, h: int) -> bool:
-        return self._allowed(now, s, h) and self._pay(now, s, h)
-
-    def _allowed(self, now: float, s: SessionState, h: int) -> bool:
-        over = s.answered or s.out or now >= s.deadline or len(s.dials) >= s.most_dials
-        return not over and self.state[h] is HostState.RUNNING and self._harmless(now, s, h, s.dials)
-
-    def may_send_request(self, now: float, sid: int) -> bool:
-        """The same at the send, once the connection is up: whether the dial that is out may go on."""
-        # Danger: meanwhile the host began to drain or started anew, or a window or the client's time ran out.
-        if (s := self.sessions.get(sid)) is None or s.answered or now >= s.deadline:
+        own_loads = [self._forecast(now, s) for h in self.used_hosts for s in self.established[h].values()]
+        # A node that has just started holds next to nothing of what fills the hosts, and all of it while the
+        # other nodes are away, so the hosts' own connection counts are better where they are reported.
+        warm = [(load, h) for load, h in reports
+                   if self.fleet_connections[h] is not None and self._warm_share(now, h) >= 1]  # fmt: skip
+        self.mean_session_load = (sum(own_loads) + self.mean_hint) / (len(own_loads) + 1)
+        session_load, filled_size = (self.mean_session_load * sum(self.fleet_connections[h] for _, h in warm),
+                                     sum(load * self.size[h] for load, h in warm))  # fmt: skip
+        for load, host in warm:
+            # By the mean of all, a small host that starts cold would be sent what a large one can take.
+            if load >= UNMEASURED_LOAD:
+                capacity = self.mean_session_load * self.fleet_connections[host] / load
+                self.warm_capacity[host] += (capacity - self.warm_capacity[host]) * (
+                    CAPACITY_SMOOTHING if self.warm_capacity[host] else 1.0)  # fmt: skip
+        if not warm:
+            session_load, filled_size = (
+                self.settings.nodes * sum(own_loads), self.mean_reported_load * self.total_size)  # fmt: skip
+        # The roster may leave no host running while reports of the last ones are still recent.
+        if session_load and filled_size:
+            self.unit_capacity += (session_load / filled_size - self.unit_capacity) * (
+                max(CAPACITY_SMOOTHING, 1 / self.request_count) if self.unit_capacity else 1.0)  # fmt: skip
+        # Headroom that a cold host may not use yet would otherwise be warm, and sent to the warm hosts.
+        caps = [self._cold_fill_rate(now, h) * REPORT_LAG_MS if self._is_cold(now, h) else ADMISSION_LIMIT
+                for _, h in reports]  # fmt: skip
+        headrooms = [max(min(ADMISSION_LIMIT - load - self._backlog_load(now, h), cap), 0.0)
+                     for (load, h), cap in zip(reports, caps, strict=True)]  # fmt: skip
+        self.full_share = sum(headroom == 0 for headroom in headrooms) / len(headrooms)
+        if not self.has_reports:
+            # An overload outcome is about one host only. Whether the others are full too is inferred from the
+            # number that all nodes together have met if they do as this one: most hosts in a wave of clients.
+            own_full_share = len(reports) / len(self.running)
+            self.peers_full_share = self._share_met(len(reports))
+            self.full_share = own_full_share + (1 - own_full_share) * self.peers_full_share
+            self.headroom_share, self.quotas.saved[HEADROOM_BUDGET] = 0.0, math.inf  # counts move no session
+        elif self.unit_capacity:
+            share = min(UNEVEN_FACTOR / self.settings.nodes, 1.0) / len(headrooms)
+            self.headroom_share = self.unit_capacity * self.total_size * share * sum(headrooms)
+            self.quotas.accrue(now, HEADROOM_BUDGET, self.headroom_share / REPORT_LAG_MS, self.headroom_share)
+        # The fewer hosts have headroom, the more nodes draw the same one and together would overfill it.
+        self.effective_senders = self.senders ** (0.5 + 0.5 * self.full_share)
+
+    def _has_reported_load(self, host: int) -> bool:
+        """Whether the host runs and has reported a load since it started."""
+        return self.state[host] is HostState.RUNNING and self.reported_load[host] is not None
+
+    def _record_load(self, now: float, host: int, load_ratio: float) -> None:
+        self.reported_load[host], self.reported_at[host] = load_ratio, now
+        self.reported.pop(host, None)
+        self.reported[host] = None
+        self._drop_unreported(host, now - REPORT_LAG_MS)
+
+    # ---- admission: every dial passes these checks, and each rule is checked here only
+
+    def _admit(self, now: float, session: SessionState, host: int) -> bool:
+        return self._may_dial(now, session, host) and self._take_slot(now, session, host)
+
+    def _may_dial(self, now: float, session: SessionState, host: int) -> bool:
+        over = (session.answered or session.has_host
+                or now >= session.deadline or len(session.dials) >= session.max_dials)  # fmt: skip
+        return (not over and self.state[host] is HostState.RUNNING
+                and self._repeat_is_safe(now, session, host, session.dials))  # fmt: skip
+
+    def may_send_request(self, now: float, session_id: int) -> bool:
+        """Whether the request may still be sent on the last dial, whose connection is established."""
+        # Meanwhile the host may have begun to drain or restarted, or a time limit may have passed.
+        if (session := self.sessions.get(session_id)) is None or session.answered or now >= session.deadline:
             return False
-        h, before = s.dials[-1].host, s.dials[:-1]
-        same = self.state[h] is HostState.RUNNING and self.started_at[h] == s.dials[-1].started_at
-        return same and self._harmless(now, s, h, before)
-
-    def _harmless(self, now: float, s: SessionState, h: int, before: list[DialRecord]) -> bool:
-        """Whether nothing ran yet, or what ran makes the host drop the repeat."""
-        ran = self._ran(before)
-        if ran is None or s.listener.effect is Effect.REPEATABLE:
+        host, before = session.dials[-1].host, session.dials[:-1]
+        same_start = (self.state[host] is HostState.RUNNING
+                      and self.started_at[host] == session.dials[-1].host_started_at)  # fmt: skip
+        return same_start and self._repeat_is_safe(now, session, host, before)
+
+    def _repeat_is_safe(self, now: float, session: SessionState, host: int, before: list[DialRecord]) -> bool:
+        """Whether nothing of the session can have run yet, or the host drops the repeat of what ran."""
+        ran = self._dial_that_may_have_run(before)
+        if ran is None or session.listener.effect is Effect.REPEATABLE:
             return True
-        # Danger: a repeat counts when it arrives; and a host that has started since remembers nothing.
-        late = now + ARRIVAL >= ran.at + s.listener.memory_span or self.started_at[h] > ran.at
-        return s.listener.effect is Effect.REFERENCED and not late and ran.group == self._group(s, h)
+        # The memory span has to cover the repeat's arrival, and a host restarted since remembers nothing.
+        late = (now + ARRIVAL_MS >= ran.sent_at + session.listener.memory_span
+                or self.started_at[host] > ran.sent_at)  # fmt: skip
+        return (session.listener.effect is Effect.REFERENCED
+                and not late and ran.dedup_group == self._dedup_group(session, host))  # fmt: skip
 
-    def _ran(self, dials: list[DialRecord]) -> DialRecord | None:
-        return next((d for d in dials if d.may_have_run), None)
+    def _dial_that_may_have_run(self, dials: list[DialRecord]) -> DialRecord | None:
+        return next((dial for dial in dials if dial.may_have_run), None)
 
-    def _may_refuse(self, s: SessionState, wait: float) -> bool:
-        ran, listener = self._ran(s.dials), s.listener
+    def _may_refuse(self, session: SessionState, wait: float) -> bool:
+        ran, listener = self._dial_that_may_have_run(session.dials), session.listener
         if ran is None or listener.effect is Effect.REPEATABLE:
             return True
-        # Danger: a refusal invites the client to come again, which has to reach a host within the window.
-        back = self.now + wait + listener.handshake_target + ARRIVAL
+        # A refusal invites the client to retry, and the retry has to reach a host within the memory span.
+        back = self.now + wait + listener.handshake_target + ARRIVAL_MS
         kind = listener.effect, listener.scope
-        return kind == (Effect.REFERENCED, Scope.ALL) and back < ran.at + listener.memory_span
+        return kind == (Effect.REFERENCED, Scope.ALL) and back < ran.sent_at + listener.memory_span
 
     # ---- sessions
 
-    def open_session(self, now: float, a: SessionRequest) -> list[Action]:
+    def open_session(self, now: float, request: SessionRequest) -> list[Action]:
         self.now = now
-        s = self._new(now, a)
-        s.run = self._session(s)
-        self._go_on(s, None)
-        return self._done()
-
-    def resume_session(self, now: float, a: SessionRequest, h: int) -> list[Action]:
-        """A connection that stood before this node started; its dial 0 counts as made."""
-        s = self._new(now, a)
-        s.dials.append(DialRecord(h, now, self.started_at[h], self._group(s, h)))
-        self._hold(h, 1)
-        self._stand(s, now - MOVE_AGE)
+        session = self._new_session(now, request)
+        session.steps = self._session_steps(session)
+        self._advance(session, None)
+        return self._take_actions()
+
+    def resume_session(self, now: float, request: SessionRequest, host: int) -> list[Action]:
+        """Registers a session established before this node started; its dial 0 counts as made."""
+        session = self._new_session(now, request)
+        session.dials.append(DialRecord(host, now, self.started_at[host], self._dedup_group(session, host)))
+        self._count_connections(host, 1)
+        self._record_established(session, now - MIN_MOVE_AGE_MS)
         return []
 
-    def _new(self, now: float, a: SessionRequest) -> SessionState:
-        self.asked += 1
-        self.mean_hint += ((1.0 if a.load is None else a.load) - self.mean_hint) * max(0.02, 1 / self.asked)
+    def _new_session(self, now: float, request: SessionRequest) -> SessionState:
+        self.request_count += 1
+        self.mean_hint += ((1.0 if request.load_hint is None else request.load_hint) - self.mean_hint) * max(
+            0.02, 1 / self.request_count)  # fmt: skip
         self.probe_credit += 1
-        s = self.sessions[a.session] = SessionState(
-            a.session, self.set.listeners[a.listener], self.set.max_dials, now, now + a.left, a.load,
-            a.group, smooth=a.load or 0.0)  # fmt: skip
-        return s
-
-    def _session(self, s: SessionState) -> Generator[Action | list[Probe], Outcome | None, None]:
-        """One session, from its ask to its answer; a stream's end needs no decision."""
-        target = s.listener.handshake_target
+        session = self.sessions[request.session] = SessionState(
+            request.session, self.settings.listeners[request.listener], self.settings.max_dials, now,
+            now + request.time_left, request.load_hint, request.group, smoothed_load=request.load_hint or 0.0,
+        )  # fmt: skip
+        return session
+
+    def _session_steps(self, session: SessionState) -> Generator[Action | list[Probe], Outcome | None, None]:
+        """The steps of one session from its request to its answer; its end needs no decision."""
+        target = session.listener.handshake_target
         while True:
-            if (h := (yield from self._choose(s))) >= 0:
-                last = len(s.dials) + 1 >= s.most_dials
-                time_out = math.inf if last else FIRST_TIME_OUT * target * TIME_OUT_GROWTH ** len(s.dials)
-                result = yield Dial(s.id, h, min(self.now + time_out, s.deadline))
-                s.dials[-1].may_have_run = result not in NEVER_RAN
-            elif self.now + WAIT_FOR_HOST < min(s.asked + target, s.deadline) and not s.dials:
-                yield Wake(WAIT_FOR_HOST, s.id)
+            if (host := (yield from self._choose_host(session))) >= 0:
+                last = len(session.dials) + 1 >= session.max_dials
+                time_out = math.inf if last else (
+                    FIRST_TIMEOUT_SHARE * target * TIMEOUT_GROWTH ** len(session.dials))  # fmt: skip
+                result = yield Dial(session.id, host, min(self.now + time_out, session.deadline))
+                session.dials[-1].may_have_run = result not in NEVER_RAN
+            elif (self.now + RETRY_WAIT_MS < min(session.requested_at + target, session.deadline)
+                  and not session.dials):  # fmt: skip
+                yield Wake(RETRY_WAIT_MS, session.id)
             else:
                 break
-        wait = min(BACK_OFF * (1 + self.chance()), self.set.max_back_off) if self.set.back_off else 0.0
-        if self._may_refuse(s, wait):
-            yield Refuse(s.id, wait)
+        wait = (min(BACK_OFF_MS * (1 + self.chance()), self.settings.max_back_off)
+                if self.settings.may_back_off else 0.0)  # fmt: skip
+        if self._may_refuse(session, wait):
+            yield Refuse(session.id, wait)
         else:
-            yield TearDown(s.id)
-
-    def _go_on(self, s: SessionState, result: Outcome | None) -> None:
-        """Carries the session on to what it wants done next."""
-        act = s.run.send(result)
-        if isinstance(act, list):
-            s.looking = {probe.host for probe in act}
-            for (h,) in act:
-                self._probe(self.now, h)
-                self.lookers[h].append(s.id)
-            wait = LOOK_WAIT * s.listener.handshake_target
-            # Danger: a client with little time left would go unanswered while its node looks.
-            act = Wake(min(wait, (s.deadline - self.now) / 2), s.id)
-        self.acts.append(act)
-        if isinstance(act, Wake):
-            s.wakes = self.now + act.after - SLACK
-        elif isinstance(act, Dial):
-            load = self._forecast(self.now, s)
-            self.rights.spend(self.now, ROOM_BUDGET, load)
-            self._enter_dial(self.now, s, act.host)
-            self._add(self.now, act.host, load)
-        elif isinstance(act, (Refuse, TearDown)):
-            s.answered = True
-            del self.sessions[s.id]
-
-    def session_established(self, now: float, sid: int) -> list[Action]:
-        if (s := self.sessions.get(sid)) is None or not s.out or s.stands is not None:
+            yield TearDown(session.id)
+
+    def _advance(self, session: SessionState, result: Outcome | None) -> None:
+        """Runs the session up to its next action."""
+        action = session.steps.send(result)
+        if isinstance(action, list):
+            session.awaited_hosts = {probe.host for probe in action}
+            for (host,) in action:
+                self._probe(self.now, host)
+                self.probe_waiters[host].append(session.id)
+            wait = PROBE_WAIT_SHARE * session.listener.handshake_target
+            # A client with little time left would go unanswered if its session waited for the whole time.
+            action = Wake(min(wait, (session.deadline - self.now) / 2), session.id)
+        self.actions.append(action)
+        if isinstance(action, Wake):
+            session.waits_until = self.now + action.after - TIMER_SLACK_MS
+        elif isinstance(action, Dial):
+            load = self._forecast(self.now, session)
+            self.quotas.spend(self.now, HEADROOM_BUDGET, load)
+            self._record_dial(self.now, session, action.host)
+            self._add_unreported(self.now, action.host, load)
+        elif isinstance(action, (Refuse, TearDown)):
+            session.answered = True
+            del self.sessions[session.id]
+
+    def session_established(self, now: float, session_id: int) -> list[Action]:
+        if ((session := self.sessions.get(session_id)) is None
+                or not session.has_host or session.established_at is not None):  # fmt: skip
             return []
-        self._stand(s, now)
-        h = s.dials[-1].host
-        self.dialing[h] -= 1
-        self.ill[h] /= 2
-        self.taken_at[h] = now
+        self._record_established(session, now)
+        host = session.dials[-1].host
+        self.pending_dials[host] -= 1
+        self.failure_score[host] /= 2
+        self.accepted_at[host] = now
         return []
 
-    def dial_ended(self, now: float, sid: int, dial: int, result: Outcome, last: bool) -> list[Action]:
+    def dial_ended(
+        self, now: float, session_id: int, dial: int, result: Outcome, final: bool
+    ) -> list[Action]:
+        """Records the end of a dial or of the session established by it; unless final, it goes on."""
         self.now = now
-        if (s := self.sessions.get(sid)) is None or not s.out or dial != len(s.dials) - 1:
+        if ((session := self.sessions.get(session_id)) is None
+                or not session.has_host or dial != len(session.dials) - 1):  # fmt: skip
             return []
-        h = s.dials[dial].host
-        s.out = False
-        self._hold(h, -1)
-        self.dialing[h] -= s.stands is None
-        if self.standing[h].pop(sid, None) and not self.standing[h]:
-            del self.mine[h]
-        running = self.state[h] is HostState.RUNNING
-        if running and result in FAILURES:
-            self._failed(now, h)
-        if running and result in CROWDED:
-            self._know(now, h, max(self._figure(now, h) or 0.0, FULL_LOAD))  # until the next report
-        if last or s.answered:
-            s.answered = True
-            del self.sessions[sid]
+        host = session.dials[dial].host
+        session.has_host = False
+        self._count_connections(host, -1)
+        self.pending_dials[host] -= session.established_at is None
+        if self.established[host].pop(session_id, None) and not self.established[host]:
+            del self.used_hosts[host]
+        running = self.state[host] is HostState.RUNNING
+        if running and result in FAILURE_OUTCOMES:
+            self._record_failure(now, host)
+        if running and result in OVERLOAD_OUTCOMES:
+            self._record_load(
+                now, host, max(self._recent_load(now, host) or 0.0, FULL_LOAD)
+            )  # until a report
+        if final or session.answered:
+            session.answered = True
+            del self.sessions[session_id]
         else:
-            self._go_on(s, result)
-        return self._done()
+            self._advance(session, result)
+        return self._take_actions()
 
-    def client_disconnected(self, now: float, sid: int) -> list[Action]:
-        if (s := self.sessions.get(sid)) is None:
+    def client_disconnected(self, now: float, session_id: int) -> list[Action]:
+        if (session := self.sessions.get(session_id)) is None:
             return []
-        s.answered = True
-        if not s.out:
-            del self.sessions[sid]
-        elif s.stands is None and self.set.may_withdraw:
-            self.acts.append(Withdraw(sid, len(s.dials) - 1))
-        return self._done()
+        session.answered = True
+        if not session.has_host:
+            del self.sessions[session_id]
+        elif session.established_at is None and self.settings.may_withdraw:
+            self.actions.append(Withdraw(session_id, len(session.dials) - 1))
+        return self._take_actions()
 
     def timer_fired(self, now: float, token: int) -> list[Action]:
+        """Handles a timer: the tick, or the end of a session's wait."""
         self.now = now
         if token == TICK_TOKEN:
             self._tick(now)
-        elif (s := self.sessions.get(token)) and not s.answered and not s.out and now >= s.wakes:
-            s.looking.clear()
-            self._go_on(s, None)
-        return self._done()
+        elif ((session := self.sessions.get(token))
+              and not session.answered and not session.has_host and now >= session.waits_until):  # fmt: skip
+            session.awaited_hosts.clear()
+            self._advance(session, None)
+        return self._take_actions()
 
     # ---- probes and moves
 
     def _tick(self, now: float) -> None:
-        self.acts.append(Wake(TICK, TICK_TOKEN))
-        if now >= self.watch_at:
-            self.watch_at = math.inf
-            self.acts.append(Watch())
-        self.cold = self._cold_of(now, self.cold)
-        self._survey(now)
-        rate = max(ALL_LOOKS * len(self.mine) / self.set.nodes, 1.0) / PROBE_EVERY
-        self.probe_credit = min(self.probe_credit + TICK * rate, len(self.mine) + 1)
-        # Danger: an overfilled host goes unseen where few sessions pay, or while it has told no figure yet.
-        lack = PROBE_EVERY * self.set.figures
-        age = {h: now - self.seen_at[h] + lack * (self.figure[h] is None) for h in self.mine}
-        for h in sorted(self.mine, key=lambda h: (-age[h], h)):
-            if age[h] < PROBE_EVERY or self.probe_credit < 1:
+        self.actions.append(Wake(TICK_MS, TICK_TOKEN))
+        if now >= self.watch_retry_at:
+            self.watch_retry_at = math.inf
+            self.actions.append(Watch())
+        self.cold = self._cold_among(now, self.cold)
+        self._update_fleet_view(now)
+        rate = max(FREE_PROBES * len(self.used_hosts) / self.settings.nodes, 1.0) / PROBE_INTERVAL_MS
+        self.probe_credit = min(self.probe_credit + TICK_MS * rate, len(self.used_hosts) + 1)
+        # An overloaded host would go unnoticed if few sessions pay for probes or it has no load report yet.
+        bonus = PROBE_INTERVAL_MS * self.settings.reports_load
+        age = {h: now - self.probed_at[h] + bonus * (self.reported_load[h] is None) for h in self.used_hosts}
+        for host in sorted(self.used_hosts, key=lambda h: (-age[h], h)):
+            if age[host] < PROBE_INTERVAL_MS or self.probe_credit < 1:
                 break
-            if not (self.set.may_probe and self.set.figures):
-                # Danger: where figures are told but none is there yet, many nodes with few connections each
-                # would clear the fleet by their counts; and what chance brings beside the mean is no excess.
-                self.seen_at[h], mean = now, self.holding / max(len(self.running), 1)
-                if self.held[h] > mean + max(COUNT_CHANCE * math.sqrt(mean), COUNT_LEAST):
-                    limit = max(COUNT_TRIGGER * mean, mean + 1)
-                    self._relieve(now, h, self.held[h], limit, False, SETTLE)
-            elif now >= self.unseen[h] and self.state[h] is HostState.RUNNING and self._probe(now, h):
+            if not (self.settings.may_probe and self.settings.reports_load):
+                # Moves by count are for hosts that never report: before the first report, many nodes with few
+                # connections each would clear the fleet by them. Random deviations are no excess.
+                self.probed_at[host], mean = now, self.total_connections / max(len(self.running), 1)
+                if self.connections[host] > mean + max(COUNT_SIGMAS * math.sqrt(mean), COUNT_MARGIN):
+                    limit = max(COUNT_FACTOR * mean, mean + 1)
+                    self._shed_load(now, host, self.connections[host], limit, False, SHED_INTERVAL_MS)
+            elif (now >= self.no_probe_until[host]
+                  and self.state[host] is HostState.RUNNING and self._probe(now, host)):  # fmt: skip
                 self.probe_credit -= 1
 
-    def _probe(self, now: float, h: int) -> bool:
-        if not self.set.may_probe or (self.probe_out[h] and now - self.probe_out[h] < PROBE_LOST):
+    def _probe(self, now: float, host: int) -> bool:
+        """Probes the host, unless a probe is in progress; returns whether it did."""
+        if not self.settings.may_probe or (
+                self.probe_sent_at[host] and now - self.probe_sent_at[host] < PROBE_TIMEOUT_MS):  # fmt: skip
             return False
-        self.probe_out[h] = now
-        self.acts.append(Probe(h))
+        self.probe_sent_at[host] = now
+        self.actions.append(Probe(host))
         return True
 
-    def probe_completed(self, now: float, h: int, result: Outcome, report: LoadReport) -> list[Action]:
-        self.now, self.probe_out[h] = now, 0.0
+    def probe_completed(self, now: float, host: int, result: Outcome, report: LoadReport) -> list[Action]:
+        """Records the result of a probe and resumes the sessions that waited for it."""
+        self.now, self.probe_sent_at[host] = now, 0.0
         if result is Outcome.GOOD:
-            self.seen_at[h] = now
-            if self.state[h] is HostState.RUNNING:
-                self._learn(now, h, report)
-                self.probe_credit += self.set.figures and self.figure[h] is None
-        elif self.state[h] is HostState.RUNNING and result is not Outcome.NEVER_SENT:
-            # Danger: a host that drains or is gone tells nothing and looks like the mean; each session that
-            # waits would look again at once, and all nodes together do so by the hundred.
-            self.unseen[h] = now + FRESH * (0.75 + self.chance() / 2)
-            self._failed(now, h)
-        waiting, self.lookers[h] = self.lookers[h], []
-        for s in filter(None, map(self.sessions.get, waiting)):
-            looked = h in s.looking
-            s.looking.discard(h)
-            if looked and not s.looking and not s.answered and not s.out:
-                self._go_on(s, None)
-        return self._done()
-
-    def _learn(self, now: float, h: int, report: LoadReport) -> None:
-        figure, self.crowd[h] = report.load, report.connections
-        # Danger: a host that holds connections and tells no load yet has not measured it; it is not empty.
-        if (
-            not figure
-            and report.connections
-            and report.connections * self.mean_hint >= NOT_MEASURED * self._fills(h)
-        ):
-            figure = None
-        if figure is None and report.backlog is not None:
-            figure = report.backlog / self.shortest
-        if figure is None:
+            self.probed_at[host] = now
+            if self.state[host] is HostState.RUNNING:
+                self._record_report(now, host, report)
+                self.probe_credit += self.settings.reports_load and self.reported_load[host] is None
+        elif self.state[host] is HostState.RUNNING and result is not Outcome.NEVER_SENT:
+            # A host that drains or is gone reports nothing and looks like the mean: all sessions that wait
+            # for it, at all nodes, would probe it again at once by the hundred.
+            self.no_probe_until[host] = now + FRESH_MS * (0.75 + self.chance() / 2)
+            self._record_failure(now, host)
+        waiting, self.probe_waiters[host] = self.probe_waiters[host], []
+        for session in filter(None, map(self.sessions.get, waiting)):
+            awaited = host in session.awaited_hosts
+            session.awaited_hosts.discard(host)
+            if awaited and not session.awaited_hosts and not session.answered and not session.has_host:
+                self._advance(session, None)
+        return self._take_actions()
+
+    def _record_report(self, now: float, host: int, report: LoadReport) -> None:
+        load_ratio, self.fleet_connections[host] = report.load, report.connections
+        # A host that holds connections but reports no load has not measured it yet; it is not empty.
+        if (not load_ratio and report.connections
+                and report.connections * self.mean_hint >= UNMEASURED_LOAD * self._warm_capacity(host)
+        ):  # fmt: skip
+            load_ratio = None
+        if load_ratio is None and report.backlog is not None:
+            load_ratio = report.backlog / self.min_message_target
+        if load_ratio is None:
             return
-        last, span = self._figure(now, h), max(now - self.figure_at[h], REPORT_LAG)
-        rise = max(figure - last, 0.0) / span if last is not None else 0.0
-        self._know(now, h, figure)
-        figure += self._pile(now, h)
-        threshold = max(min(TRIGGER, FULL_LOAD - rise * LANDING), TRIGGER_LEAST)
-        self._relieve(now, h, figure, threshold, figure > FULL_LOAD, SETTLE)
-
-    def _relieve(self, now: float, h: int, figure: float, limit: float, over: bool, settle: float) -> None:
-        """Past the limit, moves the highest forecasts off a host, up to the share of the own load there."""
-        # Danger: the report may be older than the last moves, whose load would be moved twice.
-        if figure <= limit or now - self.acted_at[h] < settle:
+        last, span = self._recent_load(now, host), max(now - self.reported_at[host], REPORT_LAG_MS)
+        rise = max(load_ratio - last, 0.0) / span if last is not None else 0.0
+        self._record_load(now, host, load_ratio)
+        load_ratio += self._backlog_load(now, host)
+        threshold = max(min(SHED_THRESHOLD, FULL_LOAD - rise * MOVE_LAG_MS), MIN_SHED_THRESHOLD)
+        self._shed_load(now, host, load_ratio, threshold, load_ratio > FULL_LOAD, SHED_INTERVAL_MS)
+
+    def _shed_load(
+        self, now: float, host: int, load_ratio: float, limit: float, overloaded: bool, min_interval: float
+    ) -> None:
+        """Moves the highest forecasts off a host above the limit, up to this node's share of the excess."""
+        # The report may be older than the last moves, whose load would then be moved twice.
+        if load_ratio <= limit or now - self.shed_at[host] < min_interval:
             return
-        self.acted_at[h] = now
-        loads = [(self._forecast(now, s), s.id, s) for s in self.standing[h].values()]
-        left = (figure - limit) / figure * sum(load for load, _, _ in loads)
-        # Danger: with nowhere better to go, moved connections come back to hosts as full; past full load,
-        # where nobody is served, they are moved all the same and refused until there is room.
-        room = self.part
-        for load, sid, s in sorted(loads, key=lambda x: (-x[0], x[1])):
-            if left <= 0:
+        self.shed_at[host] = now
+        forecasts = [(self._forecast(now, s), s.id, s) for s in self.established[host].values()]
+        excess = (load_ratio - limit) / load_ratio * sum(load for load, _, _ in forecasts)
+        # With no better host, moved sessions come back to hosts as full. Above full load, where nobody is
+        # served, they are moved all the same and refused until there is headroom.
+        headroom = self.headroom_share
+        for load, session_id, session in sorted(forecasts, key=lambda row: (-row[0], row[1])):
+            if excess <= 0:
                 break
-            if now - s.stands >= MOVE_AGE and (load <= room or over):
-                # Danger: many nodes with few connections each would clear a host by rounding their share up.
-                if load > left and self.chance() * load > left:
-                    # Danger: past full load nobody is served there; a lot that failed is drawn again soon.
-                    self.acted_at[h] -= (SETTLE - LANDING) * (over and room == self.part)
+            if now - session.established_at >= MIN_MOVE_AGE_MS and (load <= headroom or overloaded):
+                # Many nodes with few sessions each would clear a host if all of them rounded their share up.
+                if load > excess and self.chance() * load > excess:
+                    # Above full load nobody is served, so that a draw that moved nothing is soon repeated.
+                    self.shed_at[host] -= (SHED_INTERVAL_MS - MOVE_LAG_MS) * (
+                        overloaded and headroom == self.headroom_share)  # fmt: skip
                     break
-                left, room = left - load, room - load
-                self._add(now, h, -load)
-                self.acts.append(Move(sid))
+                excess, headroom = excess - load, headroom - load
+                self._add_unreported(now, host, -load)
+                self.actions.append(Move(session_id))
--- a/caperdeck/core/facade.py
+++ b/caperdeck/core/facade.py
@@ -1,8 +1,9 @@
-"""The decisions in blocking style, for code that talks to a network: pick, report, tick.
+"""The interface to one node's decisions for code that does the network I/O: events in, commands out.
 
-Each call takes the time in float milliseconds and returns what is to be done now, in order. A pick whose
-hosts are looked at first returns the looks; a later report or tick returns the rest. The caller calls tick
-once `due` has come. Nothing is decided here: the calls become the module's events, its actions the orders.
+Each call takes the time in float milliseconds and returns the commands to carry out now, in order. If hosts
+have to be probed before a session is placed, `open_session` returns the probes, and a later event or timer
+returns the rest. The caller calls `run_timers` once `next_timer_at` has come. No decisions are made here;
+calls are translated to the events of Node, and its actions to commands.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from .fleet_state import FleetState
 
 
-# ---- orders: what the caller is to do
+# ---- commands: what the caller is to do
 
 
 class Connect(NamedTuple):
-    """Open a connection to the host for the session's dial of this number and wait for it until then."""
+    """Connect to the host for the session's dial with this number, and give up at `until`."""
 
     session: int
     dial: int
@@ -32,51 +33,49 @@
 
 
 class CancelDial(NamedTuple):
-    """Stop waiting on this dial."""
+    """Stop waiting for this dial."""
 
     session: int
     dial: int
 
 
 class RefuseSession(NamedTuple):
-    """Answer the client that trying again does no harm, after back_off where that is not 0."""
+    """Answer the client that it may safely retry, after `back_off` milliseconds if that is not 0."""
 
     session: int
     back_off: float
 
 
 class FailSession(NamedTuple):
-    """Answer the client that it failed."""
+    """Answer the client that its session failed."""
 
     session: int
 
 
 class RedirectClient(NamedTuple):
-    """Tell the client of a standing session to come again, and end the session."""
+    """Ask the client of an established session to reconnect, and end the session."""
 
     session: int
 
 
 class ProbeHost(NamedTuple):
-    """Probe the host."""
-
     host: int
 
 
 Command = Connect | CancelDial | RefuseSession | FailSession | RedirectClient | ProbeHost
 
 
-# ---- news: what the caller has seen
+# ---- events: what the caller has observed
 
 
 class SessionEstablished(NamedTuple):
-    """The host has taken the session, which stands from now on."""
+    """The host has accepted the session."""
 
     session: int
 
 
 class DialEnded(NamedTuple):
-    """A dial, or the standing session that came of it, has ended; last if the client needs no answer."""
+    """A dial, or the session established by it, has ended; `final` if the client needs no answer."""
 
     session: int
     dial: int
@@ -85,20 +84,20 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client went before it had an answer."""
+    """The client disconnected before it had an answer."""
 
     session: int
 
 
 class LoadReported(NamedTuple):
-    """The host told the load of a standing session, in milliseconds of work a second."""
+    """The host reported the load of an established session, in milliseconds of work a second."""
 
     session: int
     load: float
 
 
 class ProbeCompleted(NamedTuple):
-    """A probe's result, with what the host told."""
+    """The result of a probe."""
 
     host: int
     outcome: Outcome
@@ -106,34 +105,34 @@
 
 
 class RosterUpdated(NamedTuple):
-    """Discovery's list of hosts: all of it, or what changed."""
+    """Discovery sent the list of hosts, either complete or only its changes."""
 
     complete: bool
     entries: list[RosterEntry]
 
 
 class BanChanged(NamedTuple):
-    """An operator has taken the host out, or lets it serve again: nothing new to it between the two."""
+    """An operator has banned the host, which then gets no new sessions, or has lifted the ban."""
 
     host: int
     banned: bool
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings hold from now on."""
+    """New settings apply from now on."""
 
     settings: Settings
 
 
 class SubsetsChanged(NamedTuple):
-    """The hosts that this node draws first: of all, and of its own zone."""
+    """The hosts that this node prefers: of all zones, and of its own zone."""
 
     preferred: list[int]
     preferred_near: list[int]
 
 
 class HostOverloaded(NamedTuple):
-    """Enough other nodes have seen the host at this load over capacity, past full."""
+    """Enough other nodes have seen the host over full load; `load` is load over capacity."""
 
     host: int
     load: float
@@ -146,39 +145,43 @@
 
 
 class Balancer:
-    """One node's decisions behind three calls."""
+    """One node's decisions, driven by calls, events and timers."""
 
-    def __init__(self, settings: Settings, now: float, decides: type[Node] = Node) -> None:
-        self._node = decides(settings, now)
+    def __init__(self, settings: Settings, now: float, node_class: type[Node] = Node) -> None:
+        self._node = node_class(settings, now)
         self._timers: list[tuple[float, int, int]] = []
-        self._dials: dict[int, int] = {}  # of each session without an answer, how many were made
+        self._dials: dict[int, int] = {}  # number of dials made for each session without an answer
         self._timers_set = 0
-        self._commands(now, self._node.start())  # no orders yet, only the first bell
+        self._commands(now, self._node.start())  # no commands yet, only the first timer
 
     @property
     def next_timer_at(self) -> float:
-        """When tick is to be called next."""
+        """When `run_timers` is to be called next."""
         return self._timers[0][0] if self._timers else math.inf
 
     def open_session(
-        self, now: float, session: int, listener: int, customer: int, left: float,
-        load: float | None = None, group: int | None = None,
+        self, now: float, session: int, listener: int, customer: int, time_left: float,
+        load_hint: float | None = None, group: int | None = None,
     ) -> list[Command]:  # fmt: skip
-        """Place a new session whose client waits so many milliseconds."""
+        """Places a new session whose client waits for `time_left` milliseconds."""
         self._dials[session] = 0
         return self._commands(
-            now, self._node.open_session(now, SessionRequest(session, listener, customer, left, load, group))
+            now,
+            self._node.open_session(
+                now, SessionRequest(session, listener, customer, time_left, load_hint, group)
+            ),
         )
 
     def resume_session(
         self, now: float, session: int, listener: int, customer: int, host: int,
-        load: float | None = None, group: int | None = None,
+        load_hint: float | None = None, group: int | None = None,
     ) -> list[Command]:  # fmt: skip
-        """A session that stood on the host before this node started; its dial 0 counts as made."""
-        ask = SessionRequest(session, listener, customer, 0.0, load, group)
-        return self._commands(now, self._node.resume_session(now, ask, host))
+        """Registers a session established before this node started; its dial 0 counts as made."""
+        request = SessionRequest(session, listener, customer, 0.0, load_hint, group)
+        return self._commands(now, self._node.resume_session(now, request, host))
 
     def run_timers(self, now: float) -> list[Command]:
+        """Runs the timers that are due."""
         commands: list[Command] = []
         while self._timers and self._timers[0][0] <= now:
             _, _, token = heapq.heappop(self._timers)
@@ -189,55 +192,62 @@
         return self._commands(now, self._event(now, event))
 
     def forget_hosts(self, now: float) -> None:
-        """The caller was away for longer than figures last: what was known of the hosts is void."""
+        """Discards what is known of the hosts, after a suspension for longer than reports are valid."""
         self._node.forget_hosts(now)
 
     def is_avoided(self, now: float, host: int) -> bool:
-        """Whether a listed host is sent nothing now by this node's choice; changes nothing."""
+        """Whether this node currently sends nothing to a listed host by its own choice."""
         return self._node.is_avoided(now, host)
 
     @property
     def settings(self) -> Settings:
-        return self._node.set
+        return self._node.settings
 
     @property
     def fleet_state(self) -> FleetState:
-        """What the node tells other nodes and takes from them."""
+        """What the node exchanges with the other nodes."""
         return FleetState(self._node)
 
     def learned_state(self) -> dict[str, Any]:
-        """What is learned slowly, for another process of this node; hosts in the order of indices."""
-        n = self._node
-        return {"unit": n.unit, "mean": n.mean_hint, "asked": n.asked, "each": n.each, "able": list(n.able)}
-
-    def restore_learned_state(self, memory: dict[str, Any], able: dict[int, float]) -> None:
-        """The same at that process, with the loads of hosts under the indices that they have there."""
-        n = self._node
-        n.unit, n.mean_hint, n.asked, n.each = (memory[key] for key in ("unit", "mean", "asked", "each"))
-        for h, load in able.items():
-            n.able[h] = load
+        """Slowly learned values, for another process of this node; hosts are in index order."""
+        node = self._node
+        return {
+            "unit": node.unit_capacity, "mean": node.mean_hint, "asked": node.request_count,
+            "each": node.mean_session_load, "able": list(node.warm_capacity),
+        }  # fmt: skip
+
+    def restore_learned_state(self, learned: dict[str, Any], warm_capacity: dict[int, float]) -> None:
+        """Takes over another process's learned values; capacities are by this process's host indices."""
+        node = self._node
+        node.unit_capacity, node.mean_hint, node.request_count, node.mean_session_load = (
+            learned[key] for key in ("unit", "mean", "asked", "each")
+        )
+        for host, load in warm_capacity.items():
+            node.warm_capacity[host] = load
 
     def hand_over_slots(self, now: float) -> dict[int, float]:
-        """What another process of this node goes on with at cold hosts, which this one leaves to it."""
+        """Balances of the slow-start slots, which another process of this node uses from now on."""
         return self._node.hand_over_slots(now)
 
     def take_over_slots(self, now: float, saved: dict[int, float]) -> None:
+        """Continues the slow-start slots of another process of this node."""
         self._node.take_over_slots(now, saved)
 
     def take_slots_back(self) -> None:
+        """Uses the slow-start slots again, as the process that took them over has ended."""
         self._node.take_slots_back()
 
     @property
     def readmitted(self) -> dict[int, float]:
-        """Hosts that count as started when an operator called them back, and when that was."""
+        """Hosts that count as started when an operator lifted their ban, with that time."""
         return self._node.readmitted
 
     def accepts_sessions(self, host: int) -> bool:
-        """Whether anything new may go to the host."""
+        """Whether the host may get new sessions."""
         return self._node.state[host] is HostState.RUNNING
 
     def may_send_request(self, now: float, session: int) -> bool:
-        """Whether the session's dial, whose connection has come up, may still be sent its request line."""
+        """Whether the request may still be sent on the session's dial, whose connection is established."""
         return self._node.may_send_request(now, session)
 
     def _event(self, now: float, event: Event) -> list[Action]:
@@ -262,19 +272,19 @@
             case BanChanged(host, banned):
                 return self._node.set_ban(now, host, banned)
             case HostOverloaded(host, load):
-                return self.fleet_state.told_full(now, host, load)
+                return self.fleet_state.relieve_overloaded_host(now, host, load)
             case SubsetsChanged(preferred, preferred_near):
-                self._node.preferred, self._node.preferred_near = preferred, preferred_near
+                self._node.preferred, self._node.preferred_in_zone = preferred, preferred_near
                 return []
             case SettingsChanged(settings):
                 return self._node.apply_settings(now, settings)
         raise TypeError(f"unknown event: {event!r}")
 
     def _commands(self, now: float, actions: list[Action]) -> list[Command]:
-        return [command for act in actions if (command := self._command(now, act)) is not None]
+        return [command for action in actions if (command := self._command(now, action)) is not None]
 
-    def _command(self, now: float, act: Action) -> Command | None:
-        match act:
+    def _command(self, now: float, action: Action) -> Command | None:
+        match action:
             case Dial(session, host, until):
                 dial = self._dials[session]
                 self._dials[session] = dial + 1
@@ -295,5 +305,5 @@
                 self._timers_set += 1
                 heapq.heappush(self._timers, (now + after, self._timers_set, token))
             case Watch():
-                pass  # an agent on the node's own machine is watched from the start on
+                pass  # the local discovery agent is watched from the start
         return None
--- a/caperdeck/core/fleet_state.py
+++ b/caperdeck/core/fleet_state.py
@@ -1,133 +1,154 @@
-"""What a node's decisions tell the fleet and take from it: numbers and priors, never leave to send."""
+"""What a node exchanges with the others: counts, load reports and quotas, but never permission to dial."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-from .decide import FIGURE_LIFE, FRESH, FULL_LOAD, ILL, SETTLE, TRIGGER, Node
+from .decide import (
+    EJECTION_SCORE, FRESH_MS, FULL_LOAD, REPORT_LIFE_MS, SHED_INTERVAL_MS, SHED_THRESHOLD, Node,
+)  # fmt: skip
 from .model import Action, HostState
-from .quotas import ROOM_BUDGET
+from .quotas import HEADROOM_BUDGET
 
-SHORT_SPAN = 250.0  # a node is short for so long after a session found no host or no room
-KEPT = 0.5  # of what it saves a node lends the rest
+SHORTAGE_MS = 250.0  # how long a node counts as short of quota after a session found no host or no headroom
+KEPT_SHARE = 0.5  # share of its saved quota that a node keeps when it lends
 
 
 class HostObservation(NamedTuple):
-    """What the node has seen of a host: whether it answers, and when."""
+    """Whether a host answers this node, and when that was observed."""
 
     host: int
-    well: bool
-    seen: float
+    reachable: bool
+    observed_at: float
 
 
 class FleetState:
-    """One node's decisions, as the part that speaks with other nodes sees them. Pots as in quotas.py."""
+    """One node's decisions as seen by the exchange with other nodes. Budgets are numbered as in quotas.py."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
 
-    # ---- told to others
+    # ---- reported to other nodes
 
-    def dialled(self) -> int:
-        """Dials since the node started; grows only."""
-        return sum(self.node.sent.values())
+    def dials_started(self) -> int:
+        """Dials since the node started; never decreases."""
+        return sum(self.node.dial_counts.values())
 
-    def ended(self) -> int:
-        """Of these the ones that have ended, with the streams that came of them."""
-        return max(self.dialled() - sum(self.node.held), 0)
+    def dials_ended(self) -> int:
+        """Those of them that have ended, together with the sessions established by them."""
+        return max(self.dials_started() - sum(self.node.connections), 0)
 
-    def sent_cold(self) -> list[tuple[int, float, int]]:
-        """Cold hosts, their starts as the roster tells them, the dials since; grows only for one start."""
-        n = self.node
+    def cold_host_dials(self) -> list[tuple[int, float, int]]:
+        """Cold hosts, their starts per the roster, and the dials since; never decreases for one start."""
+        node = self.node
         return [
-            (h, n.roster_start[h], n.sent[h, n.roster_start[h]])
-            for h in n.cold
-            if (h, n.roster_start[h]) in n.sent
+            (host, node.roster_start[host], node.dial_counts[host, node.roster_start[host]])
+            for host in node.cold
+            if (host, node.roster_start[host]) in node.dial_counts
         ]
 
-    def wants(self, now: float) -> list[tuple[int, float]]:
-        """Pots in which the node is short, and the load that it would take there."""
-        n = self.node
-        if now - n.short_at > SHORT_SPAN:
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]:
+        """Budgets in which the node is short of quota, and the amount that it would borrow."""
+        node = self.node
+        if now - node.no_headroom_at > SHORTAGE_MS:
             return []
-        short = [(ROOM_BUDGET, n.part)] if n.rights.have(now, ROOM_BUDGET) <= 0 and n.part < math.inf else []
-        return short + [(h + 1, n.each) for h in n.cold if n.rights.have(now, h + 1) < n.each]
+        short = (
+            [(HEADROOM_BUDGET, node.headroom_share)]
+            if node.quotas.available(now, HEADROOM_BUDGET) <= 0 and node.headroom_share < math.inf
+            else []
+        )
+        return short + [
+            (host + 1, node.mean_session_load)
+            for host in node.cold
+            if node.quotas.available(now, host + 1) < node.mean_session_load
+        ]
 
-    def figures(self, now: float) -> list[tuple[int, float, float]]:
-        """The node's own looks: host, load over capacity, seen at."""
-        n = self.node
+    def load_reports(self, now: float) -> list[tuple[int, float, float]]:
+        """The node's own probe results: host, load over capacity, time of the report."""
+        node = self.node
         return [
-            (h, n.figure[h], n.figure_at[h]) for h in n.known
-            if n.figure[h] is not None and now - n.figure_at[h] < FIGURE_LIFE
-            and n.state[h] is HostState.RUNNING
+            (host, node.reported_load[host], node.reported_at[host]) for host in node.reported
+            if node.reported_load[host] is not None and now - node.reported_at[host] < REPORT_LIFE_MS
+            and node.state[host] is HostState.RUNNING
         ]  # fmt: skip
 
-    def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
-        """The node's own looks after that time which show a host past full load."""
-        return [row for row in self.figures(now) if row[1] > FULL_LOAD and row[2] > since]
-
-    def words(self, now: float) -> list[HostObservation]:
-        """Hosts that do not answer this node, and those that have."""
-        n = self.node
-        ill = [
-            HostObservation(h, False, now)
-            for h in n.ailing
-            if n.ill[h] >= ILL and n.state[h] is HostState.RUNNING
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
+        """The node's own probe results after `since` that show a host over full load."""
+        return [row for row in self.load_reports(now) if row[1] > FULL_LOAD and row[2] > since]
+
+    def host_observations(self, now: float) -> list[HostObservation]:
+        """Hosts that do not answer this node, and those that have answered it."""
+        node = self.node
+        failing = [
+            HostObservation(host, False, now)
+            for host in node.failing
+            if node.failure_score[host] >= EJECTION_SCORE and node.state[host] is HostState.RUNNING
         ]
-        return ill + [
-            HostObservation(h, True, n.seen_at[h]) for h, _, _ in self.figures(now) if n.ill[h] < ILL
+        return failing + [
+            HostObservation(host, True, node.probed_at[host])
+            for host, _, _ in self.load_reports(now)
+            if node.failure_score[host] < EJECTION_SCORE
         ]
 
-    def ill_everywhere(self, part: float) -> bool:
-        """Whether so large a part of the hosts that the node knows of looks ill: then it is rather itself."""
-        n = self.node
-        seen = n.known.keys() | n.ailing.keys()
-        return len(n.ailing) > part * len(seen)
+    def sees_most_failing(self, share: float) -> bool:
+        """Whether more than this share of the known hosts fail, so that the node itself is suspect."""
+        node = self.node
+        observed = node.reported.keys() | node.failing.keys()
+        return len(node.failing) > share * len(observed)
 
-    # ---- rights
+    # ---- quotas
 
-    def lend(self, now: float, budget: int, most: float) -> float:
-        """Gives away up to a half of what is saved; the node has it no more."""
-        n, cap = self.node, self.node.part
-        if budget != ROOM_BUDGET:
-            if budget - 1 not in n.cold:
+    def lend(self, now: float, budget: int, limit: float) -> float:
+        """Gives up at most half of the saved quota of a budget, for another node to use."""
+        node, cap = self.node, self.node.headroom_share
+        if budget != HEADROOM_BUDGET:
+            if budget - 1 not in node.cold:
                 return 0.0
-            rate = n.part_of_cold(now, budget - 1)
-            cap = rate * n.set.fall_span
-            # Danger: a lot that was won is a whole session's, more than is ever saved; it is in use.
-            if n.rights.saved[budget] <= cap:
-                n.mint_cold(now, budget - 1, cap)
-        saved = n.rights.saved[budget]
-        return n.rights.lend(budget, min(most, saved * (1 - KEPT))) if saved <= cap < math.inf else 0.0
+            rate = node.cold_host_share(now, budget - 1)
+            cap = rate * node.settings.fall_span
+            # A balance over the cap is a slot won for a whole session; it is in use and must not be cut.
+            if node.quotas.saved[budget] <= cap:
+                node.accrue_cold(now, budget - 1, cap)
+        saved = node.quotas.saved[budget]
+        return (
+            node.quotas.lend(budget, min(limit, saved * (1 - KEPT_SHARE))) if saved <= cap < math.inf else 0.0
+        )
 
     def borrow(self, now: float, budget: int, amount: float, until: float) -> None:
-        n = self.node
-        if n.part < math.inf if budget == ROOM_BUDGET else budget - 1 in n.cold:
-            n.rights.borrow(now, budget, amount, until)
-
-    def told_full(self, now: float, h: int, figure: float) -> list[Action]:
-        """Other nodes' looks show the host past full load: this node's share of the excess goes."""
-        n = self.node
-        if n.state[h] is HostState.RUNNING:
-            n._relieve(now, h, figure + n._pile(now, h), TRIGGER, True, SETTLE)
-        return n._done()
-
-    # ---- priors
-
-    def told(self, now: float, h: int, figure: float, seen: float) -> None:
-        """Another node's look: says whether the host is worth one of the own, which then decides."""
-        n = self.node
-        if seen > n.prior_at[h]:
-            n.prior[h], n.prior_at[h] = figure, min(seen, now)
-
-    def told_lost(self, now: float, h: int, until: float) -> None:
-        """Enough others found the host lost: as if the own look had failed, unless it has just answered."""
-        n = self.node
-        if n.state[h] is HostState.RUNNING and now - n.seen_at[h] > FRESH:
-            n.unseen[h] = max(n.unseen[h], min(until, now + FRESH * (0.75 + n.chance() / 2)))
-
-    def others_send(self, alike: float | None) -> None:
-        """So many nodes like this one would send what all do together; None where that is not known."""
-        n = self.node
-        n.fleet = n.set.nodes if alike is None else min(max(alike, 1.0), float(n.set.nodes))
+        """Takes a loan from another node, unless the budget does not apply here any more."""
+        node = self.node
+        if node.headroom_share < math.inf if budget == HEADROOM_BUDGET else budget - 1 in node.cold:
+            node.quotas.borrow(now, budget, amount, until)
+
+    def relieve_overloaded_host(self, now: float, host: int, load_ratio: float) -> list[Action]:
+        """Moves this node's share of the excess off a host that other nodes saw over full load."""
+        node = self.node
+        if node.state[host] is HostState.RUNNING:
+            node._shed_load(
+                now, host, load_ratio + node._backlog_load(now, host), SHED_THRESHOLD, True, SHED_INTERVAL_MS
+            )
+        return node._take_actions()
+
+    # ---- load and reachability as other nodes report them
+
+    def take_peer_load(self, now: float, host: int, load_ratio: float, reported_at: float) -> None:
+        """Records another node's probe result, which only tells whether a probe by this node is worth it."""
+        node = self.node
+        if reported_at > node.peer_load_at[host]:
+            node.peer_load[host], node.peer_load_at[host] = load_ratio, min(reported_at, now)
+
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None:
+        """Treats the report of enough others as a failed probe, unless the host has just answered here."""
+        node = self.node
+        if node.state[host] is HostState.RUNNING and now - node.probed_at[host] > FRESH_MS:
+            node.no_probe_until[host] = max(
+                node.no_probe_until[host], min(until, now + FRESH_MS * (0.75 + node.chance() / 2))
+            )
+
+    def set_sender_count(self, senders: float | None) -> None:
+        """How many nodes like this one would send as much as all nodes together do; None if unknown."""
+        node = self.node
+        node.senders = (
+            node.settings.nodes if senders is None else min(max(senders, 1.0), float(node.settings.nodes))
+        )
--- a/caperdeck/core/model.py
+++ b/caperdeck/core/model.py
@@ -1,7 +1,7 @@
-"""The interface of the decisions: what a front hands in and what it gets back. No logic.
+"""Data types that pass between the decisions and their callers, and the state kept of each session. No logic.
 
-Times are float milliseconds on the front's clock. Sessions and hosts are small indices that the front
-gives out, per node and in the order in which the node first hears of them. Loads are milliseconds of
+Times are float milliseconds on the caller's clock. Sessions and hosts are small integer indices that the
+caller assigns per node, in the order in which the node first hears of them. Session loads are milliseconds of
 work a second.
 """
 
@@ -12,8 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-
-START_UNKNOWN = 0.0  # the start of a host whose start is not told, on any clock
+START_UNKNOWN = 0.0  # start of a host whose start the roster does not give, on any clock
 
 
 class Effect(IntEnum):
@@ -39,6 +38,8 @@
 
 
 class RosterScope(IntEnum):
+    """What a roster message covers, or that the roster could not be fetched."""
+
     CHANGES = 0
     FULL = 1
     SAVED = 2
@@ -46,7 +47,7 @@
 
 
 class Outcome(IntEnum):
-    """How a dial, or the stream that came of it, ended."""
+    """How a dial, or the session established by it, ended."""
 
     GOOD = 0
     ERROR = 1
@@ -62,6 +63,8 @@
 
 
 class NoteKind(IntEnum):
+    """What a host reports about an established session."""
+
     LOAD = 1
     MESSAGE_DELAY = 2
 
@@ -70,7 +73,7 @@
 class Listener:
     effect: Effect
     scope: Scope
-    memory_span: float
+    memory_span: float  # how long a host remembers what it ran, to drop repeats
     handshake_target: float
     message_target: float
     utility: float
@@ -79,31 +82,31 @@
 @dataclass(frozen=True, slots=True)
 class Settings:
     seed: int
-    me: float  # the own number among the nodes; drawn where none is given
+    node_number: float  # this node's number among the nodes; drawn at random where none is configured
     nodes: int
     zone: int
     listeners: tuple[Listener, ...]
     max_dials: int
     may_withdraw: bool
     may_probe: bool
-    figures: bool  # hosts tell load or work piled up when probed
-    back_off: bool
+    reports_load: bool  # hosts report their load or their backlog when probed
+    may_back_off: bool
     max_back_off: float
-    cold_from: float
+    cold_from: float  # share of its capacity that a host has at its start
     warm_after: float
-    fall_multiple: float
+    fall_multiple: float  # a cold host fails above this multiple of its capacity
     fall_span: float
     subscribe: bool
     ask_every: float
-    cross_price: float
-    sizes_stand: bool
+    cross_zone_price: float
+    sizes_are_nominal: bool  # listed sizes are the hosts' own, not lowered by what they hold
 
 
 class RosterEntry(NamedTuple):
-    """A line of the roster; mark and boot are alike at every node.
+    """One host of the roster; `stable_id` and `roster_start` are the same at every node.
 
-    born is the host's start on this node's clock; boot is the same as the roster tells it, and names the
-    start. Both are 0 where it started long ago.
+    `started_at` is the host's start on this node's clock. `roster_start` is the same start as the roster
+    gives it, and identifies it. Both are 0 if the host started long ago.
     """
 
     host: int
@@ -117,8 +120,10 @@
 
 
 class LoadReport(NamedTuple):
-    """What a probe told: load over capacity, work piled up in milliseconds, and the connections that the host
-    holds for all nodes together; None where not told.
+    """A host's answer to a probe; None for each value that it does not report.
+
+    `load` is load over capacity, `backlog` is waiting work in milliseconds, `connections` counts those of all
+    nodes.
     """
 
     load: float | None = None
@@ -127,18 +132,23 @@
 
 
 class SessionRequest(NamedTuple):
-    """A session as it arrives; left is the time until its dial timeout, load is None without a hint,
-    group where connections of one group share work.
+    """A new session.
+
+    `time_left` is the time until its dial timeout. `load_hint` is None if the client gave none. Sessions of
+    one group share work on a host.
     """
 
     session: int
     listener: int
     customer: int
-    left: float
-    load: float | None
+    time_left: float
+    load_hint: float | None
     group: int | None
 
 
+# ---- actions
+
+
 class Dial(NamedTuple):
     session: int
     host: int
@@ -168,7 +178,7 @@
 
 
 class Wake(NamedTuple):
-    """Asks for a bell with this token after the given time."""
+    """Requests a timer with this token after the given time."""
 
     after: float
     token: int
@@ -181,7 +191,7 @@
 Action = Dial | Withdraw | Refuse | TearDown | Move | Probe | Wake | Watch
 
 
-# ---- what a node keeps of a session that it holds
+# ---- state that a node keeps of a session
 
 
 @dataclass(slots=True)
@@ -189,31 +199,31 @@
     """A dial that was made."""
 
     host: int
-    at: float
-    started_at: float  # the host's start, as the roster had it then
-    group: int  # of the hosts that drop repeats of it, as the roster had it then
+    sent_at: float
+    host_started_at: float  # per the roster at the time of the dial
+    dedup_group: int  # of the hosts that drop repeats of it, per the roster at the time of the dial
     may_have_run: bool = True
 
 
 @dataclass(slots=True, eq=False)
 class SessionState:
-    """A session from its ask to its end."""
+    """A session from its request to its end."""
 
     id: int
-    listener: Listener  # of the settings under which it came, as is
-    most_dials: int
-    asked: float
+    listener: Listener  # settings under which the session began; later changes do not apply to it
+    max_dials: int
+    requested_at: float
     deadline: float
-    usual: float | None  # the usual-load hint
+    load_hint: float | None
     group: int | None
     dials: list[DialRecord] = field(default_factory=list)
-    out: bool = False  # a dial is out or a stream stands
-    stands: float | None = None  # since when
-    answered: bool = False  # concluded for the client: nothing may be sent any more
-    present: float | None = None  # the last load note
-    smooth: float = 0.0
-    noted: float = 0.0
-    looking: set[int] = field(default_factory=set)  # hosts whose figures it waits for
-    wakes: float = 0.0  # and until when, at the most
-    lots: list[int] = field(default_factory=list)  # cold hosts with a slot open to it
-    run: Generator | None = None
+    has_host: bool = False  # a dial is in progress or the session is established
+    established_at: float | None = None
+    answered: bool = False  # concluded for the client: nothing more may be sent
+    last_load: float | None = None  # from the last load note
+    smoothed_load: float = 0.0
+    last_load_at: float = 0.0
+    awaited_hosts: set[int] = field(default_factory=set)  # hosts whose probe results it waits for
+    waits_until: float = 0.0  # latest end of the current wait
+    open_slots: list[int] = field(default_factory=list)  # cold hosts with a slot open to it
+    steps: Generator | None = None
--- a/caperdeck/core/slow_start.py
+++ b/caperdeck/core/slow_start.py
@@ -1,6 +1,6 @@
-"""Slots: what a node may send a cold host is open to it one by one, in its turn among all nodes.
+"""Slow start: a node's share of what may be sent to cold hosts, as slots staggered over all nodes.
 
-Loads are milliseconds of work a second, times are float milliseconds.
+Session loads are milliseconds of work a second, times are float milliseconds.
 """
 
 from __future__ import annotations
@@ -12,137 +12,151 @@
 from .model import SessionState
 from .warmup import mean_share, warm_time
 
-COLD_PART = 0.75  # of a cold host's budget, for all nodes' parts together
-LOOK_AGAIN = 0.5  # of the time in which a slot opens at the soonest; what it takes may change meanwhile
+COLD_BUDGET_SHARE = 0.75  # share of a cold host's budget that all nodes together use
+RECHECK_SHARE = 0.5  # part of the shortest time to the next slot until it is computed again, as rates change
 
 
 class ColdSlots(HostTable):
-    """The own part of the budgets of cold hosts. The base of Node, which says what sessions weigh."""
+    """This node's share of cold hosts' budgets. The base class of Node, which knows the sessions' loads."""
 
     @abstractmethod
     def chance(self) -> float:
         """A random number from 0 to under 1."""
 
     @abstractmethod
-    def _forecast(self, now: float, s: SessionState) -> float:
+    def _forecast(self, now: float, session: SessionState) -> float:
         """The load that the session is expected to bring."""
 
     @abstractmethod
-    def _fills(self, h: int) -> float:
+    def _warm_capacity(self, host: int) -> float:
         """The load that fills a host once it is warm."""
 
-    def _cold_rate(self, now: float, h: int) -> float:
-        """Of what fills a cold host, so much all nodes together send it in a millisecond."""
-        return self._warmth(now, h) * self._warm_rate()
+    def _cold_fill_rate(self, now: float, host: int) -> float:
+        """The share of a cold host's warm capacity that all nodes together send it in a millisecond."""
+        return self._warm_share(now, host) * self._warm_fill_rate()
 
-    def _warm_rate(self) -> float:
-        """The same at the end of its warm-up, when it grows no more."""
+    def _warm_fill_rate(self) -> float:
+        """The same rate at the end of the warm-up, when it no longer grows."""
         # a cold host takes new load no faster than would fill it over its warm-up
-        return COLD_PART * self.set.fall_multiple / self.set.warm_after
-
-    def _slot(self, now: float, h: int) -> float:
-        """The load of one slot: what the node may send a cold host is open to it one by one, in its turn."""
-        # Danger: drawn by each node for itself, what all of them send in a second scatters by its root, and
-        # pushes one host in twenty over. Spread over the fleet by number, and taken up anew from the common
-        # clock by a process that starts, the slots of all nodes together come due one after the other.
-        slot, budget, warm_part = self._mean_load(), h + 1, self.part_of_warm(h)
+        return COLD_BUDGET_SHARE * self.settings.fall_multiple / self.settings.warm_after
+
+    def _slot_size(self, now: float, host: int) -> float:
+        """Brings this node's slots at a cold host up to date; returns the load of one slot."""
+        # If each node drew its moments at random, what all nodes send in a second would vary by its root, and
+        # push one host in twenty over. As the slots are staggered over the fleet by node number, and taken up
+        # from the common clock by a process that starts, those of all nodes come due one after the other.
+        slot, budget, warm_rate = self._typical_session_load(), host + 1, self.warm_host_share(host)
         if not slot:
             return math.inf
-        if not self.in_turn[h]:
-            grown = warm_time(now - self.started_at[h], self.set.cold_from, self.set.warm_after)
-            turn = warm_part * grown / slot + self.set.me / self.set.nodes
-            self.rights.settle(now, budget, (turn + self.stable_id[h] / 2**32) % 1 * slot)
-            self.in_turn[h] = True
-        self.mint_cold(now, h)
-        # Danger: kept open for long, slots that lay idle are used at once when clients come in a wave. Those
-        # of this time and of the rule's span are the budget and most of what is put down to chance.
-        rate = warm_part * self._warmth(now, h)
-        calls = rate * self.set.nodes * self.set.fall_span / COLD_PART / slot
-        lasts = ((1 + 1.5 * (calls**-0.5 + 1 / calls)) / COLD_PART - 1) * self.set.fall_span
-        self.rights.lapse(budget, slot, slot + rate * lasts)
+        if not self.slots_started[host]:
+            grown = warm_time(now - self.started_at[host], self.settings.cold_from, self.settings.warm_after)
+            phase = warm_rate * grown / slot + self.settings.node_number / self.settings.nodes
+            self.quotas.set_balance(now, budget, (phase + self.stable_id[host] / 2**32) % 1 * slot)
+            self.slots_started[host] = True
+        self.accrue_cold(now, host)
+        # Slots left unused for long would all be used at once by a wave of clients. The slots kept are those
+        # of this moment and of the span of the overload rule: the budget and most of its random variation.
+        rate = warm_rate * self._warm_share(now, host)
+        calls = rate * self.settings.nodes * self.settings.fall_span / COLD_BUDGET_SHARE / slot
+        kept_span = ((1 + 1.5 * (calls**-0.5 + 1 / calls)) / COLD_BUDGET_SHARE - 1) * self.settings.fall_span
+        self.quotas.expire(budget, slot, slot + rate * kept_span)
         return slot
 
-    def mint_cold(self, now: float, h: int, most: float = math.inf) -> None:
-        """The own part of a cold host's budget grows up to now, however long ago that was last worked out."""
-        span = now - self.rights.at[h + 1]
+    def accrue_cold(self, now: float, host: int, cap: float = math.inf) -> None:
+        """Accrues this node's share of a cold host's budget since it was last accrued."""
+        span = now - self.quotas.accrued_at[host + 1]
         if span > 0:
-            share = mean_share(now - self.started_at[h], span, self.set.cold_from, self.set.warm_after)
-            self.rights.mint(now, h + 1, self.part_of_warm(h) * share, most)
+            share = mean_share(
+                now - self.started_at[host], span, self.settings.cold_from, self.settings.warm_after
+            )
+            self.quotas.accrue(now, host + 1, self.warm_host_share(host) * share, cap)
 
-    def _lots(self, now: float, s: SessionState) -> list[int]:
+    def _open_slots(self, now: float, session: SessionState) -> list[int]:
         """The cold hosts with a slot that is open to the session."""
-        if self.slots_elsewhere:
+        if self.slots_handed_over:
             return []
-        idle_until = self.rights.idle_until
-        return [h for h in self.cold if idle_until[h + 1] <= now and self._lot(now, s, h)]
-
-    def _lot(self, now: float, s: SessionState, h: int) -> bool:
+        idle_until = self.quotas.idle_until
+        return [
+            host
+            for host in self.cold
+            if idle_until[host + 1] <= now and self._slot_is_open(now, session, host)
+        ]
+
+    def _slot_is_open(self, now: float, session: SessionState, host: int) -> bool:
         """Whether a slot at a cold host is open to the session."""
-        slot = self._slot(now, h)
-        if (lacking := slot - self.rights.have(now, h + 1)) > 0:
-            # Danger: worked out for each of thousands of cold hosts and each session, slots use a whole core.
+        slot = self._slot_size(now, host)
+        if (lacking := slot - self.quotas.available(now, host + 1)) > 0:
+            # Computing the slots of thousands of cold hosts for each session would take a whole core.
             if lacking < math.inf:
-                soonest = lacking / (self.part_of_warm(h) or math.inf)
-                self.rights.idle_until[h + 1] = now + LOOK_AGAIN * soonest
+                soonest = lacking / (self.warm_host_share(host) or math.inf)
+                self.quotas.idle_until[host + 1] = now + RECHECK_SHARE * soonest
             return False
-        price = self._price(now, s)
+        price = self._slot_price(now, session)
         if price <= slot or self.chance() * price < slot:
             return True
-        # what is heavier draws, and has used the slot either way
-        self.rights.spend(now, h + 1, slot)
+        # a session heavier than the slot is admitted at random, and uses up the slot either way
+        self.quotas.spend(now, host + 1, slot)
         return False
 
-    def part_of_cold(self, now: float, h: int) -> float:
-        """The own part, in load a millisecond, of what all nodes together send a cold host."""
-        return self._warmth(now, h) * self.part_of_warm(h)
-
-    def part_of_warm(self, h: int) -> float:
-        """The same at the end of its warm-up."""
-        fill = self._fills(h) or self.mean_hint * self.set.warm_after / self.set.fall_span
-        return self._warm_rate() * fill / self.set.nodes
-
-    def _mean_load(self) -> float:
-        """Of a connection: of those that stand, or of those that asked while none is known."""
-        return self.each or self.mean_hint
-
-    def _price(self, now: float, s: SessionState) -> float:
-        # Danger: at the mean's price heavy sessions come by chance in one second, and a host is pushed over;
-        # and clients that are refused ask again and again, heavy ones most, and double the mean of all.
-        return max(self._forecast(now, s), self._mean_load())
-
-    def _open(self, now: float, s: SessionState, h: int) -> bool:
-        slot = self._mean_load()
-        if self._warmth(now, h) >= 1:
+    def cold_host_share(self, now: float, host: int) -> float:
+        """This node's share, in load a millisecond, of what all nodes together send to a cold host."""
+        return self._warm_share(now, host) * self.warm_host_share(host)
+
+    def warm_host_share(self, host: int) -> float:
+        """The same share at the end of the warm-up."""
+        fill = (
+            self._warm_capacity(host) or self.mean_hint * self.settings.warm_after / self.settings.fall_span
+        )
+        return self._warm_fill_rate() * fill / self.settings.nodes
+
+    def _typical_session_load(self) -> float:
+        """The mean load of established sessions, or of requested ones while none is known."""
+        return self.mean_session_load or self.mean_hint
+
+    def _slot_price(self, now: float, session: SessionState) -> float:
+        # If every session cost the mean, several heavy ones would sometimes come in one second and push a
+        # host over. The mean of requests alone is too high: refused clients retry, heavy ones most of all,
+        # and can double it.
+        return max(self._forecast(now, session), self._typical_session_load())
+
+    def _slot_available(self, now: float, session: SessionState, host: int) -> bool:
+        """Whether the host is warm, or an open slot at it still has enough quota."""
+        slot = self._typical_session_load()
+        if self._warm_share(now, host) >= 1:
             return True
-        return not self.slots_elsewhere and h in s.lots and self.rights.have(now, h + 1) >= slot
-
-    def _pay(self, now: float, s: SessionState, h: int) -> bool:
-        """At the gate: what goes to a cold host takes a slot that is open to it."""
-        if not self._open(now, s, h):
+        return (
+            not self.slots_handed_over
+            and host in session.open_slots
+            and self.quotas.available(now, host + 1) >= slot
+        )
+
+    def _take_slot(self, now: float, session: SessionState, host: int) -> bool:
+        """Takes the slot for a dial to a cold host; False if none is available."""
+        if not self._slot_available(now, session, host):
             return False
-        if self._warmth(now, h) < 1:
-            self.rights.spend(now, h + 1, self._mean_load())
+        if self._warm_share(now, host) < 1:
+            self.quotas.spend(now, host + 1, self._typical_session_load())
         return True
 
-    # ---- two processes of one node
+    # ---- two processes of one node during an upgrade
 
     def hand_over_slots(self, now: float) -> dict[int, float]:
-        """Another process of this node sends to the cold hosts from now on: what it goes on with, by host."""
-        # Danger: the slots are the node's; two processes that use them at once use them twice.
-        self.slots_elsewhere = True
-        for h in self.cold:
-            self._slot(now, h)
-        return {h: self.rights.saved[h + 1] for h in self.cold if self.in_turn[h]}
+        """Leaves the slots to another process of this node; returns their balances by host."""
+        # The slots belong to the node: two processes that use them at the same time would use them twice.
+        self.slots_handed_over = True
+        for host in self.cold:
+            self._slot_size(now, host)
+        return {host: self.quotas.saved[host + 1] for host in self.cold if self.slots_started[host]}
 
     def take_over_slots(self, now: float, slots: dict[int, float]) -> None:
-        """The same at that process."""
-        for h, saved in slots.items():
-            self.rights.settle(now, h + 1, saved)
-            self.in_turn[h] = True
+        """Continues the slots of another process of this node from their balances."""
+        for host, saved in slots.items():
+            self.quotas.set_balance(now, host + 1, saved)
+            self.slots_started[host] = True
 
     def take_slots_back(self) -> None:
-        """That process has ended; the slots are taken up anew, as at a start."""
-        self.slots_elsewhere = False
-        for h in self.cold:
-            self.in_turn[h] = False
-            self.rights.look_again(h + 1)
+        """Uses the slots again after the other process has ended; they are set up anew, as at a start."""
+        self.slots_handed_over = False
+        for host in self.cold:
+            self.slots_started[host] = False
+            self.quotas.clear_idle(host + 1)
--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -437,7 +437,7 @@
         """Tells the decisions which hosts this node draws first."""
         if self.subsets is None:
             return
-        sized = self.balancer.settings.sizes_stand
+        sized = self.balancer.settings.sizes_are_nominal
         reason = self.subsets.update([
             Place(e.host, e.stable_id, sized and e.size or 1.0, e.zone)
             for e, state in zip(self.hosts.entry, self.hosts.state, strict=True)
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from caperdeck.core.facade import Event, HostOverloaded
-from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
 
 from .judgements import ILL_EVERYWHERE, Kind
@@ -36,32 +36,33 @@
 
     def _budget(self, mark: int) -> int | None:
         if mark == ROOM:
-            return ROOM_BUDGET
+            return HEADROOM_BUDGET
         h = self._host(mark)
         return None if h is None else h + 1
 
     def show(self, now: float) -> Shown:
         node, uses, mark = self.shares.node, self.uses, self.shares.node.stable_id
-        words = self.shares.words(now) if uses.lost else []
+        words = self.shares.host_observations(now) if uses.lost else []
         return Shown(
             self.counts() if uses.weight else [],
-            [(mark[h], x, at) for h, x, at in self.shares.figures(now)] if uses.prior else [],
-            [(mark[w.host], Kind.WELL if w.well else Kind.LOST, w.seen) for w in words],
-            uses.lost and self.shares.ill_everywhere(ILL_EVERYWHERE),
+            [(mark[h], x, at) for h, x, at in self.shares.load_reports(now)] if uses.prior else [],
+            [(mark[w.host], Kind.WELL if w.reachable else Kind.LOST, w.observed_at) for w in words],
+            uses.lost and self.shares.sees_most_failing(ILL_EVERYWHERE),
             len(node.running),
         )
 
     def wants(self, now: float) -> list[tuple[int, float]]:
         mark = self.shares.node.stable_id
         return [
-            (ROOM if budget == ROOM_BUDGET else mark[budget - 1], x) for budget, x in self.shares.wants(now)
+            (ROOM if budget == HEADROOM_BUDGET else mark[budget - 1], x)
+            for budget, x in self.shares.wanted_quota(now)
         ]
 
     def counts(self) -> list[tuple[int, int]]:
         s, mark = self.shares, self.shares.node.stable_id
         # a host that starts anew is counted anew: all nodes have the same mark and start for it
-        cold = [(host_pot(mark[h], born), count) for h, born, count in s.sent_cold()]
-        return [(DIALS, s.dialled()), (ENDED, s.ended()), *cold]
+        cold = [(host_pot(mark[h], born), count) for h, born, count in s.cold_host_dials()]
+        return [(DIALS, s.dials_started()), (ENDED, s.dials_ended()), *cold]
 
     def lend(self, now: float, budget: int, most: float) -> float:
         own = self._budget(budget)
@@ -73,19 +74,19 @@
 
     def told(self, now: float, host: int, figure: float, seen: float) -> None:
         if (h := self._host(host)) is not None:
-            self.shares.told(now, h, figure, seen)
+            self.shares.take_peer_load(now, h, figure, seen)
 
     def told_lost(self, now: float, host: int, until: float) -> None:
         if (h := self._host(host)) is not None:
-            self.shares.told_lost(now, h, until)
+            self.shares.take_unreachable_report(now, h, until)
 
     def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
         mark = self.shares.node.stable_id
-        return [(mark[h], x, at) for h, x, at in self.shares.overfull(now, since)]
+        return [(mark[h], x, at) for h, x, at in self.shares.overloaded_hosts(now, since)]
 
     def told_full(self, now: float, host: int, figure: float) -> None:
         if (h := self._host(host)) is not None:
             self.report(HostOverloaded(h, figure))
 
     def others_send(self, alike: float | None) -> None:
-        self.shares.others_send(alike)
+        self.shares.set_sender_count(alike)
--- a/caperdeck/lab/capacity/load.py
+++ b/caperdeck/lab/capacity/load.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from caperdeck.core.decide import TICK
+from caperdeck.core.decide import TICK_MS
 
 from .figure import Figure, figure, total
 from .lines import Lines, assume, line_cost
@@ -12,7 +12,7 @@
 
 DAY, YEAR = 86_400.0, 365 * 86_400.0  # seconds
 MS = 1000.0  # milliseconds a second
-TICKS = MS / TICK  # a second
+TICKS = MS / TICK_MS  # a second
 
 
 class Load(msgspec.Struct, frozen=True):
--- a/caperdeck/lab/capacity/roles/host.py
+++ b/caperdeck/lab/capacity/roles/host.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caperdeck.core.decide import ALL_LOOKS, PROBE_EVERY
+from caperdeck.core.decide import FREE_PROBES, PROBE_INTERVAL_MS
 
 from ..figure import Figure
 from ..fleet import Fleet
@@ -31,7 +31,7 @@
                 Kind.MESSAGES,
                 "probes a second that no session pays for",
                 "/s",
-                Figure(ALL_LOOKS * MS / PROBE_EVERY),
+                Figure(FREE_PROBES * MS / PROBE_INTERVAL_MS),
                 note="of all nodes together, at any size",
             ),
             row(
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -27,22 +27,22 @@
     def __init__(self, me: int, now: float, life: int = 1) -> None:
         self.me, self.life, self.awake = me, life, True
         self.rights, self.loans = Quotas(), Loans(life * 100)
-        self.rights.grow(now, 0)
+        self.rights.add_budget(now, 0)
         self.own, self.lent = (), ()
 
     def clone(self) -> NodeModel:
         c = object.__new__(type(self))
         c.me, c.life, c.awake, c.own, c.lent = self.me, self.life, self.awake, self.own, self.lent
         c.rights, c.loans = Quotas(), Loans(self.loans.nonce)
-        for name in ("saved", "at", "loan", "until", "idle_until"):
+        for name in ("saved", "accrued_at", "loan", "loan_ends_at", "idle_until"):
             setattr(c.rights, name, list(getattr(self.rights, name)))
         c.loans.asked, c.loans.answered = dict(self.loans.asked), dict(self.loans.answered)
         return c
 
     def key(self) -> tuple:
         r = self.rights
-        return (self.life, self.awake, self.own, self.lent, r.saved[0], r.at[0], r.loan[0], r.until[0],
-                tuple(self.loans.asked.items()), tuple(self.loans.answered))  # fmt: skip
+        return (self.life, self.awake, self.own, self.lent, r.saved[0], r.accrued_at[0], r.loan[0],
+                r.loan_ends_at[0], tuple(self.loans.asked.items()), tuple(self.loans.answered))  # fmt: skip
 
     def part(self, heard: int) -> float:
         """Of the fleet's rate, what this node mints."""
@@ -87,7 +87,7 @@
                 continue
             if self.left["ask"] and not n.loans.asked:
                 out += [("ask", i, j) for j in range(NODES) if j != i]
-            if n.rights.saved[0] or n.rights.loan[0] or n.rights.at[0] < self.now(i):
+            if n.rights.saved[0] or n.rights.loan[0] or n.rights.accrued_at[0] < self.now(i):
                 out.append(("spend", i))
             out += [(fault, i) for fault in ("die", "sleep") if self.left[fault]]
         for m in dict.fromkeys(self.flying):
@@ -147,8 +147,8 @@
         i, now = n.me, self.now(n.me)
         heard = sum(x.awake for x in self.nodes)
         rate = NODES / SAVED * n.part(heard)
-        since, before = n.rights.at[0], n.rights.saved[0]
-        n.rights.mint(now, 0, rate, rate * SAVED)
+        since, before = n.rights.accrued_at[0], n.rights.saved[0]
+        n.rights.accrue(now, 0, rate, rate * SAVED)
         new = round((now - since) * rate)
         minted = [since + (k + 1) / rate for k in range(new)]
         n.own = (n.own + tuple(minted))[max(len(n.own) + new - round(n.rights.saved[0]), 0) :]
@@ -159,7 +159,7 @@
     def spend(self, i: int) -> None:
         n, now = self.nodes[i], self.now(i)
         self.mint(n)
-        have = n.rights.have(now, 0)
+        have = n.rights.available(now, 0)
         n.rights.spend(now, 0, have)
         held = [right for right, until in n.lent if now < until] + [(i, x) for x in n.own]
         held += [right for right, until in n.lent if now >= until]
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -42,7 +42,7 @@
         return [(0, SAVED * RATE)] if self.short else []
 
     def mint(self, now: float) -> float:
-        return self.rights.mint(now, 0, RATE, RATE * SAVED)
+        return self.rights.accrue(now, 0, RATE, RATE * SAVED)
 
     def lend(self, now: float, budget: int, most: float) -> float:
         self.mint(now)
@@ -93,7 +93,7 @@
     def start(self, i: int) -> None:
         self.lives[i] += 1
         stub = self.stubs[i] = Stub()
-        stub.rights.grow(self.clock(i), 0)
+        stub.rights.add_budget(self.clock(i), 0)
         seed = self.seed * 1009 + i * 31 + self.lives[i]
         self.nodes[i] = Sharing(stub, i, self.members, 100 + self.lives[i], seed, self.clock(i), self.uses)
         self.at(0.0, self.tick, i, self.lives[i])
--- a/caperdeck/lifecycle/config.py
+++ b/caperdeck/lifecycle/config.py
@@ -12,7 +12,7 @@
 
 from caperdeck.core.model import Settings
 from caperdeck.core.settings import (
-    MS, Names, SettingsError, decode_names, decode_settings, figure, need,
+    MS, Names, SettingsError, decode_names, decode_settings, read_number, require,
 )  # fmt: skip
 from caperdeck.state.addresses import Address, AddressError, parse_address
 from caperdeck.state.limits import Limits
@@ -130,18 +130,18 @@
 
 
 def decode_config(raw: dict[str, Any], scratch: str | None = None) -> Config:
-    setup = need(raw, "settings", "")
-    need(setup, "limits", "settings.")
+    setup = require(raw, "settings", "")
+    require(setup, "limits", "settings.")
     known = raw.get("known") or {}
     sockets = int((raw.get("limits") or {}).get("sockets", 1024))
     if sockets < LEAST_SOCKETS:
         raise SettingsError(f"limits.sockets is {sockets}, at least {LEAST_SOCKETS} are needed")
-    discovery = need(raw, "discovery", "")
+    discovery = require(raw, "discovery", "")
     parse_address(discovery)
     admin = parse_address(raw["admin_addr"]) if raw.get("admin_addr") else None
     return Config(
         name=str(raw.get("name")),
-        listen=parse_address(need(raw, "listen", "")),
+        listen=parse_address(require(raw, "listen", "")),
         discovery=discovery,
         sockets=sockets,
         rev=int(known.get("rev", 0)),
@@ -166,15 +166,15 @@
 
 def decode_limits(setup: dict[str, Any]) -> Limits:
     rows, limits = setup["listeners"], setup["limits"]
-    max_back_off = figure(limits, "maxRetryAfter", "limits.", 0.0, least=0.0) * MS
+    max_back_off = read_number(limits, "maxRetryAfter", "limits.", 0.0, minimum=0.0) * MS
     return Limits(
-        connect_time_out=figure(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
+        connect_time_out=read_number(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
         probes=bool(limits.get("mayProbe", False)),
         reports=(setup.get("report") or {}).get("how") != "silent",
         max_back_off=max_back_off if limits.get("retryAfter") else 0.0,
         longest_wait=MS
-        * max(figure(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
-        idle=max(figure(limits, "connIdle", "limits.", LEAST_IDLE), LEAST_IDLE) * MS,
+        * max(read_number(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
+        idle=max(read_number(limits, "connIdle", "limits.", LEAST_IDLE), LEAST_IDLE) * MS,
         list_life=_list_life(setup),
     )
 
@@ -183,5 +183,5 @@
     """Half of the grace of a drain, the other half for stalls, where lists are pushed; milliseconds."""
     if setup.get("discovery") == "subscribe":
         return math.inf
-    grace = figure(setup["invariants"], "drainGrace", "invariants.", DRAIN_GRACE, least=0.0)
+    grace = read_number(setup["invariants"], "drainGrace", "invariants.", DRAIN_GRACE, minimum=0.0)
     return max(grace / 2, LEAST_LIST_LIFE) * MS
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -116,14 +116,14 @@
         return [u for u, state in zip(hosts.uid, hosts.state, strict=True) if state is HostState.RUNNING]
 
     def _words(self) -> list:
-        return self.desk.balancer.fleet_state.words(self.desk.clock())
+        return self.desk.balancer.fleet_state.host_observations(self.desk.clock())
 
     def _ill(self) -> list[str] | None:
-        if self.desk.balancer.fleet_state.ill_everywhere(ILL_EVERYWHERE):
+        if self.desk.balancer.fleet_state.sees_most_failing(ILL_EVERYWHERE):
             return None
-        uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.well]
+        uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.reachable]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
 
     def _well(self, uid: str) -> bool:
         h = self.desk.hosts.index.get(uid)
-        return any(w.well and w.host == h for w in self._words())
+        return any(w.reachable and w.host == h for w in self._words())
--- a/caperdeck/simwire/__init__.py
+++ b/caperdeck/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The front for the simulator's wire: reads events, writes actions, decides nothing."""
+"""The front end for the simulator's protocol: decodes events and encodes actions, decides nothing."""
--- a/caperdeck/simwire/__main__.py
+++ b/caperdeck/simwire/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input, one a line, and answers each with one line until the input ends."""
+"""Reads batches from standard input, one per line, and answers each with one line until the input ends."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 import orjson
 
 from .codec import WireError
-from .host import Host
+from .host import SimulatedNodes
 
 
-def complain(text: str) -> None:
+def report_error(text: str) -> None:
     print(f"caperdeck: {text}", file=sys.stderr, flush=True)
 
 
 def main() -> int:
     gc.freeze()
-    host = Host()
+    nodes = SimulatedNodes()
     for line in sys.stdin.buffer:
         if not line.strip():
             continue
         try:
-            reply = host.batch(orjson.loads(line), complain)
+            reply = nodes.handle_batch(orjson.loads(line), report_error)
         except (orjson.JSONDecodeError, WireError) as error:
-            complain(f"input line: {error}")
+            report_error(f"input line: {error}")
             return 1
         sys.stdout.buffer.write(orjson.dumps(reply) + b"\n")
         sys.stdout.buffer.flush()
--- a/caperdeck/simwire/codec.py
+++ b/caperdeck/simwire/codec.py
@@ -1,4 +1,4 @@
-"""The zephyr wire and the model: names, units, and the small indices of one node's hosts and sessions."""
+"""Translates the simulator's protocol to the model: names, units, and indices of hosts and sessions."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 )  # fmt: skip
 from caperdeck.core.settings import MS, decode_names
 
-STATES = {"Running": HostState.RUNNING, "Stopping": HostState.DRAINING, "Deleted": HostState.GONE}
-ROSTERS = {
+HOST_STATES = {"Running": HostState.RUNNING, "Stopping": HostState.DRAINING, "Deleted": HostState.GONE}
+ROSTER_SCOPES = {
     "INCREMENTAL": RosterScope.CHANGES,
     "FULL": RosterScope.FULL,
     "SAVED": RosterScope.SAVED,
@@ -32,10 +32,11 @@
 
 
 class WireError(Exception):
-    """Input that the wire does not allow; the text names what was wrong."""
+    """Input that the protocol does not allow; the text names the fault."""
 
 
 def lookup(table: dict, value: Any, what: str) -> Any:
+    """The table's entry for a value; raises WireError for an unknown one."""
     try:
         return table[value]
     except (KeyError, TypeError):
@@ -43,7 +44,7 @@
 
 
 class NodeIndices:
-    """The indices of one node's hosts and sessions: ids go in here and come back unaltered."""
+    """Maps the ids of one node's hosts and sessions to indices, and back to the same ids."""
 
     def __init__(self, setup: dict) -> None:
         self.names = decode_names(setup)
@@ -53,6 +54,7 @@
         self.session_names: list[str | None] = []
 
     def host(self, name: str) -> int:
+        """The index of a host, which is assigned at its first mention."""
         index = self.hosts.get(name)
         if index is None:
             index = self.hosts[name] = len(self.host_names)
@@ -63,43 +65,46 @@
         return lookup(self.hosts, name, "host")
 
     def session(self, name: Any) -> int:
-        """The index of a session; -1, which no session has, where it was never given to this node."""
+        """The index of a session; -1, which no session has, if this node was never given it."""
         return self.sessions.get(name, -1)
 
     def entry(self, row: list) -> RosterEntry:
-        state, size, _, zone, cell, host, born = (list(row) + [None] * 7)[:7]
+        state, size, _, zone, cell, host, started_at = (list(row) + [None] * 7)[:7]
         if not isinstance(host, str):
             raise WireError(f"roster entry without a host: {row!r}")
         return RosterEntry(
             host=self.host(host),
-            state=lookup(STATES, state, "host state"),
+            state=lookup(HOST_STATES, state, "host state"),
             size=1.0 if size is None else size,
             zone=self.names.zones.get(zone, -1),
             cell=cell or 0,
-            started_at=(born or 0.0) * MS,
+            started_at=(started_at or 0.0) * MS,
             stable_id=zlib.crc32(host.encode()),
-            roster_start=(born or 0.0) * MS,
+            roster_start=(started_at or 0.0) * MS,
         )
 
-    def ask(self, row: list) -> SessionRequest:
-        corr, qos, customer, _, budget, hint, channel, flags = (list(row) + [None] * 8)[:8]
-        if not isinstance(corr, str) or not isinstance(budget, (int, float)):
+    def session_request(self, row: list) -> SessionRequest:
+        session, listener, customer, _, budget, hint, channel, flags = (list(row) + [None] * 8)[:8]
+        if not isinstance(session, str) or not isinstance(budget, (int, float)):
             raise WireError(f"a session needs an id and a time budget: {row!r}")
         index = len(self.session_names)
-        self.sessions[corr] = index
-        self.session_names.append(corr)
+        self.sessions[session] = index
+        self.session_names.append(session)
         return SessionRequest(
             session=index,
-            listener=lookup(self.names.listeners, qos, "listener"),
+            listener=lookup(self.names.listeners, listener, "listener"),
             customer=self.names.customers.get(customer, -1),
-            left=budget * MS,
-            load=hint * MS if hint is not None and (flags or 0) & HINT_VALID else None,
+            time_left=budget * MS,
+            load_hint=hint * MS if hint is not None and (flags or 0) & HINT_VALID else None,
             group=self.names.group(channel),
         )
 
 
 def decode_note(kind: Any, value: float) -> tuple[NoteKind, float] | None:
-    """Loads come in microseconds of work a second whatever the hint's unit; unknown kinds are passed over."""
+    """A note's kind and value; None for an unknown kind.
+
+    Unlike load hints, noted loads come in microseconds of work a second.
+    """
     if kind == NoteKind.LOAD:
         return NoteKind.LOAD, value / 1000.0
     if kind == NoteKind.MESSAGE_DELAY:
@@ -107,12 +112,13 @@
     return None
 
 
-def decode_outcome(ending: Any) -> Outcome:
-    return lookup(OUTCOMES, ending, "ending")
+def decode_outcome(name: Any) -> Outcome:
+    return lookup(OUTCOMES, name, "ending")
 
 
-def encode(indices: NodeIndices, act: Action) -> list:
-    match act:
+def encode(indices: NodeIndices, action: Action) -> list:
+    """The protocol's form of an action."""
+    match action:
         case Dial(session, host, until):
             name, target = indices.session_names[session], indices.host_names[host]
             return ["dispatch", name, target, round(until / MS, 6)]
@@ -130,4 +136,4 @@
             return ["setAlarm", round(after / MS, 6), str(token)]
         case Watch():
             return ["tail", True]
-    raise TypeError(f"no wire form for {act!r}")
+    raise TypeError(f"no wire form for {action!r}")
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -184,7 +184,7 @@
     d.hosts.start_times.go_by(BOOT - d.clock() + date_ahead)
     d.listed(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
     node, h = d.balancer._node, d.hosts.index["s-9"]
-    return d.clock() - node.started_at[h], node._warmth(d.clock(), h)
+    return d.clock() - node.started_at[h], node._warm_share(d.clock(), h)
 
 
 @pytest.mark.parametrize("ahead", [-HOUR * 1000, -20_000.0, -5000.0, 5000.0, 20_000.0, HOUR * 1000])
@@ -209,7 +209,7 @@
     d.hosts.start_times.go_by(BOOT - d.clock() - HOUR * 1000)
     d.listed(False, [row("s-9", boot=BOOT)])
     d.reactor.advance(8.1)
-    assert d.balancer._node._warmth(d.clock(), 1) == 1.0
+    assert d.balancer._node._warm_share(d.clock(), 1) == 1.0
 
 
 def test_starts_heard_of_together_are_told_apart_by_what_discovery_says():
--- a/tests/test_core_parts.py
+++ b/tests/test_core_parts.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 import pytest
-from helpers import START, ask, entry, node, settings
+from helpers import START, session_request, entry, node, settings
 
-from caperdeck.core.forecast import FORECAST_TAU, forecast, take_load_note
+from caperdeck.core.forecast import FORECAST_TAU_MS, forecast, take_load_note
 from caperdeck.core.host_table import HostTable
 from caperdeck.core.model import HostState, RosterScope
 from caperdeck.core.sampling import without_replacement
@@ -46,14 +46,14 @@
 
 def test_a_forecast_starts_at_the_hint_or_the_mean_and_goes_to_the_last_note_by_its_time_constant():
     n = node(1)
-    n.resume_session(START, ask(1, load=10.0), 0)
-    n.resume_session(START, ask(2, load=None), 0)
+    n.resume_session(START, session_request(1, load=10.0), 0)
+    n.resume_session(START, session_request(2, load=None), 0)
     hinted, unknown = n.sessions[1], n.sessions[2]
     assert forecast(hinted, START, 30.0) == 10.0 and forecast(unknown, START, 30.0) == 30.0
     take_load_note(hinted, START, 50.0, 30.0)
     take_load_note(unknown, START, 50.0, 30.0)
     assert forecast(hinted, START, 30.0) == 10.0 and forecast(unknown, START, 30.0) == 50.0
-    assert forecast(hinted, START + FORECAST_TAU, 30.0) == pytest.approx(50.0 - 40.0 / math.e)
+    assert forecast(hinted, START + FORECAST_TAU_MS, 30.0) == pytest.approx(50.0 - 40.0 / math.e)
 
 
 def test_a_sample_takes_one_number_an_item_and_leaves_the_list_as_it_was():
@@ -75,47 +75,58 @@
 def table(*entries) -> HostTable:
     hosts = HostTable(settings())
     for e in entries:
-        hosts._enter(START, e)
-    hosts._recount(START)
+        hosts._apply_entry(START, e)
+    hosts._refresh_subsets(START)
     return hosts
 
 
 def test_a_table_tells_the_hosts_that_run_those_near_and_those_cold():
     hosts = table(
-        entry(0), entry(1, zone=1), entry(2, HostState.DRAINING), entry(3, born=START - 4000.0, size=2.0),
+        entry(0), entry(1, zone=1), entry(2, HostState.DRAINING),
+        entry(3, started_at=START - 4000.0, size=2.0),
     )  # fmt: skip
-    assert (hosts.running, hosts.near, hosts.cold) == ([0, 1, 3], [0, 3], [3])
-    assert hosts.whole_size == 4.0 and hosts._warmth(START, 3) == pytest.approx(0.65)
+    assert (hosts.running, hosts.running_in_zone, hosts.cold) == ([0, 1, 3], [0, 3], [3])
+    assert hosts.total_size == 4.0 and hosts._warm_share(START, 3) == pytest.approx(0.65)
 
 
 def test_a_host_that_starts_anew_loses_what_was_learned_and_keeps_its_own_sessions():
     hosts = table(entry(0))
-    hosts.figure[0], hosts.ill[0], hosts.held[0] = 0.5, 3.0, 2
-    hosts._enter(START, entry(0, born=0.0))
-    assert (hosts.figure[0], hosts.ill[0]) == (0.5, 3.0)
-    hosts._enter(START, entry(0, born=START - 10.0))
-    assert (hosts.figure[0], hosts.ill[0], hosts.held[0]) == (None, 0.0, 2)
+    hosts.reported_load[0], hosts.failure_score[0], hosts.connections[0] = 0.5, 3.0, 2
+    hosts._apply_entry(START, entry(0, started_at=0.0))
+    assert (hosts.reported_load[0], hosts.failure_score[0]) == (0.5, 3.0)
+    hosts._apply_entry(START, entry(0, started_at=START - 10.0))
+    assert (hosts.reported_load[0], hosts.failure_score[0], hosts.connections[0]) == (None, 0.0, 2)
 
 
 def test_a_host_taken_out_by_hand_counts_as_draining_and_as_cold_once_it_is_back():
     hosts = table(entry(0), entry(1))
-    hosts._enter_ban(START, 0, True)
-    hosts._recount(START)
+    hosts._apply_ban(START, 0, True)
+    hosts._refresh_subsets(START)
     assert (hosts.state[0], hosts.running) == (HostState.DRAINING, [1])
-    hosts._enter_ban(START + 5.0, 0, False)
-    hosts._recount(START + 5.0)
+    hosts._apply_ban(START + 5.0, 0, False)
+    hosts._refresh_subsets(START + 5.0)
     assert (hosts.running, hosts.cold, hosts.started_at[0]) == ([0, 1], [0], START + 5.0)
 
 
 def test_what_the_whole_roster_does_not_name_is_gone():
     n = node(3)
     n.update_roster(START, RosterScope.FULL, [entry(1)])
-    assert n.listed == [HostState.GONE, HostState.RUNNING, HostState.GONE]
+    assert n.listed_state == [HostState.GONE, HostState.RUNNING, HostState.GONE]
 
 
 def test_a_dial_and_a_stream_count_at_their_host():
     n = node(1)
-    n.open_session(START, ask(1))
-    assert (n.held, n.dialing, n.sent, n.extra) == ([1], [1], {(0, 0.0): 1}, [10.0])
+    n.open_session(START, session_request(1))
+    assert (n.connections, n.pending_dials, n.dial_counts, n.unreported_total) == (
+        [1],
+        [1],
+        {(0, 0.0): 1},
+        [10.0],
+    )
     n.session_established(START, 1)
-    assert (n.held, n.dialing, list(n.standing[0]), list(n.mine)) == ([1], [0], [1], [0])
+    assert (n.connections, n.pending_dials, list(n.established[0]), list(n.used_hosts)) == (
+        [1],
+        [0],
+        [1],
+        [0],
+    )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 def once_only(d):
     """The desk's listener with effects that may not happen twice."""
-    listener = d.balancer._node.set.listeners[0]
+    listener = d.balancer._node.settings.listeners[0]
     object.__setattr__(listener, "effect", type(listener.effect).ONCE_ONLY)
     return d
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -23,7 +23,7 @@
 
 def rights(saved=0.0, now=0.0):
     r = Quotas()
-    r.grow(now, 0)
+    r.add_budget(now, 0)
     r.saved[0] = saved
     return r
 
@@ -31,24 +31,24 @@
 def test_a_loan_ends_by_the_borrowers_clock_and_is_spent_first():
     r = rights(saved=3.0)
     r.borrow(0.0, 0, 2.0, until=100.0)
-    assert r.have(99.0, 0) == 5.0 and r.have(100.0, 0) == 3.0
+    assert r.available(99.0, 0) == 5.0 and r.available(100.0, 0) == 3.0
     r.spend(50.0, 0, 1.5)
-    assert r.have(50.0, 0) == 3.5 and r.have(100.0, 0) == 3.0
+    assert r.available(50.0, 0) == 3.5 and r.available(100.0, 0) == 3.0
 
 
 def test_two_loans_end_with_the_first():
     r = rights()
     r.borrow(0.0, 0, 1.0, until=100.0)
     r.borrow(50.0, 0, 1.0, until=150.0)
-    assert r.have(99.0, 0) == 2.0 and r.have(100.0, 0) == 0.0
+    assert r.available(99.0, 0) == 2.0 and r.available(100.0, 0) == 0.0
     r.borrow(120.0, 0, 1.0, until=170.0)  # what has ended is not brought back
-    assert r.have(120.0, 0) == 1.0
+    assert r.available(120.0, 0) == 1.0
 
 
 def test_a_clock_that_goes_back_makes_no_rights():
     r = rights(now=1000.0)
     for now in (1000.0, 0.0, 1000.0, 0.0, 1000.0):
-        r.mint(now, 0, 1.0, 100.0)
+        r.accrue(now, 0, 1.0, 100.0)
     assert r.saved[0] == 0.0
 
 
@@ -249,7 +249,7 @@
     def mint(self, now):
         node = next(n for n in net.nodes if n is not None and n.decisions is self)
         part = net.members / (1 + len(node.swim.alive()))
-        return self.rights.mint(now, 0, RATE * part, RATE * part * SAVED)
+        return self.rights.accrue(now, 0, RATE * part, RATE * part * SAVED)
 
     monkeypatch.setattr(sharing_network.Stub, "mint", mint)
     torment(net, random.Random(3), 20_000)
@@ -271,7 +271,7 @@
     for _ in range(100):
         net.run(100.0)
         got += net.stubs[0].mint(net.clock(0))
-        net.stubs[0].rights.settle(net.clock(0), 0, 0.0)
+        net.stubs[0].rights.set_balance(net.clock(0), 0, 0.0)
     assert got > 2 * RATE * 10_000
 
 
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -52,17 +52,17 @@
     """Cut in forty parts, each node takes itself for the whole fleet."""
     made = decode(APART)
     assert broken(made) == set()
-    tick, part = Sharing.tick, Node.part_of_warm
+    tick, part = Sharing.tick, Node.warm_host_share
 
     def tick_and_count(self, now):
         self.decisions.shares.node.living = 1 + len(self.swim.alive())
         return tick(self, now)
 
     def divided(self, h):
-        return part(self, h) * self.set.nodes / getattr(self, "living", self.set.nodes)
+        return part(self, h) * self.settings.nodes / getattr(self, "living", self.settings.nodes)
 
     monkeypatch.setattr(Sharing, "tick", tick_and_count)
-    monkeypatch.setattr(Node, "part_of_warm", divided)
+    monkeypatch.setattr(Node, "warm_host_share", divided)
     assert "cold" in broken(made)
 
 
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -112,8 +112,8 @@
 
 
 def spend_whole_cold_budgets(monkeypatch):
-    monkeypatch.setattr(Node, "_lot", lambda self, now, s, h: True)
-    monkeypatch.setattr(Node, "_open", lambda self, now, s, h: True)
+    monkeypatch.setattr(Node, "_slot_is_open", lambda self, now, s, h: True)
+    monkeypatch.setattr(Node, "_slot_available", lambda self, now, s, h: True)
 
 
 def lose_sessions(monkeypatch):
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -8,8 +8,8 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, ask, at_host, desk, entry, free_ports, node, opening, opening_at,
-    ping_until_ready, row, serve_lines, serve_list, write,
+    CONFIG, START, UP_WITHIN, Wire, at_host, desk, entry, free_ports, node, opening, opening_at,
+    ping_until_ready, row, serve_lines, serve_list, session_request, write,
 )  # fmt: skip
 from node_processes import connected
 from test_race_conditions import HEADERS, Agent
@@ -110,7 +110,7 @@
     for host in range(3200):
         looked_at(d, host)
     assert len(d.probes.open) == d.budget.most_probes and d.budget.room == room
-    assert list(d.probes.open)[-1] == 3199 and min(d.balancer._node.seen_at) > 0
+    assert list(d.probes.open)[-1] == 3199 and min(d.balancer._node.probed_at) > 0
 
 
 # guards against: servers held to be ill, and connections moved off them, as the node lacks a descriptor
@@ -123,7 +123,7 @@
     d.probes.probe(39, d.hosts.address[39])
     node = d.balancer._node
     assert len(d.reactor.tcpClients) == dialed and 39 not in d.probes.open
-    assert not any(node.ill) and not node.unseen[39] and not node.probe_out[39]
+    assert not any(node.failure_score) and not node.no_probe_until[39] and not node.probe_sent_at[39]
 
 
 GROWTH = 1.4  # the stated target for a node's processor time at sixteen times the servers
@@ -147,11 +147,11 @@
 def busy_node(servers, cold):
     """A node of a fleet of 200 in a release; more servers are smaller ones, all together do the same."""
     born = [START - 2000.0] * cold + [0.0] * (servers - cold)
-    n = node(nodes=200, entries=[entry(h, zone=h % 3, born=born[h]) for h in range(servers)])
+    n = node(nodes=200, entries=[entry(h, zone=h % 3, started_at=born[h]) for h in range(servers)])
     for h in range(0, servers, servers // 60):
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
     for i in range(40):
-        n.resume_session(START, ask(1000 + i), i * servers // 40)
+        n.resume_session(START, session_request(1000 + i), i * servers // 40)
     n.timer_fired(START, TICK_TOKEN)
     return n
 
@@ -160,7 +160,7 @@
     """20 sessions of groups of their own come, look, and leave; two ticks."""
     for i in range(20):
         now, number = start + 50.0 * i, int(start) + i
-        n.open_session(now, ask(number, group=number))
+        n.open_session(now, session_request(number, group=number))
         n.timer_fired(now + 20.0, number)
         n.client_disconnected(now + 40.0, number)
         if i % 10 == 9:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -225,11 +225,11 @@
 def test_a_broken_file_changes_nothing_and_is_counted(tmp_path, text):
     d = desk()
     service = service_over(d, tmp_path)
-    before = service.config, d.names, d.limits, d.balancer._node.set
+    before = service.config, d.names, d.limits, d.balancer._node.settings
     write(tmp_path / "c", text)
     with logged() as log:
         service.reload()
-    assert before == (service.config, d.names, d.limits, d.balancer._node.set)
+    assert before == (service.config, d.names, d.limits, d.balancer._node.settings)
     assert (d.figures.accepted, d.figures.invalid) == (0, 1)
     assert any("reload reason=unusable" in x for x in log)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,8 +2,8 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Wire, accept, ask, connect, desk, dials, entry, figures, lost, node, opening, row,
-    service_over, standing, up,
+    OPEN, START, Wire, accept, connect, desk, dials, entry, establish_sessions, lost, node, opening,
+    report_loads, row, service_over, session_request, up,
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -229,14 +229,17 @@
 
 def test_a_host_called_back_is_cold_and_soon_tried():
     n = node(12)
-    figures(n, [0.2] * 12)
+    report_loads(n, [0.2] * 12)
     n.set_ban(START, 5, True)
-    assert 5 not in {dials(n.open_session(START, ask(i)))[0].host for i in range(30)}
+    assert 5 not in {dials(n.open_session(START, session_request(i)))[0].host for i in range(30)}
     n.set_ban(START + 2000, 5, False)
-    assert n._warmth(START + 2000, 5) == pytest.approx(0.3)
-    n.unit = 400.0  # a part of the budget that saves up for a light session within a few
-    n.seen_at = [START + 5000.0] * 12
-    tried = [dials(n.open_session(START + 2100 + 100 * i, ask(40 + i, load=1.0)))[0].host for i in range(20)]
+    assert n._warm_share(START + 2000, 5) == pytest.approx(0.3)
+    n.unit_capacity = 400.0  # a part of the budget that saves up for a light session within a few
+    n.probed_at = [START + 5000.0] * 12
+    tried = [
+        dials(n.open_session(START + 2100 + 100 * i, session_request(40 + i, load=1.0)))[0].host
+        for i in range(20)
+    ]
     assert 5 in tried
 
 
@@ -244,13 +247,13 @@
 def test_a_host_called_back_is_looked_at_though_the_mean_is_full_and_another_host_has_room(others):
     # Danger: full by the mean alone it was sent nothing, and looked at by nobody, while any host had room.
     n = node(5, nodes=2)
-    n.unit, n.mean_hint, n.asked = 1200.0, 10.0, 1000
-    figures(n, [0.1, *others])
+    n.unit_capacity, n.mean_hint, n.request_count = 1200.0, 10.0, 1000
+    report_loads(n, [0.1, *others])
     n.set_ban(START - 4000, 0, True)
     n.set_ban(START, 0, False)
     tried = []
     for i in range(20):
-        acts = n.open_session(START + 250.0 * i, ask(i))
+        acts = n.open_session(START + 250.0 * i, session_request(i))
         looks = [a.host for a in acts if isinstance(a, Probe)]
         assert not looks or not dials(acts)  # nothing is sent there before the look is answered
         for h in looks:
@@ -262,11 +265,11 @@
 
 def test_a_host_taken_out_again_before_it_took_a_session_is_not_tried():
     n = node(3)
-    figures(n, [0.2] * 3)
+    report_loads(n, [0.2] * 3)
     for out in (True, False, True):
         n.set_ban(START, 1, out)
     assert 1 not in n.cold and 1 not in {
-        a.host for i in range(30) for a in dials(n.open_session(START, ask(i)))
+        a.host for i in range(30) for a in dials(n.open_session(START, session_request(i)))
     }
 
 
@@ -275,7 +278,7 @@
     n = node(2)
     n.set_ban(START + 1000, 0, True)
     n.update_roster(
-        START + 1600, RosterScope.CHANGES, [entry(0, born=START + listed_born if listed_born else 0.0)]
+        START + 1600, RosterScope.CHANGES, [entry(0, started_at=START + listed_born if listed_born else 0.0)]
     )
     n.set_ban(START + 2000, 0, False)
     assert n.started_at[0] == START + born
@@ -287,55 +290,59 @@
 def test_a_host_that_starts_again_is_filled_by_what_it_bore_itself(held, figure=0.4):
     n = node(4)
     for h in range(4):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
-    n._survey(START)
-    mean = n.unit
-    assert n._fills(1) == pytest.approx(10.0 * 40 / 0.4, rel=0.05)
-    assert n._fills(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
-    assert n._fills(0) >= mean / 2
+    n._update_fleet_view(START)
+    mean = n.unit_capacity
+    assert n._warm_capacity(1) == pytest.approx(10.0 * 40 / 0.4, rel=0.05)
+    assert n._warm_capacity(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
+    assert n._warm_capacity(0) >= mean / 2
     n.set_ban(START, 0, True)
     n.set_ban(START + 3000, 0, False)
-    assert n._fills(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
+    assert n._warm_capacity(0) == pytest.approx(min(10.0 * held / 0.4, 2 * mean), rel=0.05)
 
 
 def test_what_a_cold_host_bears_is_no_measure_of_it():
-    n = node(entries=[entry(0, born=START - 1000.0), entry(1)])
+    n = node(entries=[entry(0, started_at=START - 1000.0), entry(1)])
     for h in range(2):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
-    n._survey(START)
-    assert not n.able[0] and n.able[1]
+    n._update_fleet_view(START)
+    assert not n.warm_capacity[0] and n.warm_capacity[1]
 
 
 def test_a_cold_budget_goes_by_those_that_stand_not_by_those_that_ask_again():
     n = node(4)
     for h in range(4):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
-    n._survey(START)
+    n._update_fleet_view(START)
     for i in range(300):
-        n._new(START, ask(1000 + i, load=500.0))
-    n._survey(START)
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, born=START)])
-    assert n._price(START + 900, n.sessions[100]) < 60.0 and n.mean_hint > 300.0
+        n._new_session(START, session_request(1000 + i, load=500.0))
+    n._update_fleet_view(START)
+    n.update_roster(START, RosterScope.CHANGES, [entry(0, started_at=START)])
+    assert n._slot_price(START + 900, n.sessions[100]) < 60.0 and n.mean_hint > 300.0
 
 
 def test_a_successor_learns_what_the_one_before_knew_of_each_host():
     d, later = desk(hosts=3), desk(hosts=0)
     n = d.balancer._node
-    n.unit, n.each, n.able[1] = 4000.0, 25.0, 5000.0
+    n.unit_capacity, n.mean_session_load, n.warm_capacity[1] = 4000.0, 25.0, 5000.0
     later.listed(True, [row("s-2", port=9002), row("s-1", port=9001)])
     memory = d.balancer.learned_state()
     later.remember(memory, dict(zip(d.hosts.uid, memory["able"], strict=True)))
     m = later.balancer._node
-    assert (m.unit, m.each, m.able[later.hosts.index["s-1"]]) == (4000.0, 25.0, 5000.0)
+    assert (m.unit_capacity, m.mean_session_load, m.warm_capacity[later.hosts.index["s-1"]]) == (
+        4000.0,
+        25.0,
+        5000.0,
+    )
 
 
 def test_what_stands_on_a_host_taken_out_is_left_there():
     n = node(3)
-    standing(n, 0, [10.0] * 20)
-    figures(n, [0.3, 0.3, 0.1])
+    establish_sessions(n, 0, [10.0] * 20)
+    report_loads(n, [0.3, 0.3, 0.1])
     n.set_ban(START, 0, True)
     assert not [
         a for i in range(1, 4) for a in n.timer_fired(START + 500 * i, TICK_TOKEN) if isinstance(a, Move)
@@ -346,8 +353,8 @@
     n = node(2, may_probe=False)
     for h in range(2):
         n.set_ban(START, h, True)
-    n.open_session(START, ask(1, left=50.0))
-    acts = n.open_session(START, ask(2, left=50.0))
+    n.open_session(START, session_request(1, time_left=50.0))
+    acts = n.open_session(START, session_request(2, time_left=50.0))
     assert isinstance(acts[-1], Refuse) and acts[-1].back_off > 0
 
 
@@ -358,8 +365,9 @@
     n = d.balancer._node
     return (
         len(d.sessions.table), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle), d.budget.clients,
-        d.budget.sessions, len(n.sessions), sum(n.held), sum(n.dialing), sum(map(len, n.standing)),
-        len(n.mine), len(d.balancer._dials), sum(map(len, n.lookers)),
+        d.budget.sessions, len(n.sessions), sum(n.connections), sum(n.pending_dials),
+        sum(map(len, n.established)), len(n.used_hosts), len(d.balancer._dials),
+        sum(map(len, n.probe_waiters)),
     )  # fmt: skip
 
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -191,7 +191,7 @@
         lo.comes_up(s)
     lo.reactor.settle()
     assert not read_all(host)[0] and not lo.desk.sessions.table and lo.desk.figures.relayed == 0
-    assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
+    assert not any(lo.desk.balancer._node.connections + lo.desk.balancer._node.pending_dials)
 
 
 def test_no_dial_begins_for_a_client_whose_end_lies_there_as_the_timer_runs(loop):
@@ -206,7 +206,7 @@
         lo.reactor.settle()
     lo.reactor.settle()
     assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.desk.sessions.table
-    assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
+    assert not any(lo.desk.balancer._node.connections + lo.desk.balancer._node.pending_dials)
 
 
 def test_a_client_that_does_not_wait_is_turned_away_before_its_request_goes_out(loop):
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -14,7 +14,7 @@
     write,
 )  # fmt: skip
 
-from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
 from caperdeck.gossip.shared_decisions import Marked
 from caperdeck.gossip.sharing import ROOM, Uses, life_from
@@ -168,15 +168,15 @@
 
 def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
     d, s, _ = shares()
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 0.0
-    s.node.part, s.node.rights.saved[ROOM_BUDGET] = 8.0, 8.0
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), ROOM_BUDGET, 1.0) == 1.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 0.0
+    s.node.headroom_share, s.node.quotas.saved[HEADROOM_BUDGET] = 8.0, 8.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), HEADROOM_BUDGET, 1.0) == 1.0
 
 
 def test_a_lot_that_was_won_is_not_lent():
     d, s, _ = shares(cold=True)
-    s.node.unit = 1000.0
-    s.node.rights.settle(d.clock(), 2, 500.0)  # far over what is ever saved
+    s.node.unit_capacity = 1000.0
+    s.node.quotas.set_balance(d.clock(), 2, 500.0)  # far over what is ever saved
     assert s.node.cold == [1] and s.lend(d.clock(), 2, 500.0) == 0.0
     assert s.lend(d.clock(), 1, 500.0) == 0.0  # a warm host has no such budget
 
@@ -185,24 +185,24 @@
     d, s, _ = shares(cold=True)
     n, now = s.node, d.clock()
     s.borrow(now, 2, 3.0, now + 500)
-    assert n.rights.have(now, 2) == 3.0 and n.rights.have(now + 500, 2) == 0.0
+    assert n.quotas.available(now, 2) == 3.0 and n.quotas.available(now + 500, 2) == 0.0
     s.borrow(now, 1, 3.0, now + 500)
-    assert n.rights.have(now, 1) == 0.0
+    assert n.quotas.available(now, 1) == 0.0
 
 
 def test_a_node_is_short_only_while_a_session_has_just_found_no_room():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
+    n.headroom_share, n.quotas.saved[HEADROOM_BUDGET] = 8.0, 0.0
     assert m.wants(now) == []
-    n.short_at = now
+    n.no_headroom_at = now
     assert m.wants(now) == [(ROOM, 8.0)] and m.wants(now + 1000) == []
 
 
 def test_a_told_figure_stands_in_for_the_mean_and_ends():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
+    n.has_reports, n.mean_reported_load = True, 0.5  # there is a mean only where hosts tell figures
     m.told(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
     m.told(now, n.stable_id[0], 0.1, now - 500)  # older
@@ -213,10 +213,10 @@
 def test_a_host_told_lost_is_not_looked_at_for_a_moment_unless_it_has_just_answered():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.seen_at = [now - 5000, now]
+    n.probed_at = [now - 5000, now]
     for mark in n.stable_id[:2]:
         m.told_lost(now, mark, now + 9000)
-    assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
+    assert now < n.no_probe_until[0] <= now + 1250 and n.no_probe_until[1] <= now
 
 
 def test_two_hosts_with_one_mark_are_not_spoken_of():
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -1,9 +1,9 @@
-"""The front for the simulator's wire: input that breaks it ends in a plain word."""
+"""The simulator's protocol: events and actions in its units and names, and an error for invalid input."""
 
 import pytest
 
 from caperdeck.simwire.codec import WireError
-from caperdeck.simwire.host import Host
+from caperdeck.simwire.host import SimulatedNodes
 
 SETUP = {
     "fleetSize": 2,
@@ -15,37 +15,38 @@
 HOST = ["Running", 1, "k", "z", 0, "10.0.0.1:9000", None]
 
 
-def steps(events, host=None):
-    told = []
-    reply = (host or Host()).batch(
-        {"moment": 5.0, "serial": 3, "groups": [{"node": 4, "input": events}]}, told.append)  # fmt: skip
+def run_batch(events, nodes=None):
+    """The steps in the reply to one batch for node 4, and the errors reported."""
+    errors = []
+    reply = (nodes or SimulatedNodes()).handle_batch(
+        {"moment": 5.0, "serial": 3, "groups": [{"node": 4, "input": events}]}, errors.append)  # fmt: skip
     assert reply["serial"] == 3
-    return (reply["groups"][0]["steps"] if reply["groups"] else []), told
+    return (reply["groups"][0]["steps"] if reply["groups"] else []), errors
 
 
-def test_a_started_node_dials_in_the_units_of_the_wire():
-    acts, told = steps([["powerOn", 1, SETUP], ["rosterChange", 1, "SAVED", [HOST]],
-                        ["ask", "ab", "l", None, None, 1.2, 0.01, None, 1]])  # fmt: skip
-    assert acts[-1] == ["dispatch", "ab", "10.0.0.1:9000", 5.18] and not told
+def test_a_started_node_dials_in_the_units_of_the_protocol():
+    steps, errors = run_batch([["powerOn", 1, SETUP], ["rosterChange", 1, "SAVED", [HOST]],
+                               ["ask", "ab", "l", None, None, 1.2, 0.01, None, 1]])  # fmt: skip
+    assert steps[-1] == ["dispatch", "ab", "10.0.0.1:9000", 5.18] and not errors
 
 
-@pytest.mark.parametrize("events, word", [
+@pytest.mark.parametrize("events, text", [
     ([["bell", "-1"]], "never started"),
     ([["powerOn", 1, {**SETUP, "limits": {}}]], "limits.mostDials"),
     ([["powerOn", 1, SETUP], ["whatever"]], "unknown event"),
     ([["powerOn", 1, SETUP], ["ask", "ab", "other", None, None, 1.2]], "unknown listener"),
     ([["powerOn", 1, SETUP], ["destroy"], ["bell", "-1"]], "never started"),
 ])  # fmt: skip
-def test_what_breaks_the_wire_is_named_and_declared(events, word):
-    acts, told = steps(events)
-    assert acts[-1][0] == "crash" and word in acts[-1][1] and len(told) == 1 and word in told[0]
+def test_invalid_input_is_reported_and_ends_in_a_crash_step(events, text):
+    steps, errors = run_batch(events)
+    assert steps[-1][0] == "crash" and text in steps[-1][1] and len(errors) == 1 and text in errors[0]
 
 
 def test_a_node_can_stop_and_start_in_one_batch():
-    acts, told = steps([["powerOn", 1, SETUP], ["destroy"], ["powerOn", 2, SETUP]])
-    assert not told and [a[0] for a in acts] == ["setAlarm", "setAlarm"]
+    steps, errors = run_batch([["powerOn", 1, SETUP], ["destroy"], ["powerOn", 2, SETUP]])
+    assert not errors and [step[0] for step in steps] == ["setAlarm", "setAlarm"]
 
 
-def test_a_line_that_is_no_batch_is_refused():
+def test_input_that_is_no_batch_is_refused():
     with pytest.raises(WireError):
-        Host().batch([], print)
+        SimulatedNodes().batch([], print)
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -116,7 +116,7 @@
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "") and s.dial == 0
-    assert lo.desk.balancer._node.ill == [0.0]
+    assert lo.desk.balancer._node.failure_score == [0.0]
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
@@ -214,7 +214,7 @@
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with logged() as lines:
         service.know([row("s-0"), row("s-1")], {"bans": ["s-1"]})
-    assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned
+    assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned_at
     assert "reason=bans-unwritable" in "".join(lines)
 
 
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -21,7 +21,8 @@
 import orjson
 import pytest
 from helpers import (
-    OPEN, START, accept, ask, connect, desk, dials, entry, figures, logged, opening, service_over, settings,
+    OPEN, START, accept, connect, desk, dials, entry, logged, opening, report_loads, service_over,
+    session_request, settings,
 )  # fmt: skip
 from node_processes import NodeProcesses, StandIns, until
 from test_upgrade import PortNumber, names, raised, sides
@@ -275,8 +276,8 @@
     there.listen = there.discovery.start = lambda *_: None
     there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
     node = there.desk.balancer._node
-    assert node.started_at[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
-    assert node._warmth(at + 1.0, 1) == 1.0
+    assert node.started_at[0] == at and node._warm_share(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
+    assert node._warm_share(at + 1.0, 1) == 1.0
 
 
 SPAN = 4000.0  # milliseconds in which sessions come to both processes
@@ -286,8 +287,8 @@
 def cold_node(now):
     """A node of three that knows what a session weighs; of its two hosts the first has just started."""
     made = Node(settings(), now)
-    made.update_roster(now, RosterScope.SAVED, [entry(0, born=START), entry(1)])
-    made.unit, made.mean_hint, made.asked, made.each = 2000.0, 10.0, 1000, 10.0
+    made.update_roster(now, RosterScope.SAVED, [entry(0, started_at=START), entry(1)])
+    made.unit_capacity, made.mean_hint, made.request_count, made.mean_session_load = 2000.0, 10.0, 1000, 10.0
     return made
 
 
@@ -296,10 +297,10 @@
     count, now = 0, first
     while now < until:
         for number, made in enumerate(nodes):
-            made.seen_at = [now, now]
-            figures(made, [0.1, 0.1], now)
+            made.probed_at = [now, now]
+            report_loads(made, [0.1, 0.1], now)
             sid = int(now) * len(nodes) + number
-            count += sum(dial.host == 0 for dial in dials(made.open_session(now, ask(sid))))
+            count += sum(dial.host == 0 for dial in dials(made.open_session(now, session_request(sid))))
             made.client_disconnected(now, sid)
             made.dial_ended(now, sid, 0, Outcome.WITHDRAWN, True)
         now += EVERY
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -546,8 +546,8 @@
     started = unix_time() - 1000.0
     d.listed(True, [row(uid.format(i), boot=started + i / 10) for i in range(3200)])
     node = d.balancer._node
-    node.able = [123.456789012345678 + i for i in range(3200)]
-    node.in_turn = [True] * 3200
+    node.warm_capacity = [123.456789012345678 + i for i in range(3200)]
+    node.slots_started = [True] * 3200
     service.port = PortNumber()
     sent = []
     side = Incumbent(d.reactor, Wired(), service.upgrade)
@@ -563,7 +563,7 @@
     for packet in sent:
         successor.received(json.loads(packet), [0])
     learned = later.desk.balancer._node
-    assert learned.able == node.able and sum(learned.in_turn) == 3200
+    assert learned.warm_capacity == node.warm_capacity and sum(learned.slots_started) == 3200
 
 
 class PortNumber:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -342,7 +342,7 @@
     client, host = up(d)
     host.dataReceived(line + b"\r\n")
     assert client.transport.lines() == [line]
-    assert d.balancer._node.sessions[0].present == (1.5 if line == b"LOAD 1500" else None)
+    assert d.balancer._node.sessions[0].last_load == (1.5 if line == b"LOAD 1500" else None)
 
 
 def test_a_connection_that_stood_before_is_taken_up_at_its_host():
@@ -675,7 +675,7 @@
     asleep(d, 2.0)
     probe.late()
     d.reactor.advance(0)
-    assert probe.ended and 0 not in d.probes.open and not any(d.balancer._node.ill)
+    assert probe.ended and 0 not in d.probes.open and not any(d.balancer._node.failure_score)
 
 
 def test_a_connection_that_ran_out_in_the_sleep_is_nobodys_fault():
@@ -684,7 +684,7 @@
     asleep(d, 2.0)
     d.dial_failed(next(iter(d.sessions.table.values())).conn)
     d.reactor.advance(0)
-    assert not any(d.balancer._node.ill) and len(d.reactor.tcpClients) == 2
+    assert not any(d.balancer._node.failure_score) and len(d.reactor.tcpClients) == 2
 
 
 def test_an_answer_that_lay_there_tells_no_figure():
@@ -694,7 +694,7 @@
     asleep(d, 2.0)
     probe.dataReceived(b"PONG x0=0.9\r\n")
     d.reactor.advance(0)
-    assert d.balancer._node.figure == [None]
+    assert d.balancer._node.reported_load == [None]
 
 
 def watch_of(reactor, said, excused):
