--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -58,7 +58,7 @@
 def test_the_own_subset_is_drawn_first_and_the_rest_once_it_has_no_room(cross_zone_price):
     n = node(12, cross_zone_price=cross_zone_price)
     report_loads(n, [0.2] * 12)
-    n.first, n.first_near = [3, 4, 5], [3, 4]
+    n.preferred, n.preferred_in_zone = [3, 4, 5], [3, 4]
     assert set(placed(n, 12)) <= {3, 4, 5}
     report_loads(n, [0.2] * 3 + [ADMISSION_LIMIT + 0.05] * 3 + [0.2] * 6)
     assert {dials(n.open_session(START, session_request(i)))[0].host for i in range(100, 112)}.isdisjoint(
@@ -69,7 +69,7 @@
 def test_a_subset_of_hosts_that_have_gone_keeps_nobody_from_the_others():
     n = node(6)
     report_loads(n, [0.2] * 6)
-    n.first = [4, 5]
+    n.preferred = [4, 5]
     n.update_roster(START, RosterScope.CHANGES, [entry(h, state=HostState.GONE) for h in (4, 5)])
     assert set(placed(n, 6)) <= {0, 1, 2, 3}
 
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -49,4 +49,4 @@
 
 def test_input_that_is_no_batch_is_refused():
     with pytest.raises(WireError):
-        SimulatedNodes().batch([], print)
+        SimulatedNodes().handle_batch([], print)
