--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple, Protocol
 
 import caperdeck.peers.codec as codec
-from caperdeck.peers.codec import DatagramError, Kind, Message
-from caperdeck.peers.swim import EVERYONE, Bucket, Heard, Send, Swim
+from caperdeck.peers.codec import DatagramError, MessageKind, Message
+from caperdeck.peers.swim import EVERYONE, TokenBucket, AnswerReceived, Send, Swim
 
 from . import message_sections
 from .counters import LARGEST, Count, Counts
@@ -85,19 +85,19 @@
         uses: Uses, names: Iterable[str] = (),
     ) -> None:  # fmt: skip
         self.decisions, self.uses = decisions, uses
-        self.fleet = codec.fleet_mark(members, names)
+        self.fleet = codec.fleet_id(members, names)
         self.swim = Swim(me, members, life, seed, now)
         self.counts, self.judgements = Counts(), Judgements()
-        self.gate = Bucket(TAKEN, now)
-        self.loans = Loans(self.swim.nonces)
+        self.gate = TokenBucket(TAKEN, now)
+        self.loans = Loans(self.swim.last_nonce)
         self.sent = self.received = self.bytes = 0
         self.turns = 0
         self.full: dict[int, dict[int, tuple[float, float]]] = {}  # hosts seen past full: by whom, how, when
         self.crowded: dict[int, tuple[float, float]] = {}  # hosts to act on: when, and the load
         self.looked_to, self.telling = now, []
-        self.tells = Bucket(MOST_TELLS, now)
-        self.next_at = now + SHORT_EVERY * self.swim._chance()
-        self.judge_at = now + JUDGE_EVERY * self.swim._chance()
+        self.tells = TokenBucket(MOST_TELLS, now)
+        self.next_at = now + SHORT_EVERY * self.swim._random()
+        self.judge_at = now + JUDGE_EVERY * self.swim._random()
 
     # ---- in and out
 
@@ -108,7 +108,7 @@
     def tick(self, now: float) -> list[tuple[int, bytes]]:
         sends = self.swim.tick(now)
         if now >= self.next_at:
-            self.next_at = now + SHORT_EVERY * (0.75 + self.swim._chance() / 2)
+            self.next_at = now + SHORT_EVERY * (0.75 + self.swim._random() / 2)
             sends += self._turn(now)
         return self._encode(now, sends)
 
@@ -124,12 +124,12 @@
             message = codec.decode(data, self.fleet, self.swim.members)
             if sender != message.sender:
                 raise DatagramError("not-its-address")
-            extra = message_sections.decode(message.notes, self.swim.members)
+            extra = message_sections.decode(message.sections, self.swim.members)
         except DatagramError as reason:
             self.swim.drop(str(reason))
             return []
         self.received += 1
-        sends, heard = self.swim.take(now, message)
+        sends, heard = self.swim.receive(now, message)
         if message.sender == self.swim.me or message.life != self.swim.life[message.sender]:
             return self._encode(now, sends)
         for c in extra.counts:
@@ -137,13 +137,13 @@
                 self.swim.drop(reason)
         if heard is not None:
             self._heard(now, heard, extra)
-        elif message.kind is Kind.ASK:
+        elif message.kind is MessageKind.ASK:
             sends, grants = self._give(now, message, extra.wants)
             return self._encode(now, sends, grants)
-        elif message.kind is Kind.TELL and self.uses.full:
+        elif message.kind is MessageKind.TELL and self.uses.full:
             # Danger: read after a sleep, looks told to all that lay there seem to be of this moment.
             self._crowd(now, message.sender, [(h, x, age + lay) for h, x, age in extra.seen])
-        elif message.kind is Kind.GIVE:
+        elif message.kind is MessageKind.GIVE:
             self._take(now, message, extra.grants)
         return self._encode(now, sends)
 
@@ -151,40 +151,42 @@
         out = []
         for to, message in sends:
             riding = self._notes(now, message.kind, grants or [])
-            data = codec.encode(message._replace(notes=riding), self.fleet)
+            data = codec.encode(message._replace(sections=riding), self.fleet)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
             out.append((to, data))
         return out
 
     # ---- what is told
 
-    def _notes(self, now: float, kind: Kind, grants: list[tuple[int, float]]) -> bytes:
-        if kind is Kind.GOSSIP:
+    def _notes(self, now: float, kind: MessageKind, grants: list[tuple[int, float]]) -> bytes:
+        if kind is MessageKind.GOSSIP:
             return b""
-        if kind is Kind.TELL:
-            return message_sections.encode(Notes(seen=self.telling), codec.NOTES)
-        if kind is Kind.GIVE:
-            return message_sections.encode(Notes(grants=grants), codec.NOTES)
-        if kind is Kind.ASK:
-            return message_sections.encode(Notes(wants=self._some(self._wanted(now), WANT_ROWS)), codec.NOTES)
+        if kind is MessageKind.TELL:
+            return message_sections.encode(Notes(seen=self.telling), codec.SECTION_BYTES)
+        if kind is MessageKind.GIVE:
+            return message_sections.encode(Notes(grants=grants), codec.SECTION_BYTES)
+        if kind is MessageKind.ASK:
+            return message_sections.encode(
+                Notes(wants=self._some(self._wanted(now), WANT_ROWS)), codec.SECTION_BYTES
+            )
         shown, me = self.decisions.show(now), self.swim.me
         n = Notes(ill_everywhere=shown.ill_everywhere)
         if self.uses.weight:
             for subject, value in shown.counts:
                 self.counts.merge(now, Count(subject, me, self.swim.life[me], min(value, LARGEST)))
             n.counts = list(self.counts.rows(COUNT_ROWS, me))
-        if kind is Kind.ACK and self.uses.prior:
+        if kind is MessageKind.ACK and self.uses.prior:
             # hosts with room are what another lacks; each node tells of those that it has looked at itself
             low = sorted((x, h, now - at) for h, x, at in shown.figures if now - at <= SEEN_SPAN)
             n.seen = [(h, x, age) for x, h, age in low[:SEEN_ROWS]]
-        if kind is Kind.ACK and self.uses.lost:
+        if kind is MessageKind.ACK and self.uses.lost:
             own = [Judgement(h, word, me, now - at) for h, word, at in shown.words if now - at <= SPAN]
             others = [
                 Judgement(h, word, member, now - at)
                 for (h, member), (word, at, _) in self.judgements.rows.items() if member != me
             ]  # fmt: skip
             n.judged = self._some(own, JUDGED_ROWS) + self._some(others, JUDGED_ROWS)
-        return message_sections.encode(n, codec.NOTES)
+        return message_sections.encode(n, codec.SECTION_BYTES)
 
     def _wanted(self, now: float) -> list[tuple[int, float]]:
         """Pots that are short, and by how much."""
@@ -200,11 +202,11 @@
 
     # ---- what is heard
 
-    def _heard(self, now: float, heard: Heard, n: Notes) -> None:
+    def _heard(self, now: float, heard: AnswerReceived, n: Notes) -> None:
         """The answer to a question of this node's: what it says was so after the question was sent."""
         if self.uses.prior:
             for host, figure, age in n.seen:
-                if (seen := heard.since - age) > now - SEEN_SPAN:
+                if (seen := heard.asked_at - age) > now - SEEN_SPAN:
                     self.decisions.told(now, host, figure, seen)
         if not self.uses.lost:
             return
@@ -212,7 +214,7 @@
             self.judgements.sees_ill_everywhere(now, heard.member)
         for j in n.judged:
             if j.member != self.swim.me:
-                reason = self.judgements.take(now, j, heard.since, heard.member)
+                reason = self.judgements.take(now, j, heard.asked_at, heard.member)
                 if reason is not None:
                     self.swim.drop(reason)
 
@@ -224,7 +226,7 @@
     def _give(
         self, now: float, m: Message, wants: list[tuple[int, float]],
     ) -> tuple[list[Send], list[tuple[int, float]]]:  # fmt: skip
-        if not self.swim.answers.take(now):
+        if not self.swim.answer_limit.take(now):
             self.swim.drop("too-many")
             return [], []
 
@@ -236,7 +238,7 @@
             )
 
         grants = self.loans.give(m.sender, m.life, m.nonce, wants[:WANT_ROWS], lend)
-        answer = self.swim.bare(Kind.GIVE, self.swim.me, m.nonce)
+        answer = self.swim.message_without_updates(MessageKind.GIVE, self.swim.me, m.nonce)
         return ([Send(m.sender, answer)] if grants else []), grants
 
     def _take(self, now: float, m: Message, grants: list[tuple[int, float]]) -> None:
@@ -247,7 +249,7 @@
         if since is None:
             self.swim.drop("unasked")
         else:
-            self.swim.heard_from(now, m.sender, since)
+            self.swim.record_answer(now, m.sender, since)
 
     # ---- in its turn
 
@@ -258,10 +260,16 @@
         sends = self._tell(now) if self.uses.full else []
         if not (self.uses.room or self.uses.cold) or not self._wanted(now):
             return sends
-        member = self.swim.one_to_ask(now)
+        member = self.swim.random_live_member(now)
         if member is None:
             return sends
-        return [*sends, Send(member, self.swim.bare(Kind.ASK, member, self.loans.ask(now, member)))]
+        return [
+            *sends,
+            Send(
+                member,
+                self.swim.message_without_updates(MessageKind.ASK, member, self.loans.ask(now, member)),
+            ),
+        ]
 
     def _tell(self, now: float) -> list[Send]:
         """Acts on what was told, at a moment of its own; tells the own looks that show a host past full."""
@@ -272,10 +280,10 @@
         new = [(h, x, now - at) for h, x, at in looks if not self._known_full(now, h)]
         for host, figure, age in new:
             self._witness(now, self.swim.me, host, figure, age)
-        if not new or self.swim.doubled or not self.tells.take(now):
+        if not new or self.swim.duplicate_name or not self.tells.take(now):
             return []
         self.telling = new[:SEEN_ROWS]
-        return [Send(EVERYONE, self.swim.bare(Kind.TELL, self.swim.me, 0))]
+        return [Send(EVERYONE, self.swim.message_without_updates(MessageKind.TELL, self.swim.me, 0))]
 
     def _known_full(self, now: float, host: int) -> bool:
         return len(fresh(now, self.full.get(host, {}))) >= FULL_WITNESSES
@@ -296,7 +304,7 @@
         # Danger: one node that sees wrongly would move connections of all; two have to see it.
         if len(rows) >= FULL_WITNESSES and host not in self.crowded:
             lowest = sorted((x for x, _ in rows.values()), reverse=True)[FULL_WITNESSES - 1]
-            self.crowded[host] = now + FULL_SPREAD * self.swim._chance(), lowest
+            self.crowded[host] = now + FULL_SPREAD * self.swim._random(), lowest
 
     def _judge(self, now: float) -> None:
         if self.uses.lost:
@@ -321,11 +329,12 @@
     def lines(self, now: float) -> list[str]:
         """Figures for `caperdeck peers show`."""
         swim = self.swim
-        direct, news = swim.hearing(now, HEARD_WITHIN)
-        states = {s.name.lower(): sum(x is s for x in swim.state) for s in codec.State}
+        direct, news = swim.count_heard(now, HEARD_WITHIN)
+        states = {s.name.lower(): sum(x is s for x in swim.state) for s in codec.MemberState}
         rows = {f"members_{name}": count for name, count in states.items()} | {
-            "members_never_heard": sum(not life for life in swim.life), "members_returned": sum(swim.returns),
-            "heard_direct": direct, "heard_of": news, "doubled_name": int(swim.doubled),
+            "members_never_heard": sum(not life for life in swim.life),
+            "members_returned": sum(swim.restarts),
+            "heard_direct": direct, "heard_of": news, "doubled_name": int(swim.duplicate_name),
             "life": swim.life[swim.me], "datagrams_sent": self.sent, "datagrams_taken": self.received,
             "datagram_bytes_sent": self.bytes, "load_lent": round(self.loans.lent, 1),
             "load_borrowed": round(self.loans.borrowed, 1), "load_too_late": round(self.loans.late, 1),
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -28,7 +28,7 @@
 from caperdeck.lifecycle.service import Service
 from caperdeck.ops.admin_server import Caller, Front
 from caperdeck.owner.config import Owners
-from caperdeck.peers.swim import State
+from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
 
 from .heartbeat import BEAT, Beats
@@ -71,20 +71,20 @@
         """The process ends as a whole."""
 
 
-def knows(states: list[State], members: int) -> float:
+def knows(states: list[MemberState], members: int) -> float:
     """The share of the members that a view has as alive."""
-    return states.count(State.ALIVE) / members
+    return states.count(MemberState.ALIVE) / members
 
 
 def holds_dead(swim: Any, watched: list[int]) -> bool:
     """Whether 9 in 10 of the watched members that the view ever knew are silent in it."""
-    seen, silent = [i for i in watched if swim.life[i]], State.SILENT
+    seen, silent = [i for i in watched if swim.life[i]], MemberState.SILENT
     return bool(seen) and sum(swim.state[i] is silent for i in seen) >= MOST * len(seen)
 
 
 def holds_alive(swim: Any, lives: dict[int, int]) -> bool:
     """Whether 9 in 10 of the watched members are alive in another life than the one given."""
-    alive = State.ALIVE
+    alive = MemberState.ALIVE
     back = sum(swim.state[i] is alive and swim.life[i] > life for i, life in lives.items())
     return bool(lives) and back >= MOST * len(lives)
 
--- a/caperdeck/lab/slopes/membership.py
+++ b/caperdeck/lab/slopes/membership.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from caperdeck.peers.swim import PERIOD
+from caperdeck.peers.swim import PING_PERIOD_MS
 
 from .garbage import uncollected
 from .line import Point
@@ -108,8 +108,8 @@
                  f"{WARM}; median of {KILLED} members killed at one moment in one run a size; a suspected "
                  "member counts as dead after a time that grows with the logarithm of the members, so no "
                  "line is expected, and the chance of who pings whom moves a point by some periods "
-                 f"of {PERIOD / SECOND:g} s; over {sizes[-1]} members are not run, for the time that it "
-                 "takes to simulate")  # fmt: skip
+                 f"of {PING_PERIOD_MS / SECOND:g} s; over {sizes[-1]} members are not run, for the time "
+                 "that it takes to simulate")  # fmt: skip
 
 
 def _false_deaths(sizes: tuple[int, ...], say: Callable[[str], None]) -> Measurement:
--- a/caperdeck/lab/slopes/membership_costs.py
+++ b/caperdeck/lab/slopes/membership_costs.py
@@ -5,7 +5,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from caperdeck.peers.codec import State
+from caperdeck.peers.codec import MemberState
 
 from .membership_fleet import SECOND, Fleet
 from .object_size import object_bytes
@@ -45,7 +45,7 @@
     enough = NINE_IN_TEN * members
 
     def all_known() -> bool:
-        return sum(swim.state.count(State.ALIVE) >= enough for swim in fleet.members) >= enough
+        return sum(swim.state.count(MemberState.ALIVE) >= enough for swim in fleet.members) >= enough
 
     return fleet.wait_for(all_known) / SECOND
 
@@ -64,7 +64,7 @@
         for victim in victims:
             if victim in found:
                 continue
-            if sum(swim.state[victim] is State.SILENT for swim in fleet.living) >= enough:
+            if sum(swim.state[victim] is MemberState.SILENT for swim in fleet.living) >= enough:
                 found[victim] = fleet.now - killed_at
         return len(found) == len(victims)
 
@@ -89,6 +89,6 @@
 
 def held_silent_across(fleet: Fleet, region: int) -> float:
     members = len(fleet.members)
-    silent = sum(swim.state[region:].count(State.SILENT) for swim in fleet.members[:region])
-    silent += sum(swim.state[:region].count(State.SILENT) for swim in fleet.members[region:])
+    silent = sum(swim.state[region:].count(MemberState.SILENT) for swim in fleet.members[:region])
+    silent += sum(swim.state[:region].count(MemberState.SILENT) for swim in fleet.members[region:])
     return silent / (2 * region * (members - region))
--- a/caperdeck/lab/slopes/membership_fleet.py
+++ b/caperdeck/lab/slopes/membership_fleet.py
@@ -11,7 +11,7 @@
 
 from caperdeck.lab.events import Events
 from caperdeck.peers import codec
-from caperdeck.peers.codec import State
+from caperdeck.peers.codec import MemberState
 from caperdeck.peers.swim import Send, Swim
 
 from .errors import MeasuringError
@@ -20,7 +20,7 @@
 DELAY = (1.0, 25.0)  # milliseconds that a datagram takes, uniformly distributed
 LEAST_WAIT = 1.0  # milliseconds between two turns of a member, as the node's socket has it
 SEED_BITS = 32  # of a member's own seed
-FLEET_MARK = codec.fleet_mark(0, ())  # its value changes no cost
+FLEET_MARK = codec.fleet_id(0, ())  # its value changes no cost
 CHECK_EVERY = SECOND / 2  # between two checks of a condition that is waited for
 LONGEST_WAIT = 1800 * SECOND  # a condition that takes longer is an error
 
@@ -49,11 +49,11 @@
     def _introduce(self) -> None:
         lives = [swim.life[swim.me] for swim in self.members]
         for swim in self.members:
-            swim.state = [State.ALIVE] * len(lives)
+            swim.state = [MemberState.ALIVE] * len(lives)
             swim.life = list(lives)
             swim.ever_heard = bytearray([1]) * len(lives)
-            swim.beats = [1] * len(lives)
-            swim.news_at = [self.now] * len(lives)
+            swim.heartbeats = [1] * len(lives)
+            swim.heard_of_at = [self.now] * len(lives)
 
     def _tick(self, number: int) -> None:
         if number in self.killed:
@@ -70,7 +70,7 @@
             return
         swim = self.members[number]
         started = time.thread_time_ns()
-        sends, _ = swim.take(self.now, codec.decode(data, FLEET_MARK, len(self.members)))
+        sends, _ = swim.receive(self.now, codec.decode(data, FLEET_MARK, len(self.members)))
         self._send(number, sends)
         self.spent += time.thread_time_ns() - started
 
--- a/caperdeck/peers/__init__.py
+++ b/caperdeck/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: SWIM, its messages, and what a node knows of its own hearing. No I/O."""
+"""Fleet membership: the SWIM state machine and its message codec. No I/O."""
--- a/caperdeck/peers/codec.py
+++ b/caperdeck/peers/codec.py
@@ -1,8 +1,9 @@
-"""The datagrams between nodes: one ping, ack or request to ping, with what is spread along with it.
+"""Datagrams between nodes: a SWIM message with the membership updates piggybacked on it.
 
-Layout, big-endian: crc32 of the rest (4), version (1), fleet (4), kind (1), sender (2), life (4), about (2),
-nonce (4), number of updates (1), updates of 9 bytes, number of beats (1), beats of 6 bytes, then the notes of
-the ledger up to the end. A gossip has no notes, and updates in their place.
+Layout, big-endian: crc32 of the rest (4), version (1), fleet (4), kind (1), sender (2), life (4), subject
+(2), nonce (4), number of updates (1), updates of 9 bytes, number of heartbeats (1), heartbeats of 6 bytes,
+then up to the end the sections of `gossip.message_sections`. A gossip has no sections and uses their space
+for updates.
 """
 
 from __future__ import annotations
@@ -14,128 +15,140 @@
 from typing import NamedTuple
 
 VERSION = 1
-LONGEST = 256  # bytes, as the platform's page allows
-HEAD = struct.Struct(">IBIBHIHI")
-UPDATE = struct.Struct(">HBIH")
-BEAT = struct.Struct(">HHH")
-MOST_UPDATES, MOST_BEATS = 6, 6
-NOTES = LONGEST - HEAD.size - 2 - MOST_UPDATES * UPDATE.size - MOST_BEATS * BEAT.size
-"""Bytes that the ledger may always fill."""
-MOST_GOSSIP = (LONGEST - HEAD.size - 2 - BEAT.size) // UPDATE.size  # updates of a gossip, beside one beat
+MAX_DATAGRAM_BYTES = 256  # the documented limit of the platform
+HEADER = struct.Struct(">IBIBHIHI")
+UPDATE_ROW = struct.Struct(">HBIH")
+HEARTBEAT_ROW = struct.Struct(">HHH")
+MAX_UPDATES, MAX_HEARTBEATS = 6, 6
+SECTION_BYTES = (
+    MAX_DATAGRAM_BYTES - HEADER.size - 2 - MAX_UPDATES * UPDATE_ROW.size - MAX_HEARTBEATS * HEARTBEAT_ROW.size
+)
+"""Bytes that are available to the sections of any message that carries them."""
+# space is left for one heartbeat
+MAX_GOSSIP_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size - 2 - HEARTBEAT_ROW.size) // UPDATE_ROW.size
+
+
+class MessageKind(IntEnum):
+    """Kinds of messages; the values are part of the wire format."""
 
-
-class Kind(IntEnum):
     PING = 1
     ACK = 2
-    PING_FOR = 3  # asks the receiver to ping `about` and to pass its ack on
-    ACK_FOR = 4  # `about` has answered the receiver's request
-    ASK = 5  # for a loan, with no news along; answered with GIVE if there is anything to give
+    PING_FOR = 3  # asks the receiver to ping `subject` and to report its ack
+    ACK_FOR = 4  # reports to the requester that `subject` has answered
+    ASK = 5  # requests a quota transfer; answered with GIVE if there is anything to lend
     GIVE = 6
-    TELL = 7  # to everyone: hosts past full load, seen just now
-    GOSSIP = 8  # words on members alone, which nobody answers
+    TELL = 7  # sent to all members: hosts that were just observed above full load
+    GOSSIP = 8  # membership updates only; never answered
 
 
-class State(IntEnum):
-    """A member as this node holds it; of two words about one life and incarnation the higher one counts."""
+class MemberState(IntEnum):
+    """State of a member as seen by this node; for the same life and incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECTED = 1
     SILENT = 2
 
 
-class Update(NamedTuple):
-    """A word on a member, spread from node to node."""
+class MemberUpdate(NamedTuple):
+    """A claim about the state of a member, disseminated from node to node."""
 
     member: int
-    state: State
+    state: MemberState
     life: int
     incarnation: int
 
 
-class Beat(NamedTuple):
-    """The highest beat of a member that the sender has heard of, with the low bits of its life."""
+class Heartbeat(NamedTuple):
+    """The highest heartbeat counter of a member that the sender knows, with the low 16 bits of the member's
+    life.
+    """
 
     member: int
     life: int
-    beat: int
+    counter: int
 
 
 class Message(NamedTuple):
-    kind: Kind
+    """One decoded datagram."""
+
+    kind: MessageKind
     sender: int
-    life: int  # of the sender: grows with each start of the same name
-    about: int
+    life: int  # of the sender; increases with each start under the same name
+    subject: int
     nonce: int
-    updates: tuple[Update, ...] = ()
-    beats: tuple[Beat, ...] = ()
-    notes: bytes = b""
+    updates: tuple[MemberUpdate, ...] = ()
+    heartbeats: tuple[Heartbeat, ...] = ()
+    sections: bytes = b""
 
 
 class DatagramError(ValueError):
-    """What came is no message of this fleet; the text is the reason, one of a few words."""
+    """The datagram is not a valid message of this fleet; the text is the reason, as one keyword."""
 
 
-def fleet_mark(members: int, names: Iterable[str]) -> int:
-    """Tells fleets apart: alike at all nodes of one, whatever way each of them reaches the others."""
+def fleet_id(members: int, names: Iterable[str]) -> int:
+    """Identifies a fleet: the same at all its nodes, whatever addresses they use to reach each other."""
     return zlib.crc32("\n".join([str(members), *names]).encode())
 
 
-def most_updates(kind: int) -> int:
-    return MOST_GOSSIP if kind == Kind.GOSSIP else MOST_UPDATES
+def max_updates(kind: int) -> int:
+    return MAX_GOSSIP_UPDATES if kind == MessageKind.GOSSIP else MAX_UPDATES
 
 
 def encode(message: Message, fleet: int) -> bytes:
-    """At most LONGEST bytes; what has no room is cut from the notes, which the caller keeps in bounds."""
-    m, most = message, most_updates(message.kind)
+    """Returns at most MAX_DATAGRAM_BYTES; an excess is cut off the sections, whose size the caller limits."""
+    m, limit = message, max_updates(message.kind)
     body = b"".join((
-        struct.pack(">BIBHIHI", VERSION, fleet, m.kind, m.sender, m.life, m.about, m.nonce),
-        bytes((min(len(m.updates), most),)), *(UPDATE.pack(*u) for u in m.updates[:most]),
-        bytes((min(len(m.beats), MOST_BEATS),)), *(BEAT.pack(*b) for b in m.beats[:MOST_BEATS]),
+        struct.pack(">BIBHIHI", VERSION, fleet, m.kind, m.sender, m.life, m.subject, m.nonce),
+        bytes((min(len(m.updates), limit),)), *(UPDATE_ROW.pack(*u) for u in m.updates[:limit]),
+        bytes((min(len(m.heartbeats), MAX_HEARTBEATS),)),
+        *(HEARTBEAT_ROW.pack(*h) for h in m.heartbeats[:MAX_HEARTBEATS]),
     ))  # fmt: skip
-    body = (body + m.notes)[: LONGEST - 4]
+    body = (body + m.sections)[: MAX_DATAGRAM_BYTES - 4]
     return zlib.crc32(body).to_bytes(4, "big") + body
 
 
 def decode(data: bytes, fleet: int, members: int) -> Message:
-    """Raises DatagramError; nothing of a datagram with any fault is taken."""
-    if len(data) > LONGEST:
+    """Decodes a whole datagram; raises DatagramError and uses nothing of it if any part is invalid."""
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramError("too-long")
-    if len(data) < HEAD.size + 2:
+    if len(data) < HEADER.size + 2:
         raise DatagramError("too-short")
-    crc, version, of, kind, sender, life, about, nonce = HEAD.unpack_from(data)
+    crc, version, sender_fleet, kind, sender, life, subject, nonce = HEADER.unpack_from(data)
     if version != VERSION:
         raise DatagramError("other-version")
-    if of != fleet:
+    if sender_fleet != fleet:
         raise DatagramError("other-fleet")
     if crc != zlib.crc32(data[4:]):
         raise DatagramError("damaged")
-    if kind not in Kind.__members__.values():
+    if kind not in MessageKind.__members__.values():
         raise DatagramError("unknown-kind")
-    if sender >= members or about >= members:
+    if sender >= members or subject >= members:
         raise DatagramError("no-such-member")
     if not life:
         raise DatagramError("no-life")
-    at = HEAD.size
-    updates, at = _rows(data, at, UPDATE, most_updates(kind))
-    beats, at = _rows(data, at, BEAT, MOST_BEATS)
-    if any(row[0] >= members for row in updates + beats) or any(u[1] > State.SILENT for u in updates):
+    offset = HEADER.size
+    updates, offset = _unpack_rows(data, offset, UPDATE_ROW, max_updates(kind))
+    heartbeats, offset = _unpack_rows(data, offset, HEARTBEAT_ROW, MAX_HEARTBEATS)
+    if any(row[0] >= members for row in updates + heartbeats) or any(
+        update[1] > MemberState.SILENT for update in updates
+    ):
         raise DatagramError("no-such-member")
-    if any(not u[2] for u in updates):
+    if any(not update[2] for update in updates):
         raise DatagramError("no-life")
     return Message(
-        Kind(kind), sender, life, about, nonce,
-        tuple(Update(m, State(s), lf, i) for m, s, lf, i in updates),
-        tuple(Beat(*b) for b in beats), data[at:],
+        MessageKind(kind), sender, life, subject, nonce,
+        tuple(MemberUpdate(m, MemberState(s), lf, i) for m, s, lf, i in updates),
+        tuple(Heartbeat(*h) for h in heartbeats), data[offset:],
     )  # fmt: skip
 
 
-def _rows(data: bytes, at: int, row: struct.Struct, most: int) -> tuple[list[tuple], int]:
-    if at >= len(data):
+def _unpack_rows(data: bytes, offset: int, row_format: struct.Struct, limit: int) -> tuple[list[tuple], int]:
+    if offset >= len(data):
         raise DatagramError("cut-short")
-    count, at = data[at], at + 1
-    if count > most:
+    count, offset = data[offset], offset + 1
+    if count > limit:
         raise DatagramError("too-many-rows")
-    end = at + count * row.size
+    end = offset + count * row_format.size
     if end > len(data):
         raise DatagramError("cut-short")
-    return [row.unpack_from(data, x) for x in range(at, end, row.size)], end
+    return [row_format.unpack_from(data, at) for at in range(offset, end, row_format.size)], end
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -1,14 +1,16 @@
 """SWIM as a pure state machine: events and time in, messages out.
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (DSN 2002): pings in a shuffled round, requests to ping, suspicion, incarnation numbers, news
-carried along, those passed on least often first. From Dadgar, Phillips, Currey, "Lifeguard" (DSN-W 2018): a
-node that hears little waits longer before it suspects. From van Renesse, Minsky, Hayden, "A Gossip-Style
-Failure Detection Service" (Middleware 1998), as Lifeguard's program has it beside the pings: while more words
-are new than pings can carry, they are also sent alone to random members, as many as a datagram has room for,
-each a few times. Members are the addresses of the configuration by number, so nobody joins or leaves; a
-silent one is still pinged now and then, and a life that grows tells a restart from a return. Times are float
-milliseconds on the node's own clock; none is ever compared with another node's.
+Protocol" (DSN 2002): pings in a shuffled round, indirect pings, suspicion, incarnation numbers, piggybacked
+updates with the least transmitted ones first. From Dadgar, Phillips, Currey, "Lifeguard" (DSN-W 2018): a node
+that receives few answers waits longer before it suspects others. From van Renesse, Minsky, Hayden, "A
+Gossip-Style Failure Detection Service" (Middleware 1998), as Lifeguard's program has it beside the pings:
+while there are more new updates than pings can carry, they are also sent in messages of their own to random
+members, as many as fit into a datagram, each a few times.
+
+Members are the addresses of the configuration, by number, so nobody joins or leaves. A silent member is still
+pinged now and then, and an increased life distinguishes a restart from a reconnection. Times are float
+milliseconds on this node's clock and are never compared with another node's.
 """
 
 from __future__ import annotations
@@ -18,48 +20,50 @@
 import operator
 from typing import NamedTuple
 
-from .codec import MOST_GOSSIP, MOST_UPDATES, Beat, Kind, Message, State, Update
-from .member_random import Draws
-
-PERIOD = 2000.0  # between pings, at the mean
-ACK_WAIT = 300.0  # for the answer before others are asked to ping
-HELPERS = 2  # so many
-SUSPICION = 4.0  # periods, times the decimal logarithm of the members, until a suspected one counts as silent
-SPREAD = 3.0  # times the binary logarithm of the members: so often a word is passed on
-FILLERS = 2  # members whose state goes along though nothing new is known of them
-BEATS = 3  # beats that go along
-MOST_NEWS = 512  # words that wait to be passed on; two racks that are lost at once
-GOSSIP_EVERY = 500.0  # between gossips, at the mean, while there is much new
-GOSSIP_TIMES = 4  # a word is new until it was passed on so often
-GOSSIP_DRAWS = 8  # members drawn for a gossip until one is alive
-SURE = 4000.0  # for so long after its answer no word against a member is believed
-SILENT_PART = 0.5  # of the turns of a silent member, in which it is pinged
-ANSWERS = 20.0  # a second, at the most
-MOST_ASKS = 8.0  # pings a second beside the round, at the most
-MOST_RAISES = 3  # of the own life, then another process has the same name
-MOST_AWARE = 4  # times longer a node waits that hears nobody
-MOST_RELAYED = 32  # pings for others whose answers are awaited
-BEAT_MOST, LIFE_MOST = 0xFFFF, 0xFFFFFFFF
+from .codec import MAX_GOSSIP_UPDATES, MAX_UPDATES, Heartbeat, MessageKind, Message, MemberState, MemberUpdate
+from .member_random import MemberRandom
+
+PING_PERIOD_MS = 2000.0  # mean time between pings
+ACK_TIMEOUT_MS = 300.0  # wait for an ack before indirect pings are requested
+INDIRECT_PINGS = 2  # members that are asked to ping for this node
+SUSPICION_PERIODS = 4.0  # suspicion timeout in ping periods, times log10 of the number of members
+RETRANSMIT_FACTOR = 3.0  # times log2 of the number of members: transmissions of each update
+MIN_UPDATES = 2  # updates in a message even if nothing is new
+HEARTBEATS_PER_MESSAGE = 3
+MAX_PENDING_UPDATES = 512  # two racks lost at once
+GOSSIP_INTERVAL_MS = 500.0  # mean time, while there are many new updates
+GOSSIP_TRANSMISSIONS = 4  # an update counts as new until it was sent this often
+GOSSIP_TARGET_ATTEMPTS = 8  # random members tried until one is alive
+ALIVE_GRACE_MS = 4000.0  # time after an answer during which claims against the member are ignored
+SILENT_PING_SHARE = 0.5  # share of a silent member's turns in which it is pinged
+MAX_ANSWERS_PER_S = 20.0
+MAX_EXTRA_REQUESTS_PER_S = 8.0  # requests outside of the ping round
+MAX_LIFE_RAISES = 3  # of this node's life, after which another process must have the same name
+MAX_HEALTH_MULTIPLIER = 4  # upper limit of the factor on timeouts
+MAX_RELAYED_PINGS = 32  # pings on behalf of others that wait for an ack
+MAX_HEARTBEAT, MAX_LIFE = 0xFFFF, 0xFFFFFFFF
 
 
 EVERYONE = -1
 
 
 class Send(NamedTuple):
-    to: int  # a member, or EVERYONE
+    """A message to send."""
+
+    to: int  # member number, or EVERYONE
     message: Message
 
 
-class Heard(NamedTuple):
-    """A member has answered this node: what it says was true at some time since `since`."""
+class AnswerReceived(NamedTuple):
+    """A member has answered this node: what it reports was true at some time since `asked_at`."""
 
     member: int
     life: int
-    since: float
+    asked_at: float
 
 
-class Bucket:
-    """So many a second, and as many at once."""
+class TokenBucket:
+    """Rate limiter: `rate` tokens per second with an equal burst size."""
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate, self.left, self.at = rate, rate, now
@@ -74,38 +78,49 @@
 
 
 class Swim:
-    """One node's view of the members. `life` is over 0 and should be higher than at the node's last start."""
+    """One node's view of the members.
+
+    `life` must be above 0 and should be higher than at the previous start of this node.
+    """
 
     def __init__(self, me: int, members: int, life: int, seed: int, now: float) -> None:
-        self.me, self.seed, self._chance = me, seed, Draws(seed, me)
-        self.raises, self.doubled = 0, False
-        self.incarnation, self.beat = 0, 0
-        # members: parallel arrays under the member's number
-        self.state = [State.SILENT] * members
+        self.me, self.seed, self._random = me, seed, MemberRandom(seed, me)
+        self.life_raises, self.duplicate_name = 0, False
+        self.incarnation, self.heartbeat = 0, 0
+        # state of members: parallel arrays indexed by member number
+        self.state = [MemberState.SILENT] * members
         self.life = [0] * members
-        self.ever_heard = bytearray(members)  # 1 where there is a life, to be searched fast
+        # 1 where the life is known; a bytearray because it can be searched fast
+        self.ever_heard = bytearray(members)
         self.incarnations = [0] * members
-        self.beats = [0] * members
-        self.since = [now] * members  # in this state
-        self.direct_at = [-math.inf] * members  # when the last ping that it has answered was sent
-        self.news_at = [-math.inf] * members  # when it was last seen to be further on, by whatever way
-        self.returns = [0] * members  # new lives seen
-        self.state[me], self.life[me], self.ever_heard[me] = State.ALIVE, max(life, 1), 1
-        self.round: list[int] = []
-        self.news: dict[int, int] = {}  # members to tell of, the newest last: how often still
-        self.times = math.ceil(SPREAD * math.log2(members + 1))  # that a word is passed on
-        self.filler = self.beating = 0  # whose state and beat go along next
-        self.nonces = int(self._chance() * 2**32)
-        self.out: dict[int, tuple[int, float]] = {}  # own pings: nonce to member, sent at
-        self.asked_for: dict[int, tuple[int, float]] = {}  # pings for others: nonce to member, sent at
-        self.relayed: dict[int, tuple[int, int, int, float]] = {}  # nonce to asker, its nonce, about, sent at
-        self.probe: tuple[int, float, bool] | None = None  # the round's ping: member, at, others are asked
-        self.next_at = now + PERIOD * self._chance()  # nothing in step
-        self.gossip_at = now + GOSSIP_EVERY * self._chance()
-        self.ticked_at = now
-        self.aware = 0  # rounds in a row, at the most MOST_AWARE - 1, in which nobody answered
-        self.answers = Bucket(ANSWERS, now)
-        self.asks = Bucket(MOST_ASKS, now)
+        self.heartbeats = [0] * members
+        self.state_since = [now] * members  # start of the current state
+        self.answered_at = [-math.inf] * members  # send time of the newest ping that was answered
+        # last time that direct or indirect evidence of progress arrived
+        self.heard_of_at = [-math.inf] * members
+        self.restarts = [0] * members  # observed restarts
+        self.state[me], self.life[me], self.ever_heard[me] = MemberState.ALIVE, max(life, 1), 1
+        self.ping_order: list[int] = []
+        # by member, most recently queued last: remaining transmissions
+        self.pending_updates: dict[int, int] = {}
+        # transmissions of each update
+        self.transmissions = math.ceil(RETRANSMIT_FACTOR * math.log2(members + 1))
+        self.update_cursor = self.heartbeat_cursor = 0  # round-robin positions of piggybacked data
+        self.last_nonce = int(self._random() * 2**32)
+        self.pending_pings: dict[int, tuple[int, float]] = {}  # by nonce: member, sent at
+        # by nonce, of indirect pings: member, sent at
+        self.pending_indirect: dict[int, tuple[int, float]] = {}
+        # by nonce: requester, its nonce, subject, sent at
+        self.relayed_pings: dict[int, tuple[int, int, int, float]] = {}
+        # ping of this round: member, sent at, whether indirect pings were requested
+        self.current_ping: tuple[int, float, bool] | None = None
+        # random, so that members do not ping in lockstep
+        self.next_round_at = now + PING_PERIOD_MS * self._random()
+        self.next_gossip_at = now + GOSSIP_INTERVAL_MS * self._random()
+        self.last_tick_at = now
+        self.health_penalty = 0  # successive rounds without an ack, up to MAX_HEALTH_MULTIPLIER - 1
+        self.answer_limit = TokenBucket(MAX_ANSWERS_PER_S, now)
+        self.request_limit = TokenBucket(MAX_EXTRA_REQUESTS_PER_S, now)
         self.dropped: dict[str, int] = {}
 
     @property
@@ -115,310 +130,361 @@
     def drop(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    # ---- what the node knows
+    # ---- queries
 
-    def hearing(self, now: float, span: float) -> tuple[int, int]:
-        """Members that answered a ping sent within the span, and members of which there was news in it."""
-        # Danger: what lay in a socket while the node slept looks new when it is read; an answer counts from
-        # the time of its question, so a sleep makes it old.
-        direct = sum(now - at <= span for i, at in enumerate(self.direct_at) if i != self.me)
-        return direct, sum(now - at <= span for i, at in enumerate(self.news_at) if i != self.me)
+    def count_heard(self, now: float, span: float) -> tuple[int, int]:
+        """Counts the members that answered a ping sent within the span, and those with evidence of progress
+        within it.
+        """
+        # A datagram that waited in the socket while the process was suspended would look fresh if dated by
+        # its arrival. Answers are therefore dated by the send time of their request.
+        direct = sum(now - at <= span for i, at in enumerate(self.answered_at) if i != self.me)
+        return direct, sum(now - at <= span for i, at in enumerate(self.heard_of_at) if i != self.me)
 
     def alive(self) -> list[int]:
-        # Danger: an enumeration's member is looked up by a call, which is most of a look at all members.
-        alive = State.ALIVE
+        # Enum members are looked up by a call, which would dominate the scan of all members.
+        alive = MemberState.ALIVE
         return [i for i, state in enumerate(self.state) if state is alive and i != self.me]
 
-    # ---- time
+    # ---- timers
 
     @property
     def due(self) -> float:
-        due = self.next_at if len(self.news) <= MOST_UPDATES else min(self.next_at, self.gossip_at)
-        if self.probe is not None and not self.probe[2]:
-            return min(due, self.probe[1] + self._wait())
+        due = (
+            self.next_round_at
+            if len(self.pending_updates) <= MAX_UPDATES
+            else min(self.next_round_at, self.next_gossip_at)
+        )
+        if self.current_ping is not None and not self.current_ping[2]:
+            return min(due, self.current_ping[1] + self._ack_timeout())
         return due
 
-    def _wait(self) -> float:
-        return ACK_WAIT * (1 + self.aware)
+    def _ack_timeout(self) -> float:
+        return ACK_TIMEOUT_MS * (1 + self.health_penalty)
 
     def tick(self, now: float) -> list[Send]:
-        # Danger: a node that was away finds all its questions unanswered, and would suspect the whole fleet.
-        if now - self.ticked_at > 2 * PERIOD * (1 + self.aware):
-            self.out.clear()
-            self.asked_for.clear()
-            self.relayed.clear()
-            self.probe = None
+        """Runs what is due: an indirect ping, the next round, a gossip."""
+        # After a suspension of this process all its pings are overdue, and it would suspect the whole fleet.
+        if now - self.last_tick_at > 2 * PING_PERIOD_MS * (1 + self.health_penalty):
+            self.pending_pings.clear()
+            self.pending_indirect.clear()
+            self.relayed_pings.clear()
+            self.current_ping = None
             for i, state in enumerate(self.state):
-                self.since[i] = now if state is State.SUSPECTED else self.since[i]
-        self.ticked_at = now
+                self.state_since[i] = now if state is MemberState.SUSPECTED else self.state_since[i]
+        self.last_tick_at = now
         sends: list[Send] = []
-        if self.probe is not None and not self.probe[2] and now >= self.probe[1] + self._wait():
-            sends += self._ask_helpers(now)
-        if now >= self.next_at:
-            sends += self._next_round(now)
-        if now >= self.gossip_at:
-            sends += self._gossip(now)
+        if (
+            self.current_ping is not None
+            and not self.current_ping[2]
+            and now >= self.current_ping[1] + self._ack_timeout()
+        ):
+            sends += self._request_indirect_pings(now)
+        if now >= self.next_round_at:
+            sends += self._start_round(now)
+        if now >= self.next_gossip_at:
+            sends += self._send_gossip(now)
         return sends
 
-    def _gossip(self, now: float) -> list[Send]:
-        self.gossip_at = now + GOSSIP_EVERY * (0.75 + self._chance() / 2)
-        if self.doubled or len(self.news) <= MOST_UPDATES:
+    def _send_gossip(self, now: float) -> list[Send]:
+        self.next_gossip_at = now + GOSSIP_INTERVAL_MS * (0.75 + self._random() / 2)
+        if self.duplicate_name or len(self.pending_updates) <= MAX_UPDATES:
             return []
-        new = sum(left > self.times - GOSSIP_TIMES for left in self.news.values())
-        if new <= MOST_UPDATES:
+        new = sum(left > self.transmissions - GOSSIP_TRANSMISSIONS for left in self.pending_updates.values())
+        if new <= MAX_UPDATES:
             return []
-        for _ in range(GOSSIP_DRAWS):
-            member = int(self._chance() * self.members)
-            if member != self.me and self.state[member] is State.ALIVE:
-                return [Send(member, self._news_alone())]
+        for _ in range(GOSSIP_TARGET_ATTEMPTS):
+            member = int(self._random() * self.members)
+            if member != self.me and self.state[member] is MemberState.ALIVE:
+                return [Send(member, self._gossip_message())]
         return []
 
-    def _news_alone(self) -> Message:
-        updates = tuple(self._update(i) for i in self._pass_on(MOST_GOSSIP))
-        return self.bare(Kind.GOSSIP, self.me, 0)._replace(updates=updates, beats=(self._own_beat(),))
-
-    def _next_round(self, now: float) -> list[Send]:
-        self.next_at = now + PERIOD * (0.75 + self._chance() / 2)
-        self.beat = min(self.beat + 1, BEAT_MOST)
-        if self.probe is not None:
-            member, self.probe = self.probe[0], None
-            self.aware = min(self.aware + 1, MOST_AWARE - 1)
-            if self.state[member] is State.ALIVE:
-                self._set(now, member, State.SUSPECTED, self.life[member], self.incarnations[member])
-        last = SUSPICION * PERIOD * max(math.log10(self.members), 1.0) * (1 + self.aware)
-        suspected = State.SUSPECTED
+    def _gossip_message(self) -> Message:
+        updates = tuple(self._update_about(i) for i in self._take_pending_updates(MAX_GOSSIP_UPDATES))
+        return self.message_without_updates(MessageKind.GOSSIP, self.me, 0)._replace(
+            updates=updates, heartbeats=(self._own_heartbeat(),)
+        )
+
+    def _start_round(self, now: float) -> list[Send]:
+        self.next_round_at = now + PING_PERIOD_MS * (0.75 + self._random() / 2)
+        self.heartbeat = min(self.heartbeat + 1, MAX_HEARTBEAT)
+        if self.current_ping is not None:
+            member, self.current_ping = self.current_ping[0], None
+            self.health_penalty = min(self.health_penalty + 1, MAX_HEALTH_MULTIPLIER - 1)
+            if self.state[member] is MemberState.ALIVE:
+                self._set_state(
+                    now, member, MemberState.SUSPECTED, self.life[member], self.incarnations[member]
+                )
+        timeout = (
+            SUSPICION_PERIODS
+            * PING_PERIOD_MS
+            * max(math.log10(self.members), 1.0)
+            * (1 + self.health_penalty)
+        )
+        suspected = MemberState.SUSPECTED
         for i, state in enumerate(self.state):
-            if state is suspected and now - self.since[i] >= last:
-                self._set(now, i, State.SILENT, self.life[i], self.incarnations[i])
-        old = now - 2 * PERIOD * MOST_AWARE
-        self.out = {n: x for n, x in self.out.items() if x[1] > old}
-        self.asked_for = {n: x for n, x in self.asked_for.items() if x[1] > old}
-        self.relayed = {n: x for n, x in self.relayed.items() if x[3] > old}
-        if (member := self._next()) is None or self.doubled:
+            if state is suspected and now - self.state_since[i] >= timeout:
+                self._set_state(now, i, MemberState.SILENT, self.life[i], self.incarnations[i])
+        oldest = now - 2 * PING_PERIOD_MS * MAX_HEALTH_MULTIPLIER
+        self.pending_pings = {nonce: row for nonce, row in self.pending_pings.items() if row[1] > oldest}
+        self.pending_indirect = {
+            nonce: row for nonce, row in self.pending_indirect.items() if row[1] > oldest
+        }
+        self.relayed_pings = {nonce: row for nonce, row in self.relayed_pings.items() if row[3] > oldest}
+        if (member := self._next_ping_target()) is None or self.duplicate_name:
             return []
-        self.probe = member, now, False
+        self.current_ping = member, now, False
         return [self._ping(now, member)]
 
-    def _next(self) -> int | None:
-        """The next of the shuffled round; silent members in a part of the rounds."""
+    def _next_ping_target(self) -> int | None:
+        """Returns the next member of the shuffled round; silent members only in some of their turns."""
         for _ in range(self.members):
-            if not self.round:
-                self.round = [i for i in range(self.members) if i != self.me]
-                for i in range(len(self.round) - 1, 0, -1):
-                    j = int(self._chance() * (i + 1))
-                    self.round[i], self.round[j] = self.round[j], self.round[i]
-            if not self.round:
+            if not self.ping_order:
+                self.ping_order = [i for i in range(self.members) if i != self.me]
+                for i in range(len(self.ping_order) - 1, 0, -1):
+                    j = int(self._random() * (i + 1))
+                    self.ping_order[i], self.ping_order[j] = self.ping_order[j], self.ping_order[i]
+            if not self.ping_order:
                 return None
-            member = self.round.pop()
-            # Danger: after a mass kill most pings would go to the dead, and the living hear late of others.
-            known = self.state[member] is not State.SILENT or not self.life[member]
-            if known or self._chance() < SILENT_PART:
+            member = self.ping_order.pop()
+            # After a mass failure most pings would go to dead members, and failures of live ones would be
+            # detected late.
+            pingable = self.state[member] is not MemberState.SILENT or not self.life[member]
+            if pingable or self._random() < SILENT_PING_SHARE:
                 return member
         return None
 
-    def _message(self, to: int, kind: Kind, about: int, nonce: int) -> Message:
-        return Message(kind, self.me, self.life[self.me], about, nonce, self._updates(to), self._beats())
+    def _message(self, to: int, kind: MessageKind, subject: int, nonce: int) -> Message:
+        return Message(
+            kind, self.me, self.life[self.me], subject, nonce, self._updates_for(to), self._heartbeats()
+        )
 
     def _ping(self, now: float, member: int) -> Send:
-        self.nonces = (self.nonces + 1) & 0xFFFFFFFF
-        self.out[self.nonces] = member, now
-        return Send(member, self._message(member, Kind.PING, member, self.nonces))
+        self.last_nonce = (self.last_nonce + 1) & 0xFFFFFFFF
+        self.pending_pings[self.last_nonce] = member, now
+        return Send(member, self._message(member, MessageKind.PING, member, self.last_nonce))
+
+    def random_live_member(self, now: float) -> int | None:
+        """Returns a random member that is alive or still unknown, for a request outside of the ping round.
 
-    def one_to_ask(self, now: float) -> int | None:
-        """A member drawn among the living, or not heard of yet, for a question beside the round; or None."""
-        known_alive = State.ALIVE
+        Returns None if there is no such member or the rate limit is reached.
+        """
+        known_alive = MemberState.ALIVE
         alive = [i for i in range(self.members) if self.state[i] is known_alive or not self.life[i]]
         alive.remove(self.me)
-        if not alive or self.doubled or not self.asks.take(now):
+        if not alive or self.duplicate_name or not self.request_limit.take(now):
             return None
-        return alive[int(self._chance() * len(alive))]
+        return alive[int(self._random() * len(alive))]
 
-    def bare(self, kind: Kind, about: int, nonce: int) -> Message:
-        """A message with no news along."""
-        return Message(kind, self.me, self.life[self.me], about, nonce)
+    def message_without_updates(self, kind: MessageKind, subject: int, nonce: int) -> Message:
+        """Returns a message without piggybacked updates and heartbeats."""
+        return Message(kind, self.me, self.life[self.me], subject, nonce)
 
-    def _ask_helpers(self, now: float) -> list[Send]:
-        member, at, _ = self.probe
-        self.probe = member, at, True
+    def _request_indirect_pings(self, now: float) -> list[Send]:
+        member, at, _ = self.current_ping
+        self.current_ping = member, at, True
         helpers = [i for i in self.alive() if i != member]
         sends = []
-        for _ in range(min(HELPERS, len(helpers))):
-            helper = helpers.pop(int(self._chance() * len(helpers)))
-            self.nonces = (self.nonces + 1) & 0xFFFFFFFF
-            self.asked_for[self.nonces] = member, now
-            sends.append(Send(helper, self._message(helper, Kind.PING_FOR, member, self.nonces)))
+        for _ in range(min(INDIRECT_PINGS, len(helpers))):
+            helper = helpers.pop(int(self._random() * len(helpers)))
+            self.last_nonce = (self.last_nonce + 1) & 0xFFFFFFFF
+            self.pending_indirect[self.last_nonce] = member, now
+            sends.append(Send(helper, self._message(helper, MessageKind.PING_FOR, member, self.last_nonce)))
         return sends
 
     # ---- messages
 
-    def take(self, now: float, m: Message) -> tuple[list[Send], Heard | None]:
-        """One decoded message; what is sent for it, and whose answer to this node it is, if it is one."""
-        if m.sender == self.me:
-            # Danger: a second process under this name; both would count and spend as one member.
+    def receive(self, now: float, message: Message) -> tuple[list[Send], AnswerReceived | None]:
+        """Processes a decoded message; returns the messages to send and, for an ack of a ping, the answer
+        received.
+        """
+        if message.sender == self.me:
+            # Another process runs under this node's name: both would count and spend as one member.
             self.drop("own-name")
             return [], None
-        for u in (Update(m.sender, State.ALIVE, m.life, 0), *m.updates):
-            self._heard_of(now, u, u.member == m.sender)
-        if m.life != self.life[m.sender]:
-            # Danger: a datagram of a process that has died since; what it says was counted with that life.
+        for update in (MemberUpdate(message.sender, MemberState.ALIVE, message.life, 0), *message.updates):
+            self._apply_update(now, update, update.member == message.sender)
+        if message.life != self.life[message.sender]:
+            # The datagram is from a process that has died since; its content belongs to the previous life.
             self.drop("old-life")
             return [], None
-        for b in m.beats:
-            self._beat(now, b)
-        return self._answer(now, m)
-
-    def _answer(self, now: float, m: Message) -> tuple[list[Send], Heard | None]:
-        if m.kind in (Kind.ASK, Kind.GIVE, Kind.TELL, Kind.GOSSIP):
-            return [], None  # the ledger's, or taken in already
-        if m.kind is Kind.PING:
-            if not self.answers.take(now):
+        for heartbeat in message.heartbeats:
+            self._apply_heartbeat(now, heartbeat)
+        return self._respond(now, message)
+
+    def _respond(self, now: float, message: Message) -> tuple[list[Send], AnswerReceived | None]:
+        if message.kind in (MessageKind.ASK, MessageKind.GIVE, MessageKind.TELL, MessageKind.GOSSIP):
+            return [], None  # handled by gossip.sharing, or fully processed above
+        if message.kind is MessageKind.PING:
+            if not self.answer_limit.take(now):
                 self.drop("too-many")
                 return [], None
-            return [Send(m.sender, self._message(m.sender, Kind.ACK, self.me, m.nonce))], None
-        if m.kind is Kind.PING_FOR:
-            if not self.answers.take(now) or len(self.relayed) >= MOST_RELAYED or m.about == self.me:
+            return [
+                Send(message.sender, self._message(message.sender, MessageKind.ACK, self.me, message.nonce))
+            ], None
+        if message.kind is MessageKind.PING_FOR:
+            if (
+                not self.answer_limit.take(now)
+                or len(self.relayed_pings) >= MAX_RELAYED_PINGS
+                or message.subject == self.me
+            ):
                 self.drop("too-many")
                 return [], None
-            send = self._ping(now, m.about)
-            self.relayed[send.message.nonce] = m.sender, m.nonce, m.about, now
+            send = self._ping(now, message.subject)
+            self.relayed_pings[send.message.nonce] = message.sender, message.nonce, message.subject, now
             return [send], None
-        if m.kind is Kind.ACK:
-            return self._acked(now, m)
-        waited = self.asked_for.pop(m.nonce, None)
-        if waited is None or waited[0] != m.about:
+        if message.kind is MessageKind.ACK:
+            return self._handle_ack(now, message)
+        pending = self.pending_indirect.pop(message.nonce, None)
+        if pending is None or pending[0] != message.subject:
             self.drop("unasked")
             return [], None
-        self.heard_from(now, m.about, waited[1])
+        self.record_answer(now, message.subject, pending[1])
         return [], None
 
-    def _acked(self, now: float, m: Message) -> tuple[list[Send], Heard | None]:
-        waited = self.out.pop(m.nonce, None)
-        # Danger: an answer that comes twice, or to no question, proves nothing of when it was sent.
-        if waited is None or waited[0] != m.sender:
+    def _handle_ack(self, now: float, message: Message) -> tuple[list[Send], AnswerReceived | None]:
+        pending = self.pending_pings.pop(message.nonce, None)
+        # A duplicate or unrequested ack does not prove when it was sent.
+        if pending is None or pending[0] != message.sender:
             self.drop("unasked")
             return [], None
-        self.heard_from(now, m.sender, waited[1])
+        self.record_answer(now, message.sender, pending[1])
         sends = []
-        if relayed := self.relayed.pop(m.nonce, None):
-            asker, nonce, about, _ = relayed
-            sends.append(Send(asker, self._message(asker, Kind.ACK_FOR, about, nonce)))
-        return sends, Heard(m.sender, m.life, waited[1])
-
-    def heard_from(self, now: float, member: int, since: float) -> None:
-        """A member has answered a question that was sent then."""
-        self.direct_at[member] = max(self.direct_at[member], since)
-        self.news_at[member] = max(self.news_at[member], since)
-        self.aware = max(self.aware - 1, 0)
-        if self.probe is not None and self.probe[0] == member:
-            self.probe = None
-        # its own answer says more than any word of others about this life
-        if self.state[member] is not State.ALIVE and self.life[member]:
-            self._set(now, member, State.ALIVE, self.life[member], self.incarnations[member])
-
-    # ---- words on members
-
-    def _heard_of(self, now: float, u: Update, from_itself: bool) -> None:
-        i = u.member
-        if i == self.me:
-            self._heard_of_me(u)
+        if relayed := self.relayed_pings.pop(message.nonce, None):
+            requester, nonce, subject, _ = relayed
+            sends.append(Send(requester, self._message(requester, MessageKind.ACK_FOR, subject, nonce)))
+        return sends, AnswerReceived(message.sender, message.life, pending[1])
+
+    def record_answer(self, now: float, member: int, asked_at: float) -> None:
+        """Records that a member answered a request that was sent at `asked_at`."""
+        self.answered_at[member] = max(self.answered_at[member], asked_at)
+        self.heard_of_at[member] = max(self.heard_of_at[member], asked_at)
+        self.health_penalty = max(self.health_penalty - 1, 0)
+        if self.current_ping is not None and self.current_ping[0] == member:
+            self.current_ping = None
+        # a direct answer overrides claims of others about the same life
+        if self.state[member] is not MemberState.ALIVE and self.life[member]:
+            self._set_state(now, member, MemberState.ALIVE, self.life[member], self.incarnations[member])
+
+    # ---- membership updates
+
+    def _apply_update(self, now: float, update: MemberUpdate, from_member: bool) -> None:
+        member = update.member
+        if member == self.me:
+            self._refute(update)
             return
-        if self.life[i] and u.life - self.life[i] > LIFE_MOST // 2:
+        if self.life[member] and update.life - self.life[member] > MAX_LIFE // 2:
             self.drop("jump")
             return
-        if u.life > self.life[i]:
-            self.returns[i] += bool(self.life[i])
-            self.beats[i] = 0
-            self._set(now, i, u.state, u.life, u.incarnation)
-            self.news_at[i] = now
-        elif u.life == self.life[i]:
-            # SWIM's order: a higher incarnation, or the graver word at the same one
-            risen = u.incarnation > self.incarnations[i]
-            if risen or u.incarnation == self.incarnations[i] and u.state > self.state[i]:
-                # Danger: after a cut the word that it is silent goes round and round among nodes it answers.
-                if not risen and now - self.direct_at[i] < SURE:
+        if update.life > self.life[member]:
+            self.restarts[member] += bool(self.life[member])
+            self.heartbeats[member] = 0
+            self._set_state(now, member, update.state, update.life, update.incarnation)
+            self.heard_of_at[member] = now
+        elif update.life == self.life[member]:
+            # order of SWIM: the higher incarnation wins, then the worse state
+            newer = update.incarnation > self.incarnations[member]
+            if newer or update.incarnation == self.incarnations[member] and update.state > self.state[member]:
+                # After a partition heals, claims that a member is silent keep circulating among nodes that it
+                # answers.
+                if not newer and now - self.answered_at[member] < ALIVE_GRACE_MS:
                     return
-                self._set(now, i, u.state, u.life, u.incarnation)
-                if risen:
-                    self.news_at[i] = now
-            elif from_itself and self.state[i] is not State.ALIVE:
-                self._set(now, i, State.ALIVE, u.life, self.incarnations[i])
-
-    def _heard_of_me(self, u: Update) -> None:
+                self._set_state(now, member, update.state, update.life, update.incarnation)
+                if newer:
+                    self.heard_of_at[member] = now
+            elif from_member and self.state[member] is not MemberState.ALIVE:
+                self._set_state(now, member, MemberState.ALIVE, update.life, self.incarnations[member])
+
+    def _refute(self, update: MemberUpdate) -> None:
+        """Refutes a claim about this node by a higher life or incarnation."""
         life = self.life[self.me]
-        if u.life > life:
-            # Danger: a clock that was set back gives a new start an older life, and all it says is dropped.
-            self.raises += 1
-            self.doubled = self.raises > MOST_RAISES or u.life >= LIFE_MOST
-            if not self.doubled:
-                self.life[self.me], self.incarnation = u.life + 1, 0
-                self._spread(self.me)
-        elif u.life == life and u.state is not State.ALIVE and u.incarnation >= self.incarnation:
-            self.incarnation = min(u.incarnation + 1, 0xFFFF)
-            self._spread(self.me)
-
-    def _set(self, now: float, i: int, state: State, life: int, incarnation: int) -> None:
-        if state is not self.state[i] or life != self.life[i]:
-            self.since[i] = now
-        self.state[i], self.life[i], self.incarnations[i] = state, life, incarnation
-        self.ever_heard[i] = 1
-        self._spread(i)
-
-    def _spread(self, i: int) -> None:
-        self.news.pop(i, None)
-        if len(self.news) >= MOST_NEWS:
-            del self.news[next(iter(self.news))]
-        self.news[i] = self.times
-
-    def _pass_on(self, most: int) -> list[int]:
-        """Members to tell of: those told of least often, of them the newest first."""
-        chosen = heapq.nlargest(most, reversed(self.news.items()), key=operator.itemgetter(1))
+        if update.life > life:
+            # If the clock was set back before this start, the life is below the previous one and all messages
+            # of this node would be dropped as old.
+            self.life_raises += 1
+            self.duplicate_name = self.life_raises > MAX_LIFE_RAISES or update.life >= MAX_LIFE
+            if not self.duplicate_name:
+                self.life[self.me], self.incarnation = update.life + 1, 0
+                self._queue_update(self.me)
+        elif (
+            update.life == life
+            and update.state is not MemberState.ALIVE
+            and update.incarnation >= self.incarnation
+        ):
+            self.incarnation = min(update.incarnation + 1, 0xFFFF)
+            self._queue_update(self.me)
+
+    def _set_state(self, now: float, member: int, state: MemberState, life: int, incarnation: int) -> None:
+        if state is not self.state[member] or life != self.life[member]:
+            self.state_since[member] = now
+        self.state[member], self.life[member], self.incarnations[member] = state, life, incarnation
+        self.ever_heard[member] = 1
+        self._queue_update(member)
+
+    def _queue_update(self, member: int) -> None:
+        self.pending_updates.pop(member, None)
+        if len(self.pending_updates) >= MAX_PENDING_UPDATES:
+            del self.pending_updates[next(iter(self.pending_updates))]
+        self.pending_updates[member] = self.transmissions
+
+    def _take_pending_updates(self, limit: int) -> list[int]:
+        """Takes members off the queue for one transmission: least transmitted first, of these the newest
+        first.
+        """
+        chosen = heapq.nlargest(limit, reversed(self.pending_updates.items()), key=operator.itemgetter(1))
         for member, left in chosen:
             if left > 1:
-                self.news[member] = left - 1
+                self.pending_updates[member] = left - 1
             else:
-                del self.news[member]
+                del self.pending_updates[member]
         return [member for member, _ in chosen]
 
-    def _update(self, i: int) -> Update:
-        incarnation = self.incarnation if i == self.me else self.incarnations[i]
-        return Update(i, self.state[i], self.life[i], incarnation)
-
-    def _updates(self, to: int) -> tuple[Update, ...]:
-        """The words passed on least often first, then what is known of the members in turn."""
-        # Danger: one held to be silent hears of it late, and until it refutes that, the word goes round.
-        doubted = [to] if self.life[to] and self.state[to] is not State.ALIVE else []
-        members = list(dict.fromkeys(doubted + self._pass_on(MOST_UPDATES - len(doubted))))
-        least = min(max(FILLERS, len(members)), self.members)
+    def _update_about(self, member: int) -> MemberUpdate:
+        incarnation = self.incarnation if member == self.me else self.incarnations[member]
+        return MemberUpdate(member, self.state[member], self.life[member], incarnation)
+
+    def _updates_for(self, to: int) -> tuple[MemberUpdate, ...]:
+        """Chooses updates for a message to a member: pending ones, then known members in rotation."""
+        # A suspected or silent member must learn of it soon: until it refutes the claim, the claim spreads
+        # on.
+        suspects = [to] if self.life[to] and self.state[to] is not MemberState.ALIVE else []
+        members = list(dict.fromkeys(suspects + self._take_pending_updates(MAX_UPDATES - len(suspects))))
+        wanted = min(max(MIN_UPDATES, len(members)), self.members)
         for _ in range(self.ever_heard.count(1)):
-            if len(members) >= least:
+            if len(members) >= wanted:
                 break
-            self.filler = self._next_heard(self.filler)
-            if self.filler not in members:
-                members.append(self.filler)
-        return tuple(self._update(i) for i in members)
-
-    def _next_heard(self, i: int) -> int:
-        """The member after that one, in turn, that was ever heard of; this node itself always was."""
-        # Danger: after a start most members are unheard of; a look at each made a message cost by the fleet.
-        following = self.ever_heard.find(1, i + 1)
+            self.update_cursor = self._next_known(self.update_cursor)
+            if self.update_cursor not in members:
+                members.append(self.update_cursor)
+        return tuple(self._update_about(i) for i in members)
+
+    def _next_known(self, member: int) -> int:
+        """Returns the next known member after that number, in rotation; this node is always known."""
+        # After a start most members are unknown; scanning all of them made each message cost time
+        # proportional to the fleet.
+        following = self.ever_heard.find(1, member + 1)
         return following if following >= 0 else self.ever_heard.find(1)
 
-    def _own_beat(self) -> Beat:
-        return Beat(self.me, self.life[self.me] & 0xFFFF, self.beat)
+    def _own_heartbeat(self) -> Heartbeat:
+        return Heartbeat(self.me, self.life[self.me] & 0xFFFF, self.heartbeat)
 
-    def _beats(self) -> tuple[Beat, ...]:
-        """The own beat, and those of members with the newest news in turn."""
-        rows = [self._own_beat()]
+    def _heartbeats(self) -> tuple[Heartbeat, ...]:
+        """Returns this node's heartbeat and those of known live members in rotation."""
+        rows = [self._own_heartbeat()]
         for _ in range(self.ever_heard.count(1)):
-            if len(rows) >= min(BEATS, self.members):
+            if len(rows) >= min(HEARTBEATS_PER_MESSAGE, self.members):
                 break
-            self.beating = i = self._next_heard(self.beating)
-            if i != self.me and self.beats[i] and self.state[i] is State.ALIVE:
-                rows.append(Beat(i, self.life[i] & 0xFFFF, self.beats[i]))
+            self.heartbeat_cursor = i = self._next_known(self.heartbeat_cursor)
+            if i != self.me and self.heartbeats[i] and self.state[i] is MemberState.ALIVE:
+                rows.append(Heartbeat(i, self.life[i] & 0xFFFF, self.heartbeats[i]))
         return tuple(rows)
 
-    def _beat(self, now: float, b: Beat) -> None:
-        i = b.member
-        if i != self.me and b.life == self.life[i] & 0xFFFF and b.beat > self.beats[i]:
-            self.beats[i] = b.beat
-            self.news_at[i] = now
+    def _apply_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
+        member = heartbeat.member
+        if (
+            member != self.me
+            and heartbeat.life == self.life[member] & 0xFFFF
+            and heartbeat.counter > self.heartbeats[member]
+        ):
+            self.heartbeats[member] = heartbeat.counter
+            self.heard_of_at[member] = now
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -219,8 +219,8 @@
 
 def test_ages_are_rounded_up_and_the_rest_is_cut():
     n = Notes(seen=[(h, 0.5, 17.0) for h in range(40)])
-    data = message_sections.encode(n, codec.NOTES)
-    assert len(data) <= codec.NOTES
+    data = message_sections.encode(n, codec.SECTION_BYTES)
+    assert len(data) <= codec.SECTION_BYTES
     assert all(age == 32.0 for _, _, age in message_sections.decode(data, 4).seen)
 
 
@@ -316,9 +316,9 @@
     net.run(2000.0)
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
-        told = Message(codec.Kind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
+        told = Message(codec.MessageKind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
         sections = message_sections.encode(Notes(seen=[(7, 1.5, 0.0)]), 142)
-        data = codec.encode(told._replace(notes=sections), node.fleet)
+        data = codec.encode(told._replace(sections=sections), node.fleet)
         node.datagram(now, data, sender, lay=5000.0)
     assert node.full == {} and node.crowded == {}
 
@@ -335,7 +335,7 @@
     net = Net(3, 1, ROOM)
     net.run(5000.0)
     node = net.nodes[0]
-    data = codec.encode(Message(codec.Kind.PING, 1, node.swim.life[1], 0, 5), node.fleet)
-    own = codec.encode(Message(codec.Kind.PING, 0, node.swim.life[0], 1, 5), node.fleet)
+    data = codec.encode(Message(codec.MessageKind.PING, 1, node.swim.life[1], 0, 5), node.fleet)
+    own = codec.encode(Message(codec.MessageKind.PING, 0, node.swim.life[0], 1, 5), node.fleet)
     assert node.datagram(net.clock(0), data, 2) == [] and node.swim.dropped["not-its-address"] == 1
     assert node.datagram(net.clock(0), own, 0) == [] and node.swim.dropped["own-name"] == 1
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -32,7 +32,7 @@
 from caperdeck.lab.scale.traffic import Traffic
 from caperdeck.lab.scenario import ScenarioError
 from caperdeck.owner.config import MOST_NODES, WORKS
-from caperdeck.peers.swim import State, Swim
+from caperdeck.peers.swim import MemberState, Swim
 
 ROOT = Path(__file__).parents[1]
 FOLDER = ROOT / "caperdeck" / "lab" / "scenarios" / "scale"
@@ -130,13 +130,13 @@
     swim = Swim(0, 10, 1, 1, 0.0)
     assert knows(swim.state, 10) == 0.1 and not holds_dead(swim, [1, 2])
     for i in range(1, 10):
-        swim.state[i], swim.life[i] = State.ALIVE, 5
+        swim.state[i], swim.life[i] = MemberState.ALIVE, 5
     assert knows(swim.state, 10) == 1.0 and not holds_dead(swim, [1, 2])
-    swim.state[1] = swim.state[2] = State.SILENT
+    swim.state[1] = swim.state[2] = MemberState.SILENT
     assert holds_dead(swim, [1, 2]) and not holds_dead(swim, [1, 2, 3])
     # one that was never seen to go is not back
     assert not holds_alive(swim, {3: 5}) and not holds_alive(swim, {})
-    swim.state[1], swim.life[1] = State.ALIVE, 6
+    swim.state[1], swim.life[1] = MemberState.ALIVE, 6
     assert holds_alive(swim, {1: 5})
 
 
--- a/tests/test_lab_slopes_fleet.py
+++ b/tests/test_lab_slopes_fleet.py
@@ -15,7 +15,7 @@
 from caperdeck.lab.slopes.membership_fleet import Fleet, SlowError
 from caperdeck.lab.slopes.object_size import object_bytes
 from caperdeck.lab.slopes.record import Source, record, write
-from caperdeck.peers.codec import State
+from caperdeck.peers.codec import MemberState
 
 
 def quiet(_):
@@ -78,7 +78,7 @@
     fleet.killed.add(4)
     fleet.run(60_000.0)
     states = [swim.state for swim in fleet.living]
-    assert all(state[4] is State.SILENT and state.count(State.SILENT) == 1 for state in states)
+    assert all(state[4] is MemberState.SILENT and state.count(MemberState.SILENT) == 1 for state in states)
 
 
 def test_members_across_a_cut_hold_each_other_dead_and_come_back():
@@ -109,7 +109,7 @@
     shared = [1.5, 2.5]
     held = object_bytes([shared, shared])
     assert held < 2 * object_bytes(shared) + object_bytes([]) + 16
-    assert object_bytes(State.ALIVE) == 0
+    assert object_bytes(MemberState.ALIVE) == 0
 
 
 # ---- configuration
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,11 +10,13 @@
 from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
 from caperdeck.gossip.sharing import Uses
 from caperdeck.peers import codec
-from caperdeck.peers.codec import Beat, DatagramError, Kind, Message, State, Update
-from caperdeck.peers.swim import ACK_WAIT, MOST_NEWS, PERIOD, SUSPICION, Swim
+from caperdeck.peers.codec import Heartbeat, DatagramError, MessageKind, Message, MemberState, MemberUpdate
+from caperdeck.peers.swim import ACK_TIMEOUT_MS, MAX_PENDING_UPDATES, PING_PERIOD_MS, SUSPICION_PERIODS, Swim
 
-FLEET = codec.fleet_mark(5, ["a"])
-PING = Message(Kind.PING, 1, 7, 2, 99, (Update(3, State.SUSPECTED, 4, 1),), (Beat(1, 7, 5),), b"")
+FLEET = codec.fleet_id(5, ["a"])
+PING = Message(
+    MessageKind.PING, 1, 7, 2, 99, (MemberUpdate(3, MemberState.SUSPECTED, 4, 1),), (Heartbeat(1, 7, 5),), b""
+)
 MEMBERSHIP = Uses()
 
 
@@ -24,7 +26,7 @@
 
 def heard(s, sender, life=10, now=0.0, updates=()):
     """A ping from a member."""
-    return s.take(now, Message(Kind.PING, sender, life, 0, 1, tuple(updates)))
+    return s.receive(now, Message(MessageKind.PING, sender, life, 0, 1, tuple(updates)))
 
 
 class CountedLooks(list):
@@ -40,9 +42,9 @@
 def test_a_message_costs_by_the_members_that_were_heard_of_and_tells_of_them_in_turn():
     s = swim(members=4000)
     for member in (1500, 3000):
-        heard(s, member, updates=[Update(2000, State.ALIVE, 4, 0)])
-        s.news.clear()
-    s.life, s.beats, s.state = CountedLooks(s.life), CountedLooks(s.beats), CountedLooks(s.state)
+        heard(s, member, updates=[MemberUpdate(2000, MemberState.ALIVE, 4, 0)])
+        s.pending_updates.clear()
+    s.life, s.heartbeats, s.state = CountedLooks(s.life), CountedLooks(s.heartbeats), CountedLooks(s.state)
     CountedLooks.looks = 0
     told = [u.member for _ in range(4) for u in heard(s, 3000)[0][0].message.updates]
     assert CountedLooks.looks < 4 * 50
@@ -57,16 +59,16 @@
 
     def __getattr__(self, name):
         self.asked += 1
-        return State[name]
+        return MemberState[name]
 
 
 def test_a_look_at_all_members_asks_for_a_state_by_name_once(monkeypatch):
     s, states = swim(members=4000), CountedStates()
     heard(s, 1)
-    monkeypatch.setattr("caperdeck.peers.swim.State", states)
-    s.tick(2 * PERIOD)  # a round
-    s.tick(2 * PERIOD + ACK_WAIT)  # nobody answers, others are asked
-    assert s.alive() == [1] and s.one_to_ask(2 * PERIOD) is not None
+    monkeypatch.setattr("caperdeck.peers.swim.MemberState", states)
+    s.tick(2 * PING_PERIOD_MS)  # a round
+    s.tick(2 * PING_PERIOD_MS + ACK_TIMEOUT_MS)  # nobody answers, others are asked
+    assert s.alive() == [1] and s.random_live_member(2 * PING_PERIOD_MS) is not None
     assert states.asked < 40
 
 
@@ -76,22 +78,22 @@
     for member in members:
         heard(s, member)
     by_number = [i for i in (*range(after + 1, 100), *range(after + 1)) if s.life[i]]
-    assert s._next_heard(after) == by_number[0]
+    assert s._next_known(after) == by_number[0]
 
 
 lives, words = st.integers(1, 2**32 - 1), st.integers(0, 65535)
-updates = st.builds(Update, st.integers(0, 4), st.sampled_from(State), lives, words)
-beats = st.builds(Beat, st.integers(0, 4), words, words)
+updates = st.builds(MemberUpdate, st.integers(0, 4), st.sampled_from(MemberState), lives, words)
+beats = st.builds(Heartbeat, st.integers(0, 4), words, words)
 
 
 @given(st.builds(
-    Message, st.sampled_from(Kind), st.integers(0, 4), st.integers(1, 2**32 - 1), st.integers(0, 4),
-    st.integers(0, 2**32 - 1), st.lists(updates, max_size=codec.MOST_UPDATES).map(tuple),
-    st.lists(beats, max_size=codec.MOST_BEATS).map(tuple), st.binary(max_size=codec.NOTES),
+    Message, st.sampled_from(MessageKind), st.integers(0, 4), st.integers(1, 2**32 - 1), st.integers(0, 4),
+    st.integers(0, 2**32 - 1), st.lists(updates, max_size=codec.MAX_UPDATES).map(tuple),
+    st.lists(beats, max_size=codec.MAX_HEARTBEATS).map(tuple), st.binary(max_size=codec.SECTION_BYTES),
 ))  # fmt: skip
 def test_every_message_comes_back_and_fits(message):
     data = codec.encode(message, FLEET)
-    assert len(data) <= codec.LONGEST and codec.decode(data, FLEET, 5) == message
+    assert len(data) <= codec.MAX_DATAGRAM_BYTES and codec.decode(data, FLEET, 5) == message
 
 
 @given(st.binary(max_size=300))
@@ -116,7 +118,8 @@
     (codec.encode(PING, FLEET + 1), "other-fleet"),
     (GOOD[:-1] + bytes([GOOD[-1] ^ 1]), "damaged"),
     (codec.encode(PING._replace(sender=5), FLEET), "no-such-member"),
-    (codec.encode(PING._replace(updates=(Update(9, State.ALIVE, 1, 0),)), FLEET), "no-such-member"),
+    (codec.encode(PING._replace(updates=(MemberUpdate(9, MemberState.ALIVE, 1, 0),)), FLEET),
+     "no-such-member"),
     (codec.encode(PING._replace(life=0), FLEET), "no-life"),
     (resealed(GOOD[:9] + b"\x63" + GOOD[10:]), "unknown-kind"),
     (resealed(GOOD[:30]), "cut-short"),
@@ -135,7 +138,7 @@
         s.tick(float(now))
         states.append(s.state[1])
     order = [x for i, x in enumerate(states) if i == 0 or x is not states[i - 1]]
-    assert order == [State.ALIVE, State.SUSPECTED, State.SILENT]
+    assert order == [MemberState.ALIVE, MemberState.SUSPECTED, MemberState.SILENT]
 
 
 def test_a_node_that_hears_nobody_suspects_more_slowly():
@@ -145,30 +148,30 @@
         heard(s, i)
     asked = 0
     for now in range(0, 30_000, 50):
-        asked += sum(x.message.kind is Kind.PING_FOR for x in s.tick(float(now)))
-    assert s._wait() > 2 * ACK_WAIT and asked > 0
+        asked += sum(x.message.kind is MessageKind.PING_FOR for x in s.tick(float(now)))
+    assert s._ack_timeout() > 2 * ACK_TIMEOUT_MS and asked > 0
 
 
 def test_a_word_against_oneself_is_refuted_with_a_higher_incarnation():
     s = swim()
-    sends, _ = heard(s, 1, updates=[Update(0, State.SUSPECTED, 10, 0)])
+    sends, _ = heard(s, 1, updates=[MemberUpdate(0, MemberState.SUSPECTED, 10, 0)])
     own = next(u for u in sends[0].message.updates if u.member == 0)
-    assert own.state is State.ALIVE and own.incarnation == 1
+    assert own.state is MemberState.ALIVE and own.incarnation == 1
 
 
 @pytest.mark.parametrize("first, second, state", [
-    ((State.ALIVE, 10, 1), (State.SUSPECTED, 10, 0), State.ALIVE),
-    ((State.ALIVE, 10, 1), (State.SUSPECTED, 10, 1), State.SUSPECTED),
-    ((State.SILENT, 10, 1), (State.ALIVE, 10, 1), State.SILENT),
-    ((State.SILENT, 10, 1), (State.ALIVE, 10, 2), State.ALIVE),
-    ((State.SILENT, 10, 9), (State.ALIVE, 11, 0), State.ALIVE),
-    ((State.ALIVE, 11, 0), (State.SILENT, 10, 9), State.ALIVE),
+    ((MemberState.ALIVE, 10, 1), (MemberState.SUSPECTED, 10, 0), MemberState.ALIVE),
+    ((MemberState.ALIVE, 10, 1), (MemberState.SUSPECTED, 10, 1), MemberState.SUSPECTED),
+    ((MemberState.SILENT, 10, 1), (MemberState.ALIVE, 10, 1), MemberState.SILENT),
+    ((MemberState.SILENT, 10, 1), (MemberState.ALIVE, 10, 2), MemberState.ALIVE),
+    ((MemberState.SILENT, 10, 9), (MemberState.ALIVE, 11, 0), MemberState.ALIVE),
+    ((MemberState.ALIVE, 11, 0), (MemberState.SILENT, 10, 9), MemberState.ALIVE),
 ])  # fmt: skip
 def test_of_two_words_the_later_life_then_incarnation_then_graver_counts(first, second, state):
     for order in ((first, second), (second, first)):
         s = swim()
         for word in order:
-            heard(s, 2, updates=[Update(3, *word)])
+            heard(s, 2, updates=[MemberUpdate(3, *word)])
         assert s.state[3] is state
 
 
@@ -176,7 +179,7 @@
     s = swim()
     heard(s, 1, life=10)
     heard(s, 1, life=12)
-    assert s.life[1] == 12 and s.returns[1] == 1
+    assert s.life[1] == 12 and s.restarts[1] == 1
     # Danger: what a process sent before it died comes after its successor's first word.
     assert heard(s, 1, life=10)[0] == [] and s.dropped["old-life"] == 1 and s.life[1] == 12
 
@@ -184,15 +187,15 @@
 def test_a_start_with_a_clock_set_back_takes_a_life_over_the_old_one():
     """All that it says would be dropped as its own past."""
     s = swim(life=5)
-    heard(s, 1, updates=[Update(0, State.ALIVE, 40, 0)])
+    heard(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, 40, 0)])
     assert s.life[0] == 41
 
 
 def test_two_processes_of_one_name_fall_silent_instead_of_outbidding_each_other():
     s = swim(life=5)
     for life in (10, 20, 30, 40, 50):
-        heard(s, 1, updates=[Update(0, State.ALIVE, life, 0)])
-    assert s.doubled and s.one_to_ask(0.0) is None and s.life[0] < 50
+        heard(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, life, 0)])
+    assert s.duplicate_name and s.random_live_member(0.0) is None and s.life[0] < 50
     assert not any(s.tick(now) for now in (3000.0, 6000.0))
 
 
@@ -200,12 +203,12 @@
     s = swim(now=0.0)
     heard(s, 1)
     sends = s.tick(s.due)
-    at, ping = s.ticked_at, sends[0]
-    ack = Message(Kind.ACK, ping.to, 10, ping.to, ping.message.nonce)
+    at, ping = s.last_tick_at, sends[0]
+    ack = Message(MessageKind.ACK, ping.to, 10, ping.to, ping.message.nonce)
     # Danger: it lay in the socket while the node slept for a minute.
-    assert s.take(at + 60_000.0, ack)[1].since == at
-    assert s.hearing(at + 60_000.0, 15_000.0)[0] == 0
-    assert s.take(at + 60_000.0, ack)[1] is None and s.dropped["unasked"] == 1
+    assert s.receive(at + 60_000.0, ack)[1].asked_at == at
+    assert s.count_heard(at + 60_000.0, 15_000.0)[0] == 0
+    assert s.receive(at + 60_000.0, ack)[1] is None and s.dropped["unasked"] == 1
 
 
 def test_a_sleep_makes_nobody_suspected():
@@ -213,28 +216,30 @@
     net.run(20_000)
     net.suspend(0)
     net.run(60_000)
-    assert net.nodes[0].swim.hearing(net.clock(0), 15_000.0)[0] == 0  # and knows that it hears nothing
+    assert net.nodes[0].swim.count_heard(net.clock(0), 15_000.0)[0] == 0  # and knows that it hears nothing
     net.resume(0)
-    assert not any(x is State.SUSPECTED for x in net.nodes[0].swim.state)
+    assert not any(x is MemberState.SUSPECTED for x in net.nodes[0].swim.state)
     net.run(20_000)
-    assert all(n.swim.state == [State.ALIVE] * 8 for n in net.nodes)
+    assert all(n.swim.state == [MemberState.ALIVE] * 8 for n in net.nodes)
 
 
 @pytest.mark.parametrize("members", [3, 40, 200])
 def test_all_find_one_another_and_what_a_node_sends_does_not_grow_with_the_fleet(members):
     net = Net(members, uses=MEMBERSHIP)
     net.run(120_000)
-    assert all(n.swim.state.count(State.ALIVE) > 0.9 * members for n in net.nodes)
-    assert max(net.sends) < 120 * 2.5 and max(net.bytes) < 120 * 200 and net.longest <= codec.LONGEST
-    direct, news = net.nodes[0].swim.hearing(net.clock(0), 30_000.0)
+    assert all(n.swim.state.count(MemberState.ALIVE) > 0.9 * members for n in net.nodes)
+    assert (
+        max(net.sends) < 120 * 2.5 and max(net.bytes) < 120 * 200 and net.longest <= codec.MAX_DATAGRAM_BYTES
+    )
+    direct, news = net.nodes[0].swim.count_heard(net.clock(0), 30_000.0)
     assert direct >= min(members - 1, 10) and news >= min(members - 1, 30)
 
 
 def test_they_do_not_ping_in_step():
     net = Net(40, uses=MEMBERSHIP)
     net.run(10_000)
-    turns = sorted(n.swim.next_at % PERIOD for n in net.nodes)
-    assert max(b - a for a, b in zip(turns, turns[1:], strict=False)) < PERIOD / 4
+    turns = sorted(n.swim.next_round_at % PING_PERIOD_MS for n in net.nodes)
+    assert max(b - a for a, b in zip(turns, turns[1:], strict=False)) < PING_PERIOD_MS / 4
 
 
 def test_seven_in_ten_killed_at_once_are_found_silent_and_found_again():
@@ -243,13 +248,13 @@
     for i in range(28):
         net.kill(i)
     net.run(60_000)
-    assert all(net.nodes[i].swim.state[:28].count(State.SILENT) >= 26 for i in range(28, 40))
-    assert all(s is State.ALIVE for i in range(28, 40) for s in net.nodes[i].swim.state[28:])
+    assert all(net.nodes[i].swim.state[:28].count(MemberState.SILENT) >= 26 for i in range(28, 40))
+    assert all(s is MemberState.ALIVE for i in range(28, 40) for s in net.nodes[i].swim.state[28:])
     for i in range(28):
         net.start(i)
     net.run(60_000)
-    assert all(n.swim.state == [State.ALIVE] * 40 for n in net.nodes)
-    assert sum(net.nodes[30].swim.returns) == 28
+    assert all(n.swim.state == [MemberState.ALIVE] * 40 for n in net.nodes)
+    assert sum(net.nodes[30].swim.restarts) == 28
 
 
 def test_all_members_are_pinged_by_somebody_within_a_few_rounds():
@@ -260,7 +265,7 @@
         s.life = [1] * members
     left = set(range(members))
     for _ in range(12):
-        left -= {s._next() for s in rounds}
+        left -= {s._next_ping_target() for s in rounds}
     assert not left
 
 
@@ -270,14 +275,14 @@
     fleet = Fleet(members, seed=5, warm=True)
     fleet.run(10 * SECOND)
     fleet.killed.update(range(rack))
-    suspicion = SUSPICION * PERIOD * math.log10(members)
+    suspicion = SUSPICION_PERIODS * PING_PERIOD_MS * math.log10(members)
 
     def known(swim):
-        return swim.state[:rack].count(State.SILENT) >= 0.9 * rack
+        return swim.state[:rack].count(MemberState.SILENT) >= 0.9 * rack
 
     fleet.run(suspicion + 16 * SECOND)
     assert sum(map(known, fleet.living)) >= 0.9 * len(fleet.living)
-    assert not any(s is not State.ALIVE for swim in fleet.living for s in swim.state[rack:])
+    assert not any(s is not MemberState.ALIVE for swim in fleet.living for s in swim.state[rack:])
     sent = fleet.messages
     fleet.run(60 * SECOND)  # and the words end
     assert fleet.messages - sent < 60 * 1.2 * len(fleet.living)
@@ -286,40 +291,42 @@
 def gossip_of(s, words, now=0.0):
     for member in range(1, words + 1):
         heard(s, member, now=now)
-    s.news = dict.fromkeys(s.news, s.times)  # as if nothing had been passed on
-    return [x for x in s.tick(max(s.gossip_at, now)) if x.message.kind is Kind.GOSSIP]
+    s.pending_updates = dict.fromkeys(s.pending_updates, s.transmissions)  # as if nothing had been passed on
+    return [x for x in s.tick(max(s.next_gossip_at, now)) if x.message.kind is MessageKind.GOSSIP]
 
 
 def test_much_that_is_new_goes_to_a_random_member_beside_the_pings_and_nobody_answers_it():
-    assert not gossip_of(swim(members=100), codec.MOST_UPDATES)
+    assert not gossip_of(swim(members=100), codec.MAX_UPDATES)
     s = swim(members=100)
     (send,) = gossip_of(s, 60)
     data = codec.encode(send.message, FLEET)
-    assert codec.decode(data, FLEET, 100) == send.message and len(data) <= codec.LONGEST
-    assert len(send.message.updates) == codec.MOST_GOSSIP and s.state[send.to] is State.ALIVE
+    assert codec.decode(data, FLEET, 100) == send.message and len(data) <= codec.MAX_DATAGRAM_BYTES
+    assert len(send.message.updates) == codec.MAX_GOSSIP_UPDATES and s.state[send.to] is MemberState.ALIVE
     other = Swim(send.to, 100, 7, 9, 0.0)
-    assert other.take(0.0, send.message) == ([], None)
+    assert other.receive(0.0, send.message) == ([], None)
     assert {u.member for u in send.message.updates} - {send.to} <= set(other.alive())
     # what was told of goes behind what was not
     told = {u.member for u in send.message.updates}
-    assert not told & {u.member for u in s._news_alone().updates}
+    assert not told & {u.member for u in s._gossip_message().updates}
 
 
 def test_no_other_message_carries_as_many_words_as_a_gossip():
-    many = PING._replace(updates=PING.updates * (codec.MOST_UPDATES + 1), beats=())
-    data = bytearray(codec.encode(many._replace(kind=Kind.GOSSIP), FLEET))
-    assert len(codec.decode(bytes(data), FLEET, 5).updates) == codec.MOST_UPDATES + 1
-    data[9] = Kind.PING
+    many = PING._replace(updates=PING.updates * (codec.MAX_UPDATES + 1), heartbeats=())
+    data = bytearray(codec.encode(many._replace(kind=MessageKind.GOSSIP), FLEET))
+    assert len(codec.decode(bytes(data), FLEET, 5).updates) == codec.MAX_UPDATES + 1
+    data[9] = MessageKind.PING
     with pytest.raises(DatagramError, match="^too-many-rows$"):
         codec.decode(resealed(bytes(data)), FLEET, 5)
 
 
 def test_words_past_the_bound_push_out_the_oldest():
-    s = swim(members=2 * MOST_NEWS)
-    for member in range(1, MOST_NEWS + 2):
+    s = swim(members=2 * MAX_PENDING_UPDATES)
+    for member in range(1, MAX_PENDING_UPDATES + 2):
         heard(s, member)
-        s.news |= dict.fromkeys(s.news, s.times)  # as if nothing had been passed on
-    assert len(s.news) == MOST_NEWS and MOST_NEWS + 1 in s.news
+        s.pending_updates |= dict.fromkeys(
+            s.pending_updates, s.transmissions
+        )  # as if nothing had been passed on
+    assert len(s.pending_updates) == MAX_PENDING_UPDATES and MAX_PENDING_UPDATES + 1 in s.pending_updates
 
 
 def test_a_zone_that_was_cut_off_with_old_news_is_found_again():
@@ -327,10 +334,10 @@
     net.run(20_000)
     net.cut = lambda a, b: (a < 6) != (b < 6)
     net.run(90_000)
-    assert net.nodes[0].swim.hearing(net.clock(0), 30_000.0)[0] <= 5
+    assert net.nodes[0].swim.count_heard(net.clock(0), 30_000.0)[0] <= 5
     net.cut = lambda a, b: False
     net.run(60_000)
-    assert all(n.swim.state == [State.ALIVE] * 20 for n in net.nodes)
+    assert all(n.swim.state == [MemberState.ALIVE] * 20 for n in net.nodes)
 
 
 def test_a_link_that_is_open_one_way_makes_nobody_silent():
@@ -339,7 +346,10 @@
     net.run(20_000)
     net.cut = lambda a, b: (a, b) == (0, 1)
     net.run(60_000)
-    assert all(n.swim.state[1] is not State.SILENT and n.swim.state[0] is not State.SILENT for n in net.nodes)
+    assert all(
+        n.swim.state[1] is not MemberState.SILENT and n.swim.state[0] is not MemberState.SILENT
+        for n in net.nodes
+    )
 
 
 def test_a_flood_costs_a_bounded_number_of_looks_and_answers():
@@ -347,7 +357,7 @@
     net.run(10_000)
     node, now = net.nodes[0], net.clock(0)
     life = net.nodes[1].swim.life[1]
-    pings = [codec.encode(Message(Kind.PING, 1, life, 0, n), node.fleet) for n in range(1000)]
+    pings = [codec.encode(Message(MessageKind.PING, 1, life, 0, n), node.fleet) for n in range(1000)]
     answers = sum(len(node.datagram(now, data, 1)) for data in pings)
     assert 0 < answers <= 20 and node.swim.dropped["flood"] >= 700 and node.swim.dropped["too-many"] > 0
 
