--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Membership: the messages, SWIM's states, and what a node knows of its own hearing."""
+"""Membership: the message codec, the SWIM state machine, and simulated fleets."""
 
 import math
 
@@ -24,80 +24,84 @@
     return Swim(0, members, life, 3, now)
 
 
-def heard(s, sender, life=10, now=0.0, updates=()):
-    """A ping from a member."""
+def receive_ping(s, sender, life=10, now=0.0, updates=()):
+    """Delivers a ping from a member and returns what the node answers."""
     return s.receive(now, Message(MessageKind.PING, sender, life, 0, 1, tuple(updates)))
 
 
-class CountedLooks(list):
-    """Counts how often one of its items is asked for."""
+class CountedAccesses(list):
+    """A list that counts how often an item is read by index."""
 
-    looks = 0
+    accesses = 0
 
     def __getitem__(self, i):
-        CountedLooks.looks += 1
+        CountedAccesses.accesses += 1
         return super().__getitem__(i)
 
 
-def test_a_message_costs_by_the_members_that_were_heard_of_and_tells_of_them_in_turn():
+def test_cost_of_a_message_grows_with_known_members_only_and_rotates_over_them():
     s = swim(members=4000)
     for member in (1500, 3000):
-        heard(s, member, updates=[MemberUpdate(2000, MemberState.ALIVE, 4, 0)])
+        receive_ping(s, member, updates=[MemberUpdate(2000, MemberState.ALIVE, 4, 0)])
         s.pending_updates.clear()
-    s.life, s.heartbeats, s.state = CountedLooks(s.life), CountedLooks(s.heartbeats), CountedLooks(s.state)
-    CountedLooks.looks = 0
-    told = [u.member for _ in range(4) for u in heard(s, 3000)[0][0].message.updates]
-    assert CountedLooks.looks < 4 * 50
-    assert set(told) == {0, 1500, 2000, 3000}
+    s.life, s.heartbeats, s.state = (
+        CountedAccesses(s.life),
+        CountedAccesses(s.heartbeats),
+        CountedAccesses(s.state),
+    )
+    CountedAccesses.accesses = 0
+    subjects = [u.member for _ in range(4) for u in receive_ping(s, 3000)[0][0].message.updates]
+    assert CountedAccesses.accesses < 4 * 50
+    assert set(subjects) == {0, 1500, 2000, 3000}
 
 
 class CountedStates:
-    """The states by name, and how often one was asked for."""
+    """Resolves states by name and counts the lookups."""
 
     def __init__(self):
-        self.asked = 0
+        self.lookups = 0
 
     def __getattr__(self, name):
-        self.asked += 1
+        self.lookups += 1
         return MemberState[name]
 
 
-def test_a_look_at_all_members_asks_for_a_state_by_name_once(monkeypatch):
+def test_a_scan_of_all_members_looks_up_each_state_by_name_once(monkeypatch):
     s, states = swim(members=4000), CountedStates()
-    heard(s, 1)
+    receive_ping(s, 1)
     monkeypatch.setattr("caperdeck.peers.swim.MemberState", states)
-    s.tick(2 * PING_PERIOD_MS)  # a round
-    s.tick(2 * PING_PERIOD_MS + ACK_TIMEOUT_MS)  # nobody answers, others are asked
+    s.tick(2 * PING_PERIOD_MS)  # starts a round
+    s.tick(2 * PING_PERIOD_MS + ACK_TIMEOUT_MS)  # the ack is overdue, so indirect pings are requested
     assert s.alive() == [1] and s.random_live_member(2 * PING_PERIOD_MS) is not None
-    assert states.asked < 40
+    assert states.lookups < 40
 
 
 @given(st.sets(st.integers(1, 99)), st.integers(0, 99))
-def test_the_next_member_heard_of_is_the_next_by_number_and_after_the_last_the_first(members, after):
+def test_next_known_member_is_the_next_by_number_and_wraps_around(members, after):
     s = swim(members=100)
     for member in members:
-        heard(s, member)
+        receive_ping(s, member)
     by_number = [i for i in (*range(after + 1, 100), *range(after + 1)) if s.life[i]]
     assert s._next_known(after) == by_number[0]
 
 
-lives, words = st.integers(1, 2**32 - 1), st.integers(0, 65535)
-updates = st.builds(MemberUpdate, st.integers(0, 4), st.sampled_from(MemberState), lives, words)
-beats = st.builds(Heartbeat, st.integers(0, 4), words, words)
+lives, uint16 = st.integers(1, 2**32 - 1), st.integers(0, 65535)
+updates = st.builds(MemberUpdate, st.integers(0, 4), st.sampled_from(MemberState), lives, uint16)
+heartbeats = st.builds(Heartbeat, st.integers(0, 4), uint16, uint16)
 
 
 @given(st.builds(
     Message, st.sampled_from(MessageKind), st.integers(0, 4), st.integers(1, 2**32 - 1), st.integers(0, 4),
     st.integers(0, 2**32 - 1), st.lists(updates, max_size=codec.MAX_UPDATES).map(tuple),
-    st.lists(beats, max_size=codec.MAX_HEARTBEATS).map(tuple), st.binary(max_size=codec.SECTION_BYTES),
+    st.lists(heartbeats, max_size=codec.MAX_HEARTBEATS).map(tuple), st.binary(max_size=codec.SECTION_BYTES),
 ))  # fmt: skip
-def test_every_message_comes_back_and_fits(message):
+def test_every_message_round_trips_within_the_size_limit(message):
     data = codec.encode(message, FLEET)
     assert len(data) <= codec.MAX_DATAGRAM_BYTES and codec.decode(data, FLEET, 5) == message
 
 
 @given(st.binary(max_size=300))
-def test_rubbish_is_turned_down_with_a_reason(data):
+def test_random_bytes_are_rejected_with_a_reason(data):
     with pytest.raises(DatagramError, match="^[a-z-]+$"):
         codec.decode(data, FLEET, 5)
 
@@ -125,14 +129,14 @@
     (resealed(GOOD[:30]), "cut-short"),
     (resealed(GOOD[:22] + b"\xff" + GOOD[23:]), "too-many-rows"),
 ])  # fmt: skip
-def test_bad_datagrams_have_their_reason(data, reason):
+def test_each_invalid_datagram_is_rejected_with_its_reason(data, reason):
     with pytest.raises(DatagramError, match=f"^{reason}$"):
         codec.decode(data, FLEET, 5)
 
 
-def test_a_member_that_answers_nobody_is_suspected_then_silent():
+def test_an_unresponsive_member_is_suspected_then_silent():
     s = swim()
-    heard(s, 1)
+    receive_ping(s, 1)
     states = []
     for now in range(0, 60_000, 100):
         s.tick(float(now))
@@ -141,20 +145,20 @@
     assert order == [MemberState.ALIVE, MemberState.SUSPECTED, MemberState.SILENT]
 
 
-def test_a_node_that_hears_nobody_suspects_more_slowly():
-    """A cut-off node would call the whole fleet silent within a few rounds."""
+def test_a_node_without_answers_suspects_more_slowly():
+    """Guards against a cut-off node that declares the whole fleet silent within a few rounds."""
     s = swim()
     for i in range(1, 5):
-        heard(s, i)
+        receive_ping(s, i)
     asked = 0
     for now in range(0, 30_000, 50):
         asked += sum(x.message.kind is MessageKind.PING_FOR for x in s.tick(float(now)))
     assert s._ack_timeout() > 2 * ACK_TIMEOUT_MS and asked > 0
 
 
-def test_a_word_against_oneself_is_refuted_with_a_higher_incarnation():
+def test_a_claim_against_this_node_is_refuted_with_a_higher_incarnation():
     s = swim()
-    sends, _ = heard(s, 1, updates=[MemberUpdate(0, MemberState.SUSPECTED, 10, 0)])
+    sends, _ = receive_ping(s, 1, updates=[MemberUpdate(0, MemberState.SUSPECTED, 10, 0)])
     own = next(u for u in sends[0].message.updates if u.member == 0)
     assert own.state is MemberState.ALIVE and own.incarnation == 1
 
@@ -167,56 +171,57 @@
     ((MemberState.SILENT, 10, 9), (MemberState.ALIVE, 11, 0), MemberState.ALIVE),
     ((MemberState.ALIVE, 11, 0), (MemberState.SILENT, 10, 9), MemberState.ALIVE),
 ])  # fmt: skip
-def test_of_two_words_the_later_life_then_incarnation_then_graver_counts(first, second, state):
+def test_higher_life_then_incarnation_then_worse_state_wins_in_any_order(first, second, state):
     for order in ((first, second), (second, first)):
         s = swim()
         for word in order:
-            heard(s, 2, updates=[MemberUpdate(3, *word)])
+            receive_ping(s, 2, updates=[MemberUpdate(3, *word)])
         assert s.state[3] is state
 
 
-def test_a_new_life_of_a_name_is_told_from_its_return():
+def test_a_restart_is_distinguished_from_a_reconnection():
     s = swim()
-    heard(s, 1, life=10)
-    heard(s, 1, life=12)
+    receive_ping(s, 1, life=10)
+    receive_ping(s, 1, life=12)
     assert s.life[1] == 12 and s.restarts[1] == 1
-    # Danger: what a process sent before it died comes after its successor's first word.
-    assert heard(s, 1, life=10)[0] == [] and s.dropped["old-life"] == 1 and s.life[1] == 12
+    # A datagram that a process sent before it died can arrive after the first message of its successor.
+    assert receive_ping(s, 1, life=10)[0] == [] and s.dropped["old-life"] == 1 and s.life[1] == 12
 
 
-def test_a_start_with_a_clock_set_back_takes_a_life_over_the_old_one():
-    """All that it says would be dropped as its own past."""
+def test_a_start_after_a_clock_set_back_takes_a_life_above_the_previous_one():
+    """Otherwise other nodes would drop all messages of the new process as belonging to an old life."""
     s = swim(life=5)
-    heard(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, 40, 0)])
+    receive_ping(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, 40, 0)])
     assert s.life[0] == 41
 
 
-def test_two_processes_of_one_name_fall_silent_instead_of_outbidding_each_other():
+def test_two_processes_under_one_name_stop_sending():
     s = swim(life=5)
     for life in (10, 20, 30, 40, 50):
-        heard(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, life, 0)])
+        receive_ping(s, 1, updates=[MemberUpdate(0, MemberState.ALIVE, life, 0)])
     assert s.duplicate_name and s.random_live_member(0.0) is None and s.life[0] < 50
     assert not any(s.tick(now) for now in (3000.0, 6000.0))
 
 
-def test_an_answer_counts_from_its_question_and_once():
+def test_an_ack_counts_once_and_from_the_time_of_its_ping():
     s = swim(now=0.0)
-    heard(s, 1)
+    receive_ping(s, 1)
     sends = s.tick(s.due)
     at, ping = s.last_tick_at, sends[0]
     ack = Message(MessageKind.ACK, ping.to, 10, ping.to, ping.message.nonce)
-    # Danger: it lay in the socket while the node slept for a minute.
+    # The ack waited in the socket while the process was suspended for a minute.
     assert s.receive(at + 60_000.0, ack)[1].asked_at == at
     assert s.count_heard(at + 60_000.0, 15_000.0)[0] == 0
     assert s.receive(at + 60_000.0, ack)[1] is None and s.dropped["unasked"] == 1
 
 
-def test_a_sleep_makes_nobody_suspected():
+def test_a_suspended_node_suspects_nobody_after_it_resumes():
     net = Net(8, uses=MEMBERSHIP)
     net.run(20_000)
     net.suspend(0)
     net.run(60_000)
-    assert net.nodes[0].swim.count_heard(net.clock(0), 15_000.0)[0] == 0  # and knows that it hears nothing
+    # the suspended node knows that it hears nobody
+    assert net.nodes[0].swim.count_heard(net.clock(0), 15_000.0)[0] == 0
     net.resume(0)
     assert not any(x is MemberState.SUSPECTED for x in net.nodes[0].swim.state)
     net.run(20_000)
@@ -224,7 +229,7 @@
 
 
 @pytest.mark.parametrize("members", [3, 40, 200])
-def test_all_find_one_another_and_what_a_node_sends_does_not_grow_with_the_fleet(members):
+def test_all_members_find_each_other_with_traffic_independent_of_fleet_size(members):
     net = Net(members, uses=MEMBERSHIP)
     net.run(120_000)
     assert all(n.swim.state.count(MemberState.ALIVE) > 0.9 * members for n in net.nodes)
@@ -235,14 +240,14 @@
     assert direct >= min(members - 1, 10) and news >= min(members - 1, 30)
 
 
-def test_they_do_not_ping_in_step():
+def test_members_do_not_ping_in_lockstep():
     net = Net(40, uses=MEMBERSHIP)
     net.run(10_000)
     turns = sorted(n.swim.next_round_at % PING_PERIOD_MS for n in net.nodes)
     assert max(b - a for a, b in zip(turns, turns[1:], strict=False)) < PING_PERIOD_MS / 4
 
 
-def test_seven_in_ten_killed_at_once_are_found_silent_and_found_again():
+def test_failure_and_return_of_seven_in_ten_members_is_detected():
     net = Net(40, uses=MEMBERSHIP)
     net.run(30_000)
     for i in range(28):
@@ -257,8 +262,10 @@
     assert sum(net.nodes[30].swim.restarts) == 28
 
 
-def test_all_members_are_pinged_by_somebody_within_a_few_rounds():
-    """Pings that are drawn alike leave some members out, and their deaths are found late."""
+def test_every_member_is_pinged_within_a_few_rounds():
+    """Members whose pseudorandom numbers are correlated skip the same targets, and failures of these are
+    detected late.
+    """
     members = 300
     rounds = [Swim(i, members, 1, seed, 0.0) for i, seed in enumerate([7, 8] * (members // 2))]
     for s in rounds:
@@ -269,8 +276,8 @@
     assert not left
 
 
-def test_a_lost_rack_is_known_soon_after_its_suspicion_ends():
-    """Words on all its members at once are more than pings carry."""
+def test_loss_of_a_rack_is_known_soon_after_the_suspicion_timeout():
+    """Updates on all members of a rack at once are more than the pings can carry."""
     members, rack = 240, 24
     fleet = Fleet(members, seed=5, warm=True)
     fleet.run(10 * SECOND)
@@ -284,33 +291,34 @@
     assert sum(map(known, fleet.living)) >= 0.9 * len(fleet.living)
     assert not any(s is not MemberState.ALIVE for swim in fleet.living for s in swim.state[rack:])
     sent = fleet.messages
-    fleet.run(60 * SECOND)  # and the words end
+    fleet.run(60 * SECOND)  # the dissemination ends
     assert fleet.messages - sent < 60 * 1.2 * len(fleet.living)
 
 
-def gossip_of(s, words, now=0.0):
-    for member in range(1, words + 1):
-        heard(s, member, now=now)
-    s.pending_updates = dict.fromkeys(s.pending_updates, s.transmissions)  # as if nothing had been passed on
+def gossips_sent(s, uint16, now=0.0):
+    for member in range(1, uint16 + 1):
+        receive_ping(s, member, now=now)
+    # as if nothing had been transmitted yet
+    s.pending_updates = dict.fromkeys(s.pending_updates, s.transmissions)
     return [x for x in s.tick(max(s.next_gossip_at, now)) if x.message.kind is MessageKind.GOSSIP]
 
 
-def test_much_that_is_new_goes_to_a_random_member_beside_the_pings_and_nobody_answers_it():
-    assert not gossip_of(swim(members=100), codec.MAX_UPDATES)
+def test_many_new_updates_are_gossiped_to_a_random_member_without_an_answer():
+    assert not gossips_sent(swim(members=100), codec.MAX_UPDATES)
     s = swim(members=100)
-    (send,) = gossip_of(s, 60)
+    (send,) = gossips_sent(s, 60)
     data = codec.encode(send.message, FLEET)
     assert codec.decode(data, FLEET, 100) == send.message and len(data) <= codec.MAX_DATAGRAM_BYTES
     assert len(send.message.updates) == codec.MAX_GOSSIP_UPDATES and s.state[send.to] is MemberState.ALIVE
     other = Swim(send.to, 100, 7, 9, 0.0)
     assert other.receive(0.0, send.message) == ([], None)
     assert {u.member for u in send.message.updates} - {send.to} <= set(other.alive())
-    # what was told of goes behind what was not
-    told = {u.member for u in send.message.updates}
-    assert not told & {u.member for u in s._gossip_message().updates}
+    # transmitted updates go behind those that were not
+    subjects = {u.member for u in send.message.updates}
+    assert not subjects & {u.member for u in s._gossip_message().updates}
 
 
-def test_no_other_message_carries_as_many_words_as_a_gossip():
+def test_only_a_gossip_carries_more_than_the_usual_number_of_updates():
     many = PING._replace(updates=PING.updates * (codec.MAX_UPDATES + 1), heartbeats=())
     data = bytearray(codec.encode(many._replace(kind=MessageKind.GOSSIP), FLEET))
     assert len(codec.decode(bytes(data), FLEET, 5).updates) == codec.MAX_UPDATES + 1
@@ -319,17 +327,17 @@
         codec.decode(resealed(bytes(data)), FLEET, 5)
 
 
-def test_words_past_the_bound_push_out_the_oldest():
+def test_updates_past_the_limit_evict_the_oldest():
     s = swim(members=2 * MAX_PENDING_UPDATES)
     for member in range(1, MAX_PENDING_UPDATES + 2):
-        heard(s, member)
+        receive_ping(s, member)
         s.pending_updates |= dict.fromkeys(
             s.pending_updates, s.transmissions
-        )  # as if nothing had been passed on
+        )  # as if nothing had been transmitted yet
     assert len(s.pending_updates) == MAX_PENDING_UPDATES and MAX_PENDING_UPDATES + 1 in s.pending_updates
 
 
-def test_a_zone_that_was_cut_off_with_old_news_is_found_again():
+def test_a_partitioned_zone_is_alive_again_after_it_heals():
     net = Net(20, uses=MEMBERSHIP)
     net.run(20_000)
     net.cut = lambda a, b: (a < 6) != (b < 6)
@@ -340,8 +348,8 @@
     assert all(n.swim.state == [MemberState.ALIVE] * 20 for n in net.nodes)
 
 
-def test_a_link_that_is_open_one_way_makes_nobody_silent():
-    """Others are asked to ping, and their word that it answers counts."""
+def test_a_one_way_link_makes_nobody_silent():
+    """Indirect pings reach the member, and the report of its answer counts."""
     net = Net(12, uses=MEMBERSHIP)
     net.run(20_000)
     net.cut = lambda a, b: (a, b) == (0, 1)
@@ -352,7 +360,7 @@
     )
 
 
-def test_a_flood_costs_a_bounded_number_of_looks_and_answers():
+def test_a_flood_is_decoded_and_answered_at_a_bounded_rate():
     net = Net(3, uses=MEMBERSHIP)
     net.run(10_000)
     node, now = net.nodes[0], net.clock(0)
@@ -362,7 +370,7 @@
     assert 0 < answers <= 20 and node.swim.dropped["flood"] >= 700 and node.swim.dropped["too-many"] > 0
 
 
-def test_one_node_alone_sends_nothing():
+def test_a_single_node_sends_nothing():
     net = Net(1, uses=MEMBERSHIP)
     net.run(10_000)
     assert net.sends == [0]
