--- a/caperdeck/distribution/commands.py
+++ b/caperdeck/distribution/commands.py
@@ -17,8 +17,8 @@
 
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.merge import check_document
-from caperdeck.owner.commands import ask
-from caperdeck.owner.config import OwnerError, Owners, load_owners
+from caperdeck.owner.commands import call_instance
+from caperdeck.owner.config import OwnerError, OwnerEndpoints, load_owners
 from caperdeck.state.addresses import Address
 
 from .document import LARGEST_DOCUMENT, Document, DocumentError, check, digest
@@ -67,7 +67,7 @@
 # ---- publish
 
 
-def publish(owners: Owners, document: Document, on: int | None, ask: Ask = ask) -> int:
+def publish(owners: OwnerEndpoints, document: Document, on: int | None, ask: Ask = call_instance) -> int:
     """`on`: the revision that the document was made from; None for the newest, whichever that is."""
     newest = read_newest(owners, ask)
     versions = Versions()
@@ -86,7 +86,7 @@
     raise UnknownError("no answer: the version may be committed or not; `config status` tells the newest")
 
 
-def read_newest(owners: Owners, ask: Ask) -> Newest:
+def read_newest(owners: OwnerEndpoints, ask: Ask) -> Newest:
     for answer in answers(owners, {"do": "versions", "document": True}, ask):
         revision, document = answer.get("revision"), answer.get("document")
         if isinstance(document, dict) and digest(document) == answer.get("digest"):
@@ -94,7 +94,7 @@
     raise UnknownError("no instance answered that knows the newest version; nothing was proposed")
 
 
-def answers(owners: Owners, body: dict[str, Any], ask: Ask) -> Iterator[dict[str, Any]]:
+def answers(owners: OwnerEndpoints, body: dict[str, Any], ask: Ask) -> Iterator[dict[str, Any]]:
     """Answers of one instance after another, until PATIENCE ends; at least one round."""
     end = time.monotonic() + PATIENCE
     while True:
@@ -139,7 +139,7 @@
 # ---- status
 
 
-def status(owners: Owners, names: list[str] | None, ask: Ask = ask) -> int:
+def status(owners: OwnerEndpoints, names: list[str] | None, ask: Ask = call_instance) -> int:
     """`names` are all nodes; where None, only those that were heard are told of."""
     known = read_statuses(owners, ask)
     heard = [status for status in known.values() if status is not None]
@@ -151,7 +151,7 @@
     return 0 if summary.confirmed else 1
 
 
-def read_statuses(owners: Owners, ask: Ask) -> dict[Address, Status | None]:
+def read_statuses(owners: OwnerEndpoints, ask: Ask) -> dict[Address, Status | None]:
     """What each instance knows; ages as of now, which is after the last answer."""
     asked = time.monotonic()
     with ThreadPoolExecutor(len(owners.instances)) as pool:
@@ -170,7 +170,7 @@
     return status._replace(rows=tuple(row._replace(age=row.age + passed) for row in status.rows))
 
 
-def read_summary(owners: Owners, heard: list[Status], names: list[str] | None, ask: Ask) -> Summary:
+def read_summary(owners: OwnerEndpoints, heard: list[Status], names: list[str] | None, ask: Ask) -> Summary:
     """What all that were heard know together. The quorum is asked after them for the newest version."""
     # Danger: what an instance has confirmed may be two seconds old, and a leader that was killed right after
     # a commit may have been the only one to know of it.
@@ -182,7 +182,7 @@
     return summarise(known, expected)
 
 
-def read_newest_status(owners: Owners, ask: Ask) -> Status | None:
+def read_newest_status(owners: OwnerEndpoints, ask: Ask) -> Status | None:
     """The newest committed version as of after the call, without nodes; None where no quorum answers."""
     for address in owners.instances:
         answer = ask(address, owners.cluster, {"do": "versions"})
--- a/caperdeck/gossip/judgements.py
+++ b/caperdeck/gossip/judgements.py
@@ -12,31 +12,33 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-SPAN = 3000.0  # a judgement counts for so long from what it rests on
-WITNESSES = 3
-INFORMANTS = 2  # one node passes on what others say, and may say it wrongly of all of them
-PART = 0.25  # of the listed hosts, at the most
-ILL_EVERYWHERE = 0.3  # of the hosts that a node has seen lately: past this its word counts for nothing
-MOST = 512  # judgements kept
-MOST_BY_ONE = 16
+VALIDITY_MS = 3000.0  # a judgement counts for so long from what it rests on
+MIN_WITNESSES = 3
+MIN_INFORMANTS = 2  # one node passes on what others say, and may say it wrongly of all of them
+MAX_LOST_SHARE = 0.25  # of the listed hosts, at the most
+FAILING_SHARE_LIMIT = 0.3  # of the hosts that a node has seen lately: past this its word counts for nothing
+MAX_JUDGEMENTS = 512  # judgements kept
+MAX_JUDGEMENTS_PER_MEMBER = 16
 
 
-class Kind(IntEnum):
-    WELL = 0  # it has answered
+class HostCondition(IntEnum):
+    HEALTHY = 0  # it has answered
     LOST = 1  # dials and looks do not come up, or fail
     FULL = 2  # it turns away
 
 
 class Judgement(NamedTuple):
     host: int  # its mark
-    kind: Kind
+    kind: HostCondition
     member: int  # who says so
     age: float  # milliseconds, of what it rests on, when it was sent
 
 
 class Judgements:
     def __init__(self) -> None:
-        self.rows: dict[tuple[int, int], tuple[Kind, float, int]] = {}  # by host, member: seen at, from whom
+        self.rows: dict[
+            tuple[int, int], tuple[HostCondition, float, int]
+        ] = {}  # by host, member: seen at, from whom
         self.unsound: dict[int, float] = {}  # members that see ill everywhere, and until when they do
 
     def take(self, now: float, j: Judgement, asked_at: float, informant: int) -> str | None:
@@ -47,11 +49,14 @@
         # Danger: an age by another node's clock and a datagram minutes late; what was seen is dated back from
         # this node's own question, so it is never taken for newer than it can be.
         seen = asked_at - j.age
-        if now - seen > SPAN:
+        if now - seen > VALIDITY_MS:
             return "old-judgement"
         key = j.host, j.member
         if key not in self.rows:
-            if sum(member == j.member for _, member in self.rows) >= MOST_BY_ONE or len(self.rows) >= MOST:
+            if (
+                sum(member == j.member for _, member in self.rows) >= MAX_JUDGEMENTS_PER_MEMBER
+                or len(self.rows) >= MAX_JUDGEMENTS
+            ):
                 return "too-many-judgements"
         elif self.rows[key][1] >= seen:
             return None
@@ -59,10 +64,10 @@
         return None
 
     def sees_ill_everywhere(self, now: float, member: int) -> None:
-        self.unsound[member] = now + SPAN
+        self.unsound[member] = now + VALIDITY_MS
 
     def age(self, now: float) -> None:
-        self.rows = {k: row for k, row in self.rows.items() if now - row[1] <= SPAN}
+        self.rows = {k: row for k, row in self.rows.items() if now - row[1] <= VALIDITY_MS}
         self.unsound = {m: until for m, until in self.unsound.items() if until > now}
 
     def lost(self, now: float, hosts: int) -> dict[int, float]:
@@ -73,16 +78,16 @@
         for (host, member), (kind, seen, informant) in self.rows.items():
             if member in self.unsound:
                 continue
-            if kind is Kind.LOST:
+            if kind is HostCondition.LOST:
                 against.setdefault(host, []).append((seen, informant))
-            elif kind is Kind.WELL:
+            elif kind is HostCondition.HEALTHY:
                 well[host] = well.get(host, 0) + 1
         found = []
         for host, seen in against.items():
-            need = max(WITNESSES, well.get(host, 0) + 1)
-            if len(seen) >= need and len({informant for _, informant in seen}) >= INFORMANTS:
+            need = max(MIN_WITNESSES, well.get(host, 0) + 1)
+            if len(seen) >= need and len({informant for _, informant in seen}) >= MIN_INFORMANTS:
                 # it ends when the last word without which there are not enough of them does
-                found.append((-len(seen), host, sorted(seen, reverse=True)[need - 1][0] + SPAN))
-        most = math.floor(PART * hosts)
+                found.append((-len(seen), host, sorted(seen, reverse=True)[need - 1][0] + VALIDITY_MS))
+        most = math.floor(MAX_LOST_SHARE * hosts)
         # Danger: a cut that many see would take most hosts out at once; past the part none of them counts.
         return {} if len(found) > most else {host: until for _, host, until in sorted(found)}
--- a/caperdeck/gossip/quota_transfers.py
+++ b/caperdeck/gossip/quota_transfers.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Callable
 
-LOAN = 500.0  # from the question until what is lent for it ends
-MOST_ASKED = 64  # questions that wait for an answer
-REMEMBERED = 512  # questions answered with a loan
+LOAN_MS = 500.0  # from the question until what is lent for it ends
+MAX_PENDING_REQUESTS = 64  # questions that wait for an answer
+MAX_ANSWERED_REQUESTS = 512  # questions answered with a loan
 
 
-class Loans:
+class QuotaTransfers:
     def __init__(self, nonce: int = 0) -> None:
         self.nonce = nonce
         self.asked: dict[int, tuple[int, float]] = {}  # by number: whom, and when
@@ -25,7 +25,7 @@
         """The number of a new question to that member."""
         self.nonce = (self.nonce + 1) & 0xFFFFFFFF
         self.asked[self.nonce] = member, now
-        if len(self.asked) > MOST_ASKED:
+        if len(self.asked) > MAX_PENDING_REQUESTS:
             del self.asked[next(iter(self.asked))]
         return self.nonce
 
@@ -42,7 +42,7 @@
             (budget, amount) for budget, most in wants if most > 0 and (amount := lend(budget, most)) > 0
         ]
         if grants:
-            if len(self.answered) >= REMEMBERED:
+            if len(self.answered) >= MAX_ANSWERED_REQUESTS:
                 del self.answered[next(iter(self.answered))]
             self.answered[key] = None
             self.lent += sum(amount for _, amount in grants)
@@ -58,7 +58,7 @@
         if asked is None or asked[0] != member:
             return None
         del self.asked[nonce]
-        until = asked[1] + LOAN
+        until = asked[1] + LOAN_MS
         for budget, amount in grants:
             if now >= until:
                 # Danger: read after a sleep or a long way, the lender has long had it grow anew.
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -9,17 +9,17 @@
 from caperdeck.core.quotas import ROOM_BUDGET
 from caperdeck.core.fleet_state import Shares
 
-from .judgements import ILL_EVERYWHERE, Kind
-from .sharing import DIALS, ENDED, ROOM, Shown, Uses
+from .judgements import FAILING_SHARE_LIMIT, HostCondition
+from .sharing import DIALS_STARTED, DIALS_ENDED, SHARED_ROOM_BUDGET, LocalObservations, SharingFeatures
 
 
-def host_pot(mark: int, born: float) -> int:
+def cold_host_budget(mark: int, born: float) -> int:
     """The budget of what is sent to one start of a host."""
-    return max(zlib.crc32(int(born).to_bytes(8, "big", signed=True), mark), ENDED + 1)
+    return max(zlib.crc32(int(born).to_bytes(8, "big", signed=True), mark), DIALS_ENDED + 1)
 
 
-class Marked:
-    def __init__(self, shares: Shares, uses: Uses, report: Callable[[News], None]) -> None:
+class SharedIdDecisions:
+    def __init__(self, shares: Shares, uses: SharingFeatures, report: Callable[[News], None]) -> None:
         self.shares, self.uses, self.report = shares, uses, report
         self.index: dict[int, int] = {}  # by mark
         self.marks: list[int] = []  # by which the index was made
@@ -35,33 +35,34 @@
         return self.index.get(mark)
 
     def _budget(self, mark: int) -> int | None:
-        if mark == ROOM:
+        if mark == SHARED_ROOM_BUDGET:
             return ROOM_BUDGET
         h = self._host(mark)
         return None if h is None else h + 1
 
-    def show(self, now: float) -> Shown:
+    def show(self, now: float) -> LocalObservations:
         node, uses, mark = self.shares.node, self.uses, self.shares.node.mark
         words = self.shares.words(now) if uses.lost else []
-        return Shown(
+        return LocalObservations(
             self.counts() if uses.weight else [],
             [(mark[h], x, at) for h, x, at in self.shares.figures(now)] if uses.prior else [],
-            [(mark[w.host], Kind.WELL if w.well else Kind.LOST, w.seen) for w in words],
-            uses.lost and self.shares.ill_everywhere(ILL_EVERYWHERE),
+            [(mark[w.host], HostCondition.HEALTHY if w.well else HostCondition.LOST, w.seen) for w in words],
+            uses.lost and self.shares.ill_everywhere(FAILING_SHARE_LIMIT),
             len(node.running),
         )
 
     def wants(self, now: float) -> list[tuple[int, float]]:
         mark = self.shares.node.mark
         return [
-            (ROOM if budget == ROOM_BUDGET else mark[budget - 1], x) for budget, x in self.shares.wants(now)
+            (SHARED_ROOM_BUDGET if budget == ROOM_BUDGET else mark[budget - 1], x)
+            for budget, x in self.shares.wants(now)
         ]
 
     def counts(self) -> list[tuple[int, int]]:
         s, mark = self.shares, self.shares.node.mark
         # a host that starts anew is counted anew: all nodes have the same mark and start for it
-        cold = [(host_pot(mark[h], born), count) for h, born, count in s.sent_cold()]
-        return [(DIALS, s.dialled()), (ENDED, s.ended()), *cold]
+        cold = [(cold_host_budget(mark[h], born), count) for h, born, count in s.sent_cold()]
+        return [(DIALS_STARTED, s.dialled()), (DIALS_ENDED, s.ended()), *cold]
 
     def lend(self, now: float, budget: int, most: float) -> float:
         own = self._budget(budget)
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -14,29 +14,28 @@
 from caperdeck.peers.swim import EVERYONE, TokenBucket, AnswerReceived, Send, Swim
 
 from . import message_sections
-from .counters import LARGEST, Count, Counts
-from .judgements import SPAN, Judgement, Judgements
-from .judgements import Kind as Word
-from .quota_transfers import Loans
-from .message_sections import Notes
-
-SHORT_EVERY = 100.0  # so often a node looks whether it is short of rights, a session's wait for a host
-JUDGE_EVERY = 500.0
-HEARD_WITHIN = 30_000.0  # what `hearing` is stated for
-TAKEN = 200.0  # datagrams a second that are looked at, at the most
-ROOM = 0  # the budget of the room of all hosts
-DIALS, ENDED = 0, 1  # counts of all hosts together: dials, and those that ended
-COUNT_ROWS, SEEN_ROWS, JUDGED_ROWS, WANT_ROWS = 4, 10, 4, 4
-FULL_SPAN = 1500.0  # a look that shows a host past full load counts for so long
-FULL_WITNESSES = 2
-FULL_SPREAD = 500.0  # milliseconds in which nodes act on it, each at a random moment
-MOST_FULL = 128
-MOST_TELLS = 2.0  # a second
-TELLING = 3  # members that have told what they send, before it counts
-SEEN_SPAN = 2000.0  # an older figure is told to nobody, and not taken
-
-
-class Uses(NamedTuple):
+from .counters import MAX_VALUE, CounterValue, CounterStore
+from .judgements import VALIDITY_MS, HostCondition, Judgement, Judgements
+from .quota_transfers import QuotaTransfers
+from .message_sections import MessageSections
+
+SHORTAGE_CHECK_MS = 100.0  # so often a node looks whether it is short of rights, a session's wait for a host
+JUDGE_INTERVAL_MS = 500.0
+HEARD_WITHIN_MS = 30_000.0  # what `hearing` is stated for
+MAX_DATAGRAMS_PER_S = 200.0  # datagrams a second that are looked at, at the most
+SHARED_ROOM_BUDGET = 0  # the budget of the room of all hosts
+DIALS_STARTED, DIALS_ENDED = 0, 1  # counts of all hosts together: dials, and those that ended
+COUNTER_ROWS, LOAD_ROWS, JUDGEMENT_ROWS, REQUEST_ROWS = 4, 10, 4, 4
+OVERLOAD_VALIDITY_MS = 1500.0  # a look that shows a host past full load counts for so long
+OVERLOAD_WITNESSES = 2
+OVERLOAD_SPREAD_MS = 500.0  # milliseconds in which nodes act on it, each at a random moment
+MAX_OVERLOADED_HOSTS = 128
+MAX_OVERLOAD_REPORTS_PER_S = 2.0  # a second
+MIN_REPORTING_MEMBERS = 3  # members that have told what they send, before it counts
+LOAD_VALIDITY_MS = 2000.0  # an older figure is told to nobody, and not taken
+
+
+class SharingFeatures(NamedTuple):
     """What is done with what is shared; everything off is membership alone."""
 
     room: bool = False
@@ -47,12 +46,12 @@
     full: bool = False
 
 
-class Shown(NamedTuple):
+class LocalObservations(NamedTuple):
     """What the decisions tell of themselves; hosts under their marks."""
 
     counts: list[tuple[int, int]]  # subject and value, growing: dials, those ended, dials to cold hosts
     figures: list[tuple[int, float, float]]  # host, load over capacity, seen at
-    words: list[tuple[int, Word, float]]  # host, what, seen at
+    words: list[tuple[int, HostCondition, float]]  # host, what, seen at
     ill_everywhere: bool
     hosts: int
 
@@ -60,7 +59,7 @@
 class Decisions(Protocol):
     """The decisions, as far as this part speaks with them."""
 
-    def show(self, now: float) -> Shown: ...
+    def show(self, now: float) -> LocalObservations: ...
 
     def wants(self, now: float) -> list[tuple[int, float]]: ...
 
@@ -82,22 +81,22 @@
 class Sharing:
     def __init__(
         self, decisions: Decisions, me: int, members: int, life: int, seed: int, now: float,
-        uses: Uses, names: Iterable[str] = (),
+        uses: SharingFeatures, names: Iterable[str] = (),
     ) -> None:  # fmt: skip
         self.decisions, self.uses = decisions, uses
         self.fleet = codec.fleet_id(members, names)
         self.swim = Swim(me, members, life, seed, now)
-        self.counts, self.judgements = Counts(), Judgements()
-        self.gate = TokenBucket(TAKEN, now)
-        self.loans = Loans(self.swim.last_nonce)
+        self.counts, self.judgements = CounterStore(), Judgements()
+        self.gate = TokenBucket(MAX_DATAGRAMS_PER_S, now)
+        self.loans = QuotaTransfers(self.swim.last_nonce)
         self.sent = self.received = self.bytes = 0
         self.turns = 0
         self.full: dict[int, dict[int, tuple[float, float]]] = {}  # hosts seen past full: by whom, how, when
         self.crowded: dict[int, tuple[float, float]] = {}  # hosts to act on: when, and the load
         self.looked_to, self.telling = now, []
-        self.tells = TokenBucket(MOST_TELLS, now)
-        self.next_at = now + SHORT_EVERY * self.swim._random()
-        self.judge_at = now + JUDGE_EVERY * self.swim._random()
+        self.tells = TokenBucket(MAX_OVERLOAD_REPORTS_PER_S, now)
+        self.next_at = now + SHORTAGE_CHECK_MS * self.swim._random()
+        self.judge_at = now + JUDGE_INTERVAL_MS * self.swim._random()
 
     # ---- in and out
 
@@ -108,7 +107,7 @@
     def tick(self, now: float) -> list[tuple[int, bytes]]:
         sends = self.swim.tick(now)
         if now >= self.next_at:
-            self.next_at = now + SHORT_EVERY * (0.75 + self.swim._random() / 2)
+            self.next_at = now + SHORTAGE_CHECK_MS * (0.75 + self.swim._random() / 2)
             sends += self._turn(now)
         return self._encode(now, sends)
 
@@ -162,30 +161,30 @@
         if kind is MessageKind.GOSSIP:
             return b""
         if kind is MessageKind.TELL:
-            return message_sections.encode(Notes(seen=self.telling), codec.SECTION_BYTES)
+            return message_sections.encode(MessageSections(seen=self.telling), codec.SECTION_BYTES)
         if kind is MessageKind.GIVE:
-            return message_sections.encode(Notes(grants=grants), codec.SECTION_BYTES)
+            return message_sections.encode(MessageSections(grants=grants), codec.SECTION_BYTES)
         if kind is MessageKind.ASK:
             return message_sections.encode(
-                Notes(wants=self._some(self._wanted(now), WANT_ROWS)), codec.SECTION_BYTES
+                MessageSections(wants=self._some(self._wanted(now), REQUEST_ROWS)), codec.SECTION_BYTES
             )
         shown, me = self.decisions.show(now), self.swim.me
-        n = Notes(ill_everywhere=shown.ill_everywhere)
+        n = MessageSections(ill_everywhere=shown.ill_everywhere)
         if self.uses.weight:
             for subject, value in shown.counts:
-                self.counts.merge(now, Count(subject, me, self.swim.life[me], min(value, LARGEST)))
-            n.counts = list(self.counts.rows(COUNT_ROWS, me))
+                self.counts.merge(now, CounterValue(subject, me, self.swim.life[me], min(value, MAX_VALUE)))
+            n.counts = list(self.counts.rows(COUNTER_ROWS, me))
         if kind is MessageKind.ACK and self.uses.prior:
             # hosts with room are what another lacks; each node tells of those that it has looked at itself
-            low = sorted((x, h, now - at) for h, x, at in shown.figures if now - at <= SEEN_SPAN)
-            n.seen = [(h, x, age) for x, h, age in low[:SEEN_ROWS]]
+            low = sorted((x, h, now - at) for h, x, at in shown.figures if now - at <= LOAD_VALIDITY_MS)
+            n.seen = [(h, x, age) for x, h, age in low[:LOAD_ROWS]]
         if kind is MessageKind.ACK and self.uses.lost:
-            own = [Judgement(h, word, me, now - at) for h, word, at in shown.words if now - at <= SPAN]
+            own = [Judgement(h, word, me, now - at) for h, word, at in shown.words if now - at <= VALIDITY_MS]
             others = [
                 Judgement(h, word, member, now - at)
                 for (h, member), (word, at, _) in self.judgements.rows.items() if member != me
             ]  # fmt: skip
-            n.judged = self._some(own, JUDGED_ROWS) + self._some(others, JUDGED_ROWS)
+            n.judged = self._some(own, JUDGEMENT_ROWS) + self._some(others, JUDGEMENT_ROWS)
         return message_sections.encode(n, codec.SECTION_BYTES)
 
     def _wanted(self, now: float) -> list[tuple[int, float]]:
@@ -202,11 +201,11 @@
 
     # ---- what is heard
 
-    def _heard(self, now: float, heard: AnswerReceived, n: Notes) -> None:
+    def _heard(self, now: float, heard: AnswerReceived, n: MessageSections) -> None:
         """The answer to a question of this node's: what it says was so after the question was sent."""
         if self.uses.prior:
             for host, figure, age in n.seen:
-                if (seen := heard.asked_at - age) > now - SEEN_SPAN:
+                if (seen := heard.asked_at - age) > now - LOAD_VALIDITY_MS:
                     self.decisions.told(now, host, figure, seen)
         if not self.uses.lost:
             return
@@ -221,7 +220,7 @@
     # ---- loans
 
     def _allowed(self, budget: int) -> bool:
-        return self.uses.room if budget == ROOM else self.uses.cold
+        return self.uses.room if budget == SHARED_ROOM_BUDGET else self.uses.cold
 
     def _give(
         self, now: float, m: Message, wants: list[tuple[int, float]],
@@ -232,12 +231,12 @@
 
         def lend(budget: int, most: float) -> float:
             return (
-                message_sections.as_sent(self.decisions.lend(now, budget, most))
+                message_sections.round_down_to_wire(self.decisions.lend(now, budget, most))
                 if self._allowed(budget)
                 else 0.0
             )
 
-        grants = self.loans.give(m.sender, m.life, m.nonce, wants[:WANT_ROWS], lend)
+        grants = self.loans.give(m.sender, m.life, m.nonce, wants[:REQUEST_ROWS], lend)
         answer = self.swim.message_without_updates(MessageKind.GIVE, self.swim.me, m.nonce)
         return ([Send(m.sender, answer)] if grants else []), grants
 
@@ -255,7 +254,7 @@
 
     def _turn(self, now: float) -> list[Send]:
         if now >= self.judge_at:
-            self.judge_at = now + JUDGE_EVERY
+            self.judge_at = now + JUDGE_INTERVAL_MS
             self._judge(now)
         sends = self._tell(now) if self.uses.full else []
         if not (self.uses.room or self.uses.cold) or not self._wanted(now):
@@ -282,29 +281,29 @@
             self._witness(now, self.swim.me, host, figure, age)
         if not new or self.swim.duplicate_name or not self.tells.take(now):
             return []
-        self.telling = new[:SEEN_ROWS]
+        self.telling = new[:LOAD_ROWS]
         return [Send(EVERYONE, self.swim.message_without_updates(MessageKind.TELL, self.swim.me, 0))]
 
     def _known_full(self, now: float, host: int) -> bool:
-        return len(fresh(now, self.full.get(host, {}))) >= FULL_WITNESSES
+        return len(recent_observations(now, self.full.get(host, {}))) >= OVERLOAD_WITNESSES
 
     def _crowd(self, now: float, member: int, rows: list[tuple[int, float, float]]) -> None:
-        for host, figure, age in rows[:SEEN_ROWS]:
-            if age <= FULL_SPAN and figure > 1.0:
+        for host, figure, age in rows[:LOAD_ROWS]:
+            if age <= OVERLOAD_VALIDITY_MS and figure > 1.0:
                 self._witness(now, member, host, figure, age)
 
     def _witness(self, now: float, member: int, host: int, figure: float, age: float) -> None:
-        if host not in self.full and len(self.full) >= MOST_FULL:
-            self.full = {h: new for h, rows in self.full.items() if (new := fresh(now, rows))}
-            if len(self.full) >= MOST_FULL:
+        if host not in self.full and len(self.full) >= MAX_OVERLOADED_HOSTS:
+            self.full = {h: new for h, rows in self.full.items() if (new := recent_observations(now, rows))}
+            if len(self.full) >= MAX_OVERLOADED_HOSTS:
                 return
-        rows = fresh(now, self.full.get(host, {}))
+        rows = recent_observations(now, self.full.get(host, {}))
         rows[member] = figure, now - age
         self.full[host] = rows
         # Danger: one node that sees wrongly would move connections of all; two have to see it.
-        if len(rows) >= FULL_WITNESSES and host not in self.crowded:
-            lowest = sorted((x for x, _ in rows.values()), reverse=True)[FULL_WITNESSES - 1]
-            self.crowded[host] = now + FULL_SPREAD * self.swim._random(), lowest
+        if len(rows) >= OVERLOAD_WITNESSES and host not in self.crowded:
+            lowest = sorted((x for x, _ in rows.values()), reverse=True)[OVERLOAD_WITNESSES - 1]
+            self.crowded[host] = now + OVERLOAD_SPREAD_MS * self.swim._random(), lowest
 
     def _judge(self, now: float) -> None:
         if self.uses.lost:
@@ -317,9 +316,9 @@
 
     def _alike(self, now: float) -> float | None:
         """So many nodes like this one would send what all do together; None where too few have told."""
-        others, known = self.counts.rate(now, DIALS, self.swim.me)
-        own = self.counts.own_rate(DIALS, self.swim.me, self.swim.life[self.swim.me])
-        if known < TELLING or not own:
+        others, known = self.counts.rate(now, DIALS_STARTED, self.swim.me)
+        own = self.counts.own_rate(DIALS_STARTED, self.swim.me, self.swim.life[self.swim.me])
+        if known < MIN_REPORTING_MEMBERS or not own:
             return None
         # those that have told nothing yet are taken for like the ones that have, silent ones for nothing
         return 1 + others / known * max(len(self.swim.alive()), known) / own
@@ -329,7 +328,7 @@
     def lines(self, now: float) -> list[str]:
         """Figures for `caperdeck peers show`."""
         swim = self.swim
-        direct, news = swim.count_heard(now, HEARD_WITHIN)
+        direct, news = swim.count_heard(now, HEARD_WITHIN_MS)
         states = {s.name.lower(): sum(x is s for x in swim.state) for s in codec.MemberState}
         rows = {f"members_{name}": count for name, count in states.items()} | {
             "members_never_heard": sum(not life for life in swim.life),
@@ -339,21 +338,21 @@
             "datagram_bytes_sent": self.bytes, "load_lent": round(self.loans.lent, 1),
             "load_borrowed": round(self.loans.borrowed, 1), "load_too_late": round(self.loans.late, 1),
             "counts_kept": len(self.counts.kept),
-            "fleet_dials": self.counts.total(DIALS),
-            "fleet_held": self.counts.total(DIALS) - self.counts.total(ENDED),
+            "fleet_dials": self.counts.total(DIALS_STARTED),
+            "fleet_held": self.counts.total(DIALS_STARTED) - self.counts.total(DIALS_ENDED),
             "judgements_kept": len(self.judgements.rows),
         }  # fmt: skip
         lines = [f"app_peers_{name} {value}" for name, value in rows.items()]
         for subject, value in self.decisions.show(now).counts:
-            if subject not in (DIALS, ENDED):
+            if subject not in (DIALS_STARTED, DIALS_ENDED):
                 sent = max(self.counts.total(subject), value)
                 lines.append(f'app_peers_sent_cold{{pot="{subject:08x}"}} {sent}')
         dropped = sorted(swim.dropped.items())
         return lines + [f'app_peers_dropped_total{{reason="{name}"}} {count}' for name, count in dropped]
 
 
-def fresh(now: float, rows: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
-    return {member: row for member, row in rows.items() if now - row[1] <= FULL_SPAN}
+def recent_observations(now: float, rows: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
+    return {member: row for member, row in rows.items() if now - row[1] <= OVERLOAD_VALIDITY_MS}
 
 
 def life_from(unix_ms: float) -> int:
--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -5,9 +5,9 @@
 import math
 
 from caperdeck.leases.census import Census
-from caperdeck.leases.expiry import RENEW_AT
-from caperdeck.leases.table import LARGEST_STATE
-from caperdeck.owner.config import MOST_INSTANCES, MOST_NODES, SPAN, WORKS
+from caperdeck.leases.expiry import RENEW_AT_SHARE
+from caperdeck.leases.table import MAX_STATE_LENGTH
+from caperdeck.owner.config import MAX_INSTANCES, MAX_NODES, DEFAULT_SPAN_MS, WORKS
 
 from ..figure import Figure, figure
 from ..fleet import Fleet
@@ -36,7 +36,7 @@
             "node processes that one instance may own work at",
             "",
             members,
-            MOST_NODES,
+            MAX_NODES,
             "the program's own limit",
         ),
         row(
@@ -45,7 +45,7 @@
             "characters of the census, as agreed on",
             "",
             census_characters(members),
-            LARGEST_STATE,
+            MAX_STATE_LENGTH,
             "the program's own limit, and its own text for so many nodes",
         ),
         row(
@@ -75,7 +75,7 @@
     entries = entries_a_second(fleet)
     return [
         row(
-            need, Kind.STATE, "instances that agree", "", instances, MOST_INSTANCES, "the program's own limit"
+            need, Kind.STATE, "instances that agree", "", instances, MAX_INSTANCES, "the program's own limit"
         ),
         row(
             need,
@@ -186,7 +186,7 @@
 
 def entries_a_second(fleet: Fleet) -> Figure:
     """Renewals of all leases, and changes of configuration at their peak, were they agreed on."""
-    renewals = len(WORKS) * MS / (SPAN * RENEW_AT)
+    renewals = len(WORKS) * MS / (DEFAULT_SPAN_MS * RENEW_AT_SHARE)
     return file_changes(fleet) / DAY * fleet.assumed("peak_times") + renewals
 
 
--- a/caperdeck/lab/census_model.py
+++ b/caperdeck/lab/census_model.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperdeck.leases.census import Census
-from caperdeck.leases.runner import Keep
+from caperdeck.leases.runner import SaveState
 from caperdeck.leases.target import CENSUS, Target
 
 from .exploration import BrokenError
@@ -109,7 +109,7 @@
     def turn(self, i: int) -> None:
         o = self.owners[i]
         got = o.census.turn(self.now)
-        if isinstance(got, Keep):
+        if isinstance(got, SaveState):
             if o.token != self.token:
                 o.token = 0  # what it would keep is refused, and it is told so
                 return
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.expiry import Holder, Warden
-from caperdeck.leases.table import LEAST_SPAN, Table
+from caperdeck.leases.expiry import LeaseHolder, LeaseExpiryMonitor
+from caperdeck.leases.table import MIN_SPAN_MS, LeaseTable
 
 from .exploration import BrokenError
 
-TICK = LEAST_SPAN / 2
+TICK = MIN_SPAN_MS / 2
 WORK = "w"
 
 
@@ -26,14 +26,15 @@
     def __init__(
         self, ticks: int = 4, asks: int = 3, acts: int = 2, deaths: int = 1, snapshots: int = 0,
         rates: tuple[float, float, float] = (1.0, 1.0, 1.0), disk: bool = False,
-        holder: type[Holder] = Holder, fence: type[Fence] = Fence, table: type[Table] = Table,
+        holder: type[LeaseHolder] = LeaseHolder, fence: type[Fence] = Fence,
+        table: type[LeaseTable] = LeaseTable,
     ) -> None:  # fmt: skip
         self.time, self.rates, self.disk = 0.0, rates, disk
         self.left = {"tick": ticks, "ask": asks, "check": acts, "die": deaths, "snapshot": snapshots}
-        self.holders = [holder(WORK, name, LEAST_SPAN) for name in "ab"]
+        self.holders = [holder(WORK, name, MIN_SPAN_MS) for name in "ab"]
         self.ready = [0, 0]  # the token that an owner has just checked, before its act leaves
         self.table = table()
-        self.warden = Warden(self.table, 0.0)
+        self.warden = LeaseExpiryMonitor(self.table, 0.0)
         self.target = fence({})
         self.flying: list[tuple] = []
         self.highest = 0  # among the acts taken
@@ -125,4 +126,4 @@
         state = copy.deepcopy(self.table.dump())
         self.table = type(self.table)()
         self.table.load(state)
-        self.warden = Warden(self.table, self.now(2))
+        self.warden = LeaseExpiryMonitor(self.table, self.now(2))
--- a/caperdeck/lab/owned_work.py
+++ b/caperdeck/lab/owned_work.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Iterable
 
-from caperdeck.leases.target import CENSUS, FLOOR, HOSTS, PART
+from caperdeck.leases.target import CENSUS, FLOOR_SHARE, HOSTS, MAX_EJECTED_SHARE
 
 from .history import Event
 from .oracle import Check
@@ -27,7 +27,7 @@
         self.highest: dict[tuple[str, str], int] = {}  # by target, work
         self.grants: dict[int, tuple[str, str]] = {}  # by token: work, holder
         self.epochs: dict[int, int] = {}  # how many live, by epoch
-        floor = FLOOR / scenario.nodes
+        floor = FLOOR_SHARE / scenario.nodes
         self.floor, self.share = floor, dict.fromkeys(scenario.node_names(), floor)
         self.epoch_of: dict[str, int] = {}  # the epoch that a node is in, in this life
         self.steps: dict[int, tuple] = {}  # what each number of an act on hosts means
@@ -54,7 +54,7 @@
             self.number[node] = e["number"]
             if self.steps.setdefault(e["number"], tuple(e["out"])) != tuple(e["out"]):
                 self.breach("step", f"number {e['number']} is told in two ways", e)
-            most = math.floor(PART * self.scenario.hosts.count)
+            most = math.floor(MAX_EJECTED_SHARE * self.scenario.hosts.count)
             if len(e["out"]) > most:
                 self.breach("part", f"{len(e['out'])} hosts out by the fleet's word, over {most}", e)
         elif work == CENSUS:
--- a/caperdeck/lab/process_files.py
+++ b/caperdeck/lab/process_files.py
@@ -8,7 +8,7 @@
 import msgspec
 import tomli_w
 
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 
 CLUSTER = "lab"
 LEASE_SPAN = 1500.0  # milliseconds
@@ -39,7 +39,7 @@
     return path
 
 
-def write_sharing_file(folder: Path, uses: Uses) -> Path:
+def write_sharing_file(folder: Path, uses: SharingFeatures) -> Path:
     """What nodes share, one file for all of them."""
     path = folder / "sharing.toml"
     path.write_text("".join(f"{name} = {str(on).lower()}\n" for name, on in uses._asdict().items()))
--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -9,7 +9,7 @@
 
 from caperdeck.distribution.publisher_selection import preferred
 from caperdeck.lifecycle.merge import STAND_IN
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 
 from .measured import WITHIN, CutLook, RefusalLook, Step
 from .plan import NORTH, SOUTH, refusing_names
@@ -106,7 +106,7 @@
         await look_in_cut(run, rest, cut_off)
     await run.change("region cut", names=rest)
     await sleep_until(began + CUT)
-    healed, newest = steady(), run.measured.steps[-1].published
+    healed, newest = boottime_ms(), run.measured.steps[-1].published
     run.tell(f"healed after {time.monotonic() - began:.1f} s")
     await run.relay.cut(False)
     run.measured.steps.append(Step("region healed", newest, cut_off, healed))
--- a/caperdeck/lab/propagation/instances.py
+++ b/caperdeck/lab/propagation/instances.py
@@ -18,9 +18,9 @@
 from caperdeck.distribution.document import Document
 from caperdeck.lab.ports import Ports
 from caperdeck.lab.rig_process import ROOT, VoidError
-from caperdeck.owner.commands import ask
-from caperdeck.owner.config import Owners, load_owners
-from caperdeck.owner.process import steady
+from caperdeck.owner.commands import call_instance
+from caperdeck.owner.config import OwnerEndpoints, load_owners
+from caperdeck.owner.process import boottime_ms
 from caperdeck.state.addresses import Address, parse_address
 
 from .plan import CLUSTER, NORTH, SOUTH, instance_places
@@ -55,7 +55,7 @@
         self.folder, self.ports = folder, Ports()
         self.addresses = [f"127.0.0.1:{self.ports.take(PORT_KIND)}" for _ in range(count)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.owners: dict[str, Owners] = {}  # what operators know, by their region
+        self.owners: dict[str, OwnerEndpoints] = {}  # what operators know, by their region
 
     def write_files(self, across: dict[str, str]) -> None:
         """`across`: by name, where whoever is in the other region reaches an instance, if elsewhere."""
@@ -117,8 +117,8 @@
 
     async def leader(self) -> int:
         """The number of the one that leads and has a quorum. Raises VoidError where none does in time."""
-        until = steady() + LEADS_WITHIN * 1000.0
-        while steady() < until:
+        until = boottime_ms() + LEADS_WITHIN * 1000.0
+        while boottime_ms() < until:
             for i in range(len(self.places)):
                 said = await self._ask(i, {"do": "versions"})
                 known = await self._ask(i, {"do": "status"}) if said else None
@@ -130,13 +130,13 @@
     async def _ask(self, i: int, body: dict[str, Any]) -> Any:
         if self.processes[i].returncode is not None:
             return None
-        return await asyncio.to_thread(ask, parse_address(self.addresses[i]), CLUSTER, body)
+        return await asyncio.to_thread(call_instance, parse_address(self.addresses[i]), CLUSTER, body)
 
     async def lead_from(self, i: int) -> None:
         """That instance leads from now on. Raises VoidError."""
-        until = steady() + LEADS_WITHIN * 1000.0
+        until = boottime_ms() + LEADS_WITHIN * 1000.0
         while (leader := await self.leader()) != i:
-            if steady() > until:
+            if boottime_ms() > until:
                 raise VoidError(f"o{i} did not come to lead within {LEADS_WITHIN:g} s")
             await self._ask(leader, {"do": "transfer", "number": i})
             await asyncio.sleep(LOOK)
@@ -155,10 +155,10 @@
 
         def timed(address: Address, cluster: str, body: Any) -> Any:
             if body["do"] == "publish":
-                times.append(steady())
-            answer = ask(address, cluster, body)
+                times.append(boottime_ms())
+            answer = call_instance(address, cluster, body)
             if body["do"] == "publish" and isinstance(answer, dict) and answer.get("ok") is True:
-                times.append(steady())
+                times.append(boottime_ms())
                 revisions.append(answer["revision"])
             return answer
 
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -29,7 +29,7 @@
 from caperdeck.lifecycle.merge import STAND_IN
 from caperdeck.lifecycle.published import Published
 from caperdeck.lifecycle.reactor import install_reactor
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 from caperdeck.state.addresses import parse_address
 
 from .plan import CLUSTER, NORTH, SOUTH, InForce, NodePlan, Plan, Refused, Report
@@ -55,7 +55,7 @@
 class ControlledNode(Published):
     """Stands for the service too: takes a configuration by keeping it."""
 
-    clock = staticmethod(steady)
+    clock = staticmethod(boottime_ms)
 
     def __init__(self, control: Control, disk: DiskThread, put: list[InForce], refuses: bool) -> None:
         own = STAND_IN | {"name": control.place.name}
@@ -77,7 +77,7 @@
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
         super().put_in_force(held, prepared)
-        self.put.append(InForce(self.name, held.revision, steady()))
+        self.put.append(InForce(self.name, held.revision, boottime_ms()))
 
 
 def instances_of(plan: Plan, region: str) -> dict[str, Instance]:
@@ -105,7 +105,7 @@
     def _node(self, node: NodePlan) -> ControlledNode:
         control = Control(CLUSTER, node.place, node.folder, self.instances[node.place.region])
         made = ControlledNode(control, self.disk, self.put, node.refuses)
-        self.begun.append(InForce(node.place.name, made.held.revision, steady()))
+        self.begun.append(InForce(node.place.name, made.held.revision, boottime_ms()))
         return made
 
     def start(self) -> None:
--- a/caperdeck/lab/propagation/run.py
+++ b/caperdeck/lab/propagation/run.py
@@ -20,7 +20,7 @@
 from caperdeck.lab.scale.heartbeat import BEAT, Beats
 from caperdeck.lab.scale.measure import MB
 from caperdeck.lab.scale.processes import ChildProcess
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 
 from .instances import Instances, Published
 from .measured import WITHIN, InstanceCost, Measured, NodeCost, StatusLook, Step
@@ -294,16 +294,16 @@
 
         `had_it`: nodes that have the newest version, and had time to tell so.
         """
-        asked, owners = steady(), self.instances.owners[region]
-        known = await asyncio.to_thread(commands.read_statuses, owners, commands.ask)
+        asked, owners = boottime_ms(), self.instances.owners[region]
+        known = await asyncio.to_thread(commands.read_statuses, owners, commands.call_instance)
         heard = [status for status in known.values() if status is not None]
         if not heard:
             return None
         names = self.measured.names
-        said = await asyncio.to_thread(commands.read_summary, owners, heard, names, commands.ask)
+        said = await asyncio.to_thread(commands.read_summary, owners, heard, names, commands.call_instance)
         refused = [Refused(name, *refusal) for name, refusal in said.refused]
         look = StatusLook(
-            asked, steady(), said.confirmed, said.revision, list(said.in_force), had_it or [],
+            asked, boottime_ms(), said.confirmed, said.revision, list(said.in_force), had_it or [],
             list(said.stale), list(said.not_heard), refused,
         )  # fmt: skip
         self.measured.looks.append(look)
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from caperdeck.core.quotas import Rights
-from caperdeck.gossip.quota_transfers import LOAN, Loans
+from caperdeck.gossip.quota_transfers import LOAN_MS, QuotaTransfers
 
 from .exploration import BrokenError
 
-SAVED = LOAN  # milliseconds; in so long a node mints one right, and it saves one
+SAVED = LOAN_MS  # milliseconds; in so long a node mints one right, and it saves one
 NODES = 3
 
 
@@ -26,14 +26,14 @@
 
     def __init__(self, me: int, now: float, life: int = 1) -> None:
         self.me, self.life, self.awake = me, life, True
-        self.rights, self.loans = Rights(), Loans(life * 100)
+        self.rights, self.loans = Rights(), QuotaTransfers(life * 100)
         self.rights.grow(now, 0)
         self.own, self.lent = (), ()
 
     def clone(self) -> NodeModel:
         c = object.__new__(type(self))
         c.me, c.life, c.awake, c.own, c.lent = self.me, self.life, self.awake, self.own, self.lent
-        c.rights, c.loans = Rights(), Loans(self.loans.nonce)
+        c.rights, c.loans = Rights(), QuotaTransfers(self.loans.nonce)
         for name in ("saved", "at", "loan", "until", "idle_until"):
             setattr(c.rights, name, list(getattr(self.rights, name)))
         c.loans.asked, c.loans.answered = dict(self.loans.asked), dict(self.loans.answered)
@@ -171,5 +171,5 @@
                 raise BrokenError(f"a right of node {owner} is spent twice")
             self.spent |= {(owner, minted)}
             age = self.time - minted / self.rates[owner]
-            if age > (SAVED + LOAN) / min(self.rates) + 1e-9:
+            if age > (SAVED + LOAN_MS) / min(self.rates) + 1e-9:
                 raise BrokenError(f"a right of node {owner} is spent after {age} ms")
--- a/caperdeck/lab/scale/instances.py
+++ b/caperdeck/lab/scale/instances.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from caperdeck.lab.history import Event
-from caperdeck.owner.config import MOST_NODES, WORKS
+from caperdeck.owner.config import MAX_NODES, WORKS
 
 
 def told_nodes(addresses: dict[str, str]) -> dict[str, str]:
     """The second addresses that an instance is told of: as many as its configuration takes."""
-    return dict(list(addresses.items())[:MOST_NODES])
+    return dict(list(addresses.items())[:MAX_NODES])
 
 
 class Agreement:
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -14,7 +14,7 @@
 from caperdeck.lab.owned_work import CHECKS
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import dump
-from caperdeck.owner.config import MOST_NODES
+from caperdeck.owner.config import MAX_NODES
 
 from .heartbeat import BEAT, Beats, Late
 from .measure import MB, Meter, cores_used, machine_cores, node_cost
@@ -39,7 +39,7 @@
     def __init__(self, scenario: ScaleScenario, progress: Progress, logs: str | None = None) -> None:
         self.scenario, self.progress, self.logs = scenario, progress, logs
         s = scenario
-        self.measured = Measured(s.members, s.hollow_nodes, s.real.nodes, s.instances, MOST_NODES)
+        self.measured = Measured(s.members, s.hollow_nodes, s.real.nodes, s.instances, MAX_NODES)
         self.lists: Lists | None = None
         self.racks: list[Rack] = []
         self.lives: list[int] = [0] * s.hollow.processes
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -9,7 +9,7 @@
 
 from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.sharing import MOST_PEERS
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
@@ -109,8 +109,8 @@
         processes, first = self.hollow.processes, self.real.nodes
         return [list(range(first + i, self.members, processes)) for i in range(processes)]
 
-    def uses(self) -> Uses:
-        return Uses(**dict.fromkeys(self.sharing, True))
+    def uses(self) -> SharingFeatures:
+        return SharingFeatures(**dict.fromkeys(self.sharing, True))
 
     def real_part(self) -> RealScenario:
         """What the rig plays with the real nodes, their clients and hosts."""
@@ -185,5 +185,5 @@
         if not math.isfinite(value) or not least <= value <= most:
             yield where, f"{value} is not from {least:g} to {most:g}"
     for use in s.sharing:
-        if use not in Uses._fields:
-            yield "sharing", f"no use {use!r}, known are {', '.join(Uses._fields)}"
+        if use not in SharingFeatures._fields:
+            yield "sharing", f"no use {use!r}, known are {', '.join(SharingFeatures._fields)}"
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -21,13 +21,13 @@
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.config import Config, decode_config
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
 from caperdeck.ops.admin_server import Caller, Front
-from caperdeck.owner.config import Owners
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
 
@@ -110,9 +110,12 @@
         self.base_uss = psutil.Process().memory_full_info().uss
         self.made_s = 0.0
         self.encode = msgspec.json.Encoder().encode
-        owners = Owners(plan.cluster, tuple(parse_address(a) for a in plan.instances))
+        owners = OwnerEndpoints(plan.cluster, tuple(parse_address(a) for a in plan.instances))
         # what `serve` is given by its flags, by keyword; another part of control is one more row
-        self.flags: dict[str, Any] = {"uses": Uses(**dict.fromkeys(plan.sharing, True)), "owners": owners}
+        self.flags: dict[str, Any] = {
+            "uses": SharingFeatures(**dict.fromkeys(plan.sharing, True)),
+            "owners": owners,
+        }
 
     def start(self) -> None:
         # Danger: the collector would walk all nodes made so far again and again while more are made.
--- a/caperdeck/lab/scenario.py
+++ b/caperdeck/lab/scenario.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import field
 
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
 MOST_NODES, MOST_HOSTS, MOST_SECONDS, MOST_RATE, MOST_FAULTS = 400, 200, 300.0, 5000.0, 200
@@ -135,8 +135,8 @@
     signals_in_series: bool = False  # SIGTERM comes again, with SIGHUP between
     fault: list[Fault] = field(default_factory=list)
 
-    def uses(self) -> Uses | None:
-        return None if self.sharing is None else Uses(**dict.fromkeys(self.sharing, True))
+    def uses(self) -> SharingFeatures | None:
+        return None if self.sharing is None else SharingFeatures(**dict.fromkeys(self.sharing, True))
 
     def node_names(self) -> list[str]:
         return [f"n{i}" for i in range(self.nodes)]
@@ -259,8 +259,8 @@
     if len(set(s.zones)) < len(s.zones):
         yield "zones", "a name twice"
     for use in s.sharing or ():
-        if use not in Uses._fields:
-            yield "sharing", f"no use {use!r}, known are {', '.join(Uses._fields)}"
+        if use not in SharingFeatures._fields:
+            yield "sharing", f"no use {use!r}, known are {', '.join(SharingFeatures._fields)}"
     names = {f.name for f in s.fault if f.name}
     for i, fault in enumerate(s.fault):
         for where, reason in _faulty_fault(s, fault, names):
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 
 from caperdeck.core.quotas import Rights
-from caperdeck.gossip.quota_transfers import LOAN
-from caperdeck.gossip.sharing import Sharing, Shown, Uses
+from caperdeck.gossip.quota_transfers import LOAN_MS
+from caperdeck.gossip.sharing import Sharing, LocalObservations, SharingFeatures
 
 from .events import Events
 
-ALL = Uses(*[True] * len(Uses._fields))
+ALL = SharingFeatures(*[True] * len(SharingFeatures._fields))
 RATE, SAVED = 1.0, 500.0  # rights that a node mints in a millisecond, and for how long it saves
 
 
@@ -35,8 +35,8 @@
     ill: bool = False
     full: list = field(default_factory=list)
 
-    def show(self, now: float) -> Shown:
-        return Shown([(0, self.dialled)], self.figures, self.words, self.ill, 20)
+    def show(self, now: float) -> LocalObservations:
+        return LocalObservations([(0, self.dialled)], self.figures, self.words, self.ill, 20)
 
     def wants(self, now: float) -> list[tuple[int, float]]:
         return [(0, SAVED * RATE)] if self.short else []
@@ -71,8 +71,8 @@
     """Members by number; `loss`, `double` as shares, `late` in milliseconds, `cut(a, b)` is one-way."""
 
     def __init__(
-        self, members: int, seed: int = 1, uses: Uses = ALL, loss: float = 0.0, double: float = 0.0,
-        late: tuple[float, float] = (0.2, 5.0), rates: list[float] | None = None,
+        self, members: int, seed: int = 1, uses: SharingFeatures = ALL, loss: float = 0.0,
+        double: float = 0.0, late: tuple[float, float] = (0.2, 5.0), rates: list[float] | None = None,
     ) -> None:  # fmt: skip
         super().__init__()
         self.random = random.Random(seed)
@@ -197,4 +197,4 @@
 def bound(net: Net, window: float) -> float:
     """docs/ledger-design.md: what all mint in the window and the spans of saving and lending before it."""
     slow, fast = min(net.rates), max(net.rates)
-    return net.members * RATE * fast * (window + (SAVED + LOAN) / slow)
+    return net.members * RATE * fast * (window + (SAVED + LOAN_MS) / slow)
--- a/caperdeck/lab/slopes/agreement.py
+++ b/caperdeck/lab/slopes/agreement.py
@@ -18,8 +18,8 @@
 from hdrh.histogram import HdrHistogram
 
 from caperdeck.lab.raft_simulation import World
-from caperdeck.leases.table import LARGEST_STATE, MOST_SPAN, MOST_WORKS, Table
-from caperdeck.owner.commands import LENGTH
+from caperdeck.leases.table import MAX_STATE_LENGTH, MAX_SPAN_MS, MAX_WORKS, LeaseTable
+from caperdeck.owner.commands import LENGTH_PREFIX
 from caperdeck.raft.codec import encode
 from caperdeck.raft.core import Save
 from caperdeck.raft.log import Members, Snapshot
@@ -97,7 +97,7 @@
         process = self.instances.processes[leader]
         self.client += 1
         with Caller(self.instances.addresses[leader]) as caller:
-            acquire = {"do": "acquire", "work": WORK, "holder": HOLDER, "span": MOST_SPAN}
+            acquire = {"do": "acquire", "work": WORK, "holder": HOLDER, "span": MAX_SPAN_MS}
             token = _stood(caller.call_all([self._propose(acquire, 1)], 1))[0]["token"]
             save = {"do": "save", "work": WORK, "token": token, "state": "x" * state}
             bodies = [self._propose(save, serial) for serial in range(2, entries + 2)]
@@ -148,7 +148,7 @@
         super().__init__(INSTANCES, SEED, loss=0.0, double=0.0, late=ON_THE_WAY)
 
     def send(self, a: int, b: int, message: Any) -> None:
-        self.sent[a] += LENGTH.size + len(encode(message, CLUSTER))
+        self.sent[a] += LENGTH_PREFIX.size + len(encode(message, CLUSTER))
         super().send(a, b, message)
 
 
@@ -191,10 +191,10 @@
 
 
 def _table(state: int) -> bytes:
-    table = Table()
-    for number in range(MOST_WORKS):
+    table = LeaseTable()
+    for number in range(MAX_WORKS):
         work = f"work-{number}"
-        given = table.apply({"do": "acquire", "work": work, "holder": HOLDER, "span": MOST_SPAN})
+        given = table.apply({"do": "acquire", "work": work, "holder": HOLDER, "span": MAX_SPAN_MS})
         save = {"do": "save", "work": work, "token": given["token"], "state": "x" * state}
         table.apply(save)
     return Sessions(table).dump()
@@ -311,6 +311,6 @@
         "start_time", "time from an instance's start until it answers, from its file", "s",
         "bytes of the table", points,
         f"one instance, median of {sizes.starts} starts, the file in the page cache; the interpreter's own "
-        f"start is in the fixed part, an election is not in it; {MOST_WORKS} works of at most "
-        f"{LARGEST_STATE} B each are the largest table that there can be",
+        f"start is in the fixed part, an election is not in it; {MAX_WORKS} works of at most "
+        f"{MAX_STATE_LENGTH} B each are the largest table that there can be",
     )  # fmt: skip
--- a/caperdeck/lab/slopes/instances.py
+++ b/caperdeck/lab/slopes/instances.py
@@ -14,7 +14,7 @@
 import tomli_w
 
 from caperdeck.lab.ports import Ports
-from caperdeck.owner.commands import LENGTH, ask
+from caperdeck.owner.commands import LENGTH_PREFIX, call_instance
 from caperdeck.raft.codec import frame, unwrap
 from caperdeck.raft.transport import CALL
 from caperdeck.state.addresses import Address
@@ -113,7 +113,7 @@
         }  # fmt: skip
 
     def status(self, number: int) -> dict[str, Any] | None:
-        return ask(self.addresses[number], self.cluster, {"do": "status"})
+        return call_instance(self.addresses[number], self.cluster, {"do": "status"})
 
     def count(self, number: int, event: str) -> int:
         """How often that has happened at an instance; raises InstanceError where it does not answer."""
@@ -172,11 +172,11 @@
 
     def send(self, number: int, body: dict[str, Any]) -> None:
         data = frame(CLUSTER, CALL, [number, body])
-        self.connection.sendall(LENGTH.pack(len(data)) + data)
+        self.connection.sendall(LENGTH_PREFIX.pack(len(data)) + data)
 
     def receive(self) -> tuple[int, Any]:
         """The number of a call and its answer; raises OSError where the connection has ended."""
-        length = LENGTH.unpack(self._exactly(LENGTH.size))[0]
+        length = LENGTH_PREFIX.unpack(self._exactly(LENGTH_PREFIX.size))[0]
         number, answer = unwrap(self._exactly(length), CLUSTER)[1]
         return number, answer
 
--- a/caperdeck/lab/slopes/publishing_instances.py
+++ b/caperdeck/lab/slopes/publishing_instances.py
@@ -12,8 +12,8 @@
 from caperdeck.distribution import commands
 from caperdeck.distribution.document import Document, canonical
 from caperdeck.lab.propagation.plan import CLUSTER
-from caperdeck.owner.commands import ask
-from caperdeck.owner.config import Owners
+from caperdeck.owner.commands import call_instance
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.state.addresses import Address
 
 from .errors import MeasuringError
@@ -41,7 +41,7 @@
     def __init__(self, folder: Path) -> None:
         folder.mkdir()
         self.folder, self.instances = folder, Instances(INSTANCES, folder, cluster=CLUSTER)
-        self.owners = Owners(CLUSTER, tuple(self.instances.addresses))
+        self.owners = OwnerEndpoints(CLUSTER, tuple(self.instances.addresses))
         self.changes = 0
 
     def __enter__(self) -> PublishingInstances:
@@ -65,7 +65,7 @@
         revisions: list[int] = []
 
         def noted(address: Address, cluster: str, body: Any) -> Any:
-            answer = ask(address, cluster, body)
+            answer = call_instance(address, cluster, body)
             if body["do"] == "publish" and isinstance(answer, dict) and answer.get("ok") is True:
                 revisions.append(answer["revision"])
             return answer
@@ -103,7 +103,7 @@
 
     def said(self) -> list[dict[str, Any]]:
         """The last words of the nodes that the watched instance has heard lately."""
-        answer = ask(self.address, CLUSTER, {"do": "distribution"})
+        answer = call_instance(self.address, CLUSTER, {"do": "distribution"})
         return answer["rows"] if isinstance(answer, dict) else []
 
     def wait_said(self, node: str, revision: int) -> None:
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -17,8 +17,8 @@
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.ops.admin_calls import Answer, Calls, Then, no, yes
 from caperdeck.ops.admin_server import Caller, Front
-from caperdeck.owner.token_recovery import Asking
-from caperdeck.owner.config import Owners
+from caperdeck.owner.token_recovery import TokenRecovery
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.state.addresses import Address, parse_address
 
 from .instances import CLUSTER, LOOPBACK
@@ -63,9 +63,9 @@
 class Node:
     """What a node does with an act, without the hosts and clients of a whole one."""
 
-    def __init__(self, number: int, nodes: int, owners: Owners) -> None:
+    def __init__(self, number: int, nodes: int, owners: OwnerEndpoints) -> None:
         self.target = Target(number + 1, nodes, lambda: HOSTS, list, lambda uid: False, lambda: 0)
-        self.asking = Asking(reactor, owners, self.target.fence.learned)
+        self.asking = TokenRecovery(reactor, owners, self.target.fence.learned)
 
     @property
     def reached(self) -> bool:
@@ -100,7 +100,7 @@
     def begin(self, count: str, instance: str, then: Then) -> None:
         for node in self.nodes:
             node.asking.stop()
-        owners = Owners(CLUSTER, (parse_address(instance),))
+        owners = OwnerEndpoints(CLUSTER, (parse_address(instance),))
         self.nodes = [Node(number, int(count), owners) for number in range(int(count))]
         for front in self.fronts:
             front.figures = Figures()
--- a/caperdeck/leases/census_state.py
+++ b/caperdeck/leases/census_state.py
@@ -21,14 +21,16 @@
 
 import orjson
 
-from .table import LARGEST_STATE
+from .table import MAX_STATE_LENGTH
 
-DIGEST = 5  # bytes of a name's digest; two names of one file that share theirs are refused with the file
-WHOLE = (1 << 32) - 1  # parts of the whole
-ROW = struct.Struct(f">{DIGEST}sII")  # digest, share wanted rounded down, share held rounded up
-HEADER = 128  # characters beside the rows, at the most
-BASE85 = 5 / 4  # characters a byte
-MOST_NODES = math.floor((LARGEST_STATE - HEADER) / (ROW.size * BASE85))
+DIGEST_BYTES = (
+    5  # bytes of a name's digest; two names of one file that share theirs are refused with the file
+)
+SHARE_UNITS = (1 << 32) - 1  # parts of the whole
+ROW = struct.Struct(f">{DIGEST_BYTES}sII")  # digest, share wanted rounded down, share held rounded up
+MAX_HEADER_LENGTH = 128  # characters beside the rows, at the most
+BASE85_EXPANSION = 5 / 4  # characters a byte
+MAX_NODES = math.floor((MAX_STATE_LENGTH - MAX_HEADER_LENGTH) / (ROW.size * BASE85_EXPANSION))
 
 
 class StateError(ValueError):
@@ -45,10 +47,10 @@
 
 
 def digest(name: str) -> bytes:
-    return hashlib.blake2b(name.encode(), digest_size=DIGEST).digest()
+    return hashlib.blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
 
 
-def alike(names: Iterable[str]) -> tuple[str, str] | None:
+def digest_collision(names: Iterable[str]) -> tuple[str, str] | None:
     """Two of the names that rows could not tell apart, if there are any."""
     seen: dict[bytes, str] = {}
     for name in names:
@@ -62,13 +64,15 @@
     text = orjson.dumps({
         "epoch": state.epoch, "want": dict(state.want), "living": state.living, "held": dict(state.held),
     }).decode()  # fmt: skip
-    return text if len(text) <= LARGEST_STATE else _encode_rows(state)
+    return text if len(text) <= MAX_STATE_LENGTH else _encode_rows(state)
 
 
 def _encode_rows(state: CensusState) -> str:
     rows = b"".join(
         # Danger: a share that is held must never be read back as less, nor a wanted one as more.
-        ROW.pack(digest(name), math.floor(state.want.get(name, 0.0) * WHOLE), math.ceil(held * WHOLE))
+        ROW.pack(
+            digest(name), math.floor(state.want.get(name, 0.0) * SHARE_UNITS), math.ceil(held * SHARE_UNITS)
+        )
         for name, held in state.held.items()
     )
     # Danger: an older reader takes what lacks names for a fleet at its floors; `want` of no object stops it.
@@ -124,5 +128,5 @@
     if len(rows) * ROW.size != len(data):
         raise StateError("a-row-twice")
     found = {name: rows[mark] for name in names if (mark := digest(name)) in rows}
-    want = {name: parts / WHOLE for name, (parts, _) in found.items() if parts}
-    return want, {name: parts / WHOLE for name, (_, parts) in found.items()}
+    want = {name: parts / SHARE_UNITS for name, (parts, _) in found.items() if parts}
+    return want, {name: parts / SHARE_UNITS for name, (_, parts) in found.items()}
--- a/caperdeck/leases/expiry.py
+++ b/caperdeck/leases/expiry.py
@@ -8,14 +8,14 @@
 
 from typing import Any
 
-from .table import Table
+from .table import LeaseTable
 
-DRIFT = 0.05
-RENEW_AT = 1 / 3  # of the span
-RETRY = 0.1  # of the span, while an answer does not come
+MAX_CLOCK_DRIFT = 0.05
+RENEW_AT_SHARE = 1 / 3  # of the span
+RETRY_SHARE = 0.1  # of the span, while an answer does not come
 
 
-class Holder:
+class LeaseHolder:
     """One would-be owner of one work. `ask` gives the command to propose, `answered` takes its answer."""
 
     def __init__(self, work: str, name: str, span: float) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def renew_at(self) -> float:
-        return self.until - self.span * (1 - DRIFT) * (1 - RENEW_AT)
+        return self.until - self.span * (1 - MAX_CLOCK_DRIFT) * (1 - RENEW_AT_SHARE)
 
     def ask(self, now: float) -> dict[str, Any] | None:
         """Acquires where nothing is held, renews in time; None where there is nothing to ask yet."""
@@ -61,15 +61,15 @@
                 return
             self.state = answer["state"]
         # Danger: counted from the answer, a grant long under way lasts past the time that others wait.
-        end = asked + answer["span"] * (1 - DRIFT)
+        end = asked + answer["span"] * (1 - MAX_CLOCK_DRIFT)
         if now < end:
             self.token, self.until, self.lost = answer["token"], max(end, self.until), ""
 
 
-class Warden:
+class LeaseExpiryMonitor:
     """At the leader: which leases nobody has renewed for long enough. Begins when leadership does."""
 
-    def __init__(self, table: Table, now: float) -> None:
+    def __init__(self, table: LeaseTable, now: float) -> None:
         self.table = table
         self.since: dict[str, tuple[int, int, float]] = {}  # by work: token, renewals, first seen so
         self.look(now)
@@ -84,6 +84,6 @@
             seen = self.since.get(work)
             if seen is None or seen[:2] != (row["token"], row["renewed"]):
                 self.since[work] = row["token"], row["renewed"], now
-            elif now - seen[2] >= row["span"] * (1 + DRIFT):
+            elif now - seen[2] >= row["span"] * (1 + MAX_CLOCK_DRIFT):
                 ended.append({"do": "expire", "work": work, "token": row["token"], "renewed": row["renewed"]})
         return ended
--- a/caperdeck/leases/fence.py
+++ b/caperdeck/leases/fence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .table import LONGEST_NAME, MOST_WORKS
+from .table import MAX_NAME_LENGTH, MAX_WORKS
 
 
 class Fence:
@@ -25,17 +25,17 @@
     def _check(self, work: str, token: int) -> str | None:
         if not isinstance(token, int) or isinstance(token, bool) or token <= 0:
             return "no-token"
-        if not isinstance(work, str) or not 0 < len(work) <= LONGEST_NAME:
+        if not isinstance(work, str) or not 0 < len(work) <= MAX_NAME_LENGTH:
             return "bad-name"
         if work not in self.highest:
             if not self.remembers:
                 # Danger: after a restart the first token seen, an old owner's, would count as the highest.
                 return "asks-first"
-            if len(self.highest) >= MOST_WORKS:
+            if len(self.highest) >= MAX_WORKS:
                 return "too-many-works"
         return "older-token" if token < self.highest.get(work, 0) else None
 
     def learned(self, work: str, token: int) -> None:
         """The instances' answer to a linearizable read: the token in force, or the last one given."""
-        if work in self.highest or len(self.highest) < MOST_WORKS:
+        if work in self.highest or len(self.highest) < MAX_WORKS:
             self.highest[work] = max(self.highest.get(work, 0), token)
--- a/caperdeck/leases/outlier_ejection.py
+++ b/caperdeck/leases/outlier_ejection.py
@@ -13,28 +13,28 @@
 
 import orjson
 
-from .rounds import Rounds
-from .runner import Act, Keep
-from .target import HOSTS, PART
-
-EVERY = 700.0  # a round
-HELD = 5000.0  # a node holds hosts out for so long from a word on
-FRESH = 2500.0  # what nodes said counts for so long
-OUTS_A_MINUTE = 4
-MINUTE = 60_000.0
-OUT, LONGEST = 10_000.0, 120_000.0  # the first time out, and the longest
-WELL_FOR = 60_000.0  # a host back for so long begins anew
-MOST_OUT = 8
-LONGEST_LIST = 150  # characters of the uids of a list in one act
-
-
-def short(uids: list[str]) -> list[str]:
+from .rounds import RoundScheduler
+from .runner import Action, SaveState
+from .target import HOSTS, MAX_EJECTED_SHARE
+
+ROUND_MS = 700.0  # a round
+EJECTION_LEASE_MS = 5000.0  # a node holds hosts out for so long from a word on
+REPORT_VALIDITY_MS = 2500.0  # what nodes said counts for so long
+MAX_EJECTIONS_PER_MINUTE = 4
+MINUTE_MS = 60_000.0
+FIRST_EJECTION_MS, MAX_EJECTION_MS = 10_000.0, 120_000.0  # the first time out, and the longest
+RESET_AFTER_MS = 60_000.0  # a host back for so long begins anew
+MAX_EJECTED = 8
+MAX_UID_CHARACTERS = 150  # characters of the uids of a list in one act
+
+
+def truncate_uids(uids: list[str]) -> list[str]:
     """As many of the first as one act has room for."""
-    sizes = accumulate(map(len, uids[:MOST_OUT]))
-    return [uid for uid, size in zip(uids, sizes, strict=False) if size <= LONGEST_LIST]
+    sizes = accumulate(map(len, uids[:MAX_EJECTED]))
+    return [uid for uid, size in zip(uids, sizes, strict=False) if size <= MAX_UID_CHARACTERS]
 
 
-class Turning:
+class OutlierEjection:
     name = HOSTS
 
     def __init__(self, nodes: list[str], seed: int) -> None:
@@ -51,7 +51,7 @@
         self.backs: dict[str, float] = dict.fromkeys(self.spans, now)
         self.recent: list[float] = [now] * told.get("recent", 0)
         self.ask: list[str] = []  # hosts that nodes are asked about
-        self.rounds = Rounds(self.nodes, EVERY, self.seed, now)
+        self.rounds = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
         self.dirty = False
 
     @property
@@ -64,19 +64,19 @@
             "out": {uid: max(round(until - now, 1), 0.0) for uid, until in self.out.items()},
         }).decode()  # fmt: skip
 
-    def turn(self, now: float) -> Keep | list[Act]:
+    def turn(self, now: float) -> SaveState | list[Action]:
         # Danger: a look at all nodes after each answer costs the square of their number.
         if self.rounds.worth_a_look(now) or min(self.out.values(), default=math.inf) <= now:
             self._decide(now)
-            heard = self.rounds.heard(now, FRESH).values()
-            self.ask = short(sorted({uid for reply in heard for uid in reply["ill"]}))
+            heard = self.rounds.heard(now, REPORT_VALIDITY_MS).values()
+            self.ask = truncate_uids(sorted({uid for reply in heard for uid in reply["ill"]}))
         if self.dirty:
-            return Keep(self.dump(now))
+            return SaveState(self.dump(now))
         acts = []
         for node in self.rounds.next(now):
-            body = {"number": self.number, "out": list(self.out), "ms": HELD, "ask": self.ask}
+            body = {"number": self.number, "out": list(self.out), "ms": EJECTION_LEASE_MS, "ask": self.ask}
             self.rounds.sent(now, node, body)
-            acts.append(Act(node, body))
+            acts.append(Action(node, body))
         return acts
 
     def kept(self, now: float) -> None:
@@ -90,28 +90,30 @@
         for uid in back:
             del self.out[uid]
             self.backs[uid] = now
-        for uid in [u for u, at in self.backs.items() if u not in self.out and now - at > WELL_FOR]:
+        for uid in [u for u, at in self.backs.items() if u not in self.out and now - at > RESET_AFTER_MS]:
             del self.backs[uid], self.spans[uid]
         gone = self._worst(now)
         if not back and gone is None:
             return
         if gone is not None:
-            span = self.spans.get(gone, OUT)
-            self.out[gone], self.spans[gone] = now + span, min(2 * span, LONGEST)
-            self.recent = [at for at in self.recent if now - at < MINUTE] + [now]
+            span = self.spans.get(gone, FIRST_EJECTION_MS)
+            self.out[gone], self.spans[gone] = now + span, min(2 * span, MAX_EJECTION_MS)
+            self.recent = [at for at in self.recent if now - at < MINUTE_MS] + [now]
         self.number, self.dirty = self.number + 1, True
         for node in self.nodes:
             self.rounds.soon(now, node)
 
     def _worst(self, now: float) -> str | None:
         """The host that most nodes see ill, if enough do and one more may go out."""
-        heard = self.rounds.heard(now, FRESH)
+        heard = self.rounds.heard(now, REPORT_VALIDITY_MS)
         # Danger: an owner cut off with a few nodes sees what they see; that is no word of the fleet.
         if 2 * len(heard) <= len(self.nodes):
             return None
-        if sum(now - at < MINUTE for at in self.recent) >= OUTS_A_MINUTE:
+        if sum(now - at < MINUTE_MS for at in self.recent) >= MAX_EJECTIONS_PER_MINUTE:
             return None
-        most = min(math.floor(PART * min(reply["hosts"] for reply in heard.values())), MOST_OUT)
+        most = min(
+            math.floor(MAX_EJECTED_SHARE * min(reply["hosts"] for reply in heard.values())), MAX_EJECTED
+        )
         if len(self.out) >= most:
             return None
         sound = [reply for reply in heard.values() if reply["sound"]]
@@ -119,7 +121,7 @@
         for reply in sound:
             for uid in reply["ill"]:
                 ill[uid] = ill.get(uid, 0) + 1
-        room = LONGEST_LIST - sum(len(uid) for uid in self.out)
+        room = MAX_UID_CHARACTERS - sum(len(uid) for uid in self.out)
         for uid, count in sorted(ill.items(), key=lambda row: (-row[1], row[0])):
             well = sum(uid in reply["well"] for reply in sound)
             if uid not in self.out and len(uid) <= room and count >= max(self.witnesses, well + 1):
--- a/caperdeck/leases/rounds.py
+++ b/caperdeck/leases/rounds.py
@@ -9,11 +9,11 @@
 
 from caperdeck.core.seeded_random import chance
 
-LOOKS = 16  # at all that was said, in as many answers as there are targets
-LOOK_EVERY = 100.0  # milliseconds; so often at least, where there are fewer answers
+REVIEWS_PER_ROUND = 16  # at all that was said, in as many answers as there are targets
+MAX_REVIEW_INTERVAL_MS = 100.0  # milliseconds; so often at least, where there are fewer answers
 
 
-class Rounds:
+class RoundScheduler:
     """`every` is a round's length, milliseconds; a target that gives no answer is asked again next round."""
 
     def __init__(self, targets: Iterable[str], every: float, seed: int, now: float) -> None:
@@ -72,7 +72,10 @@
 
     def worth_a_look(self, now: float) -> bool:
         """Whether enough was said since the last look at what all said, which this begins anew."""
-        few = self.answers < len(self.targets) // LOOKS and now - self.looked_at < LOOK_EVERY
+        few = (
+            self.answers < len(self.targets) // REVIEWS_PER_ROUND
+            and now - self.looked_at < MAX_REVIEW_INTERVAL_MS
+        )
         if not few:
             self.answers, self.looked_at = 0, now
         return not few
--- a/caperdeck/leases/runner.py
+++ b/caperdeck/leases/runner.py
@@ -13,32 +13,37 @@
 from caperdeck.core.seeded_random import chance
 
 from .census_state import StateError
-from .expiry import RETRY, Holder
+from .expiry import RETRY_SHARE, LeaseHolder
 
-LEASE, STATE = 0, 1  # a runner's two client sessions: one command of each is under way at a time
-ASK_AGAIN = (0.1, 0.3)  # of a span, while somebody else holds the work
-UNREADABLE = 4.0  # spans in which one that cannot read the last owner's state leaves the work to others
+LEASE_SESSION, STATE_SESSION = (
+    0,
+    1,
+)  # a runner's two client sessions: one command of each is under way at a time
+REQUEST_BACKOFF = (0.1, 0.3)  # of a span, while somebody else holds the work
+UNREADABLE_STATE_BACKOFF = (
+    4.0  # spans in which one that cannot read the last owner's state leaves the work to others
+)
 
 
-class Keep(NamedTuple):
+class SaveState(NamedTuple):
     """A work's state, to be committed before anything else is done."""
 
     state: str
 
 
-class Act(NamedTuple):
+class Action(NamedTuple):
     target: str
     body: dict[str, Any]
     token: int = 0
 
 
-class Propose(NamedTuple):
+class Proposal(NamedTuple):
     session: int
     serial: int
     command: dict[str, Any]
 
 
-class Note(NamedTuple):
+class RunnerEvent(NamedTuple):
     """Something that operators and histories are told."""
 
     what: str  # held, renewed, lost, refused
@@ -48,7 +53,7 @@
     body: Any = None
 
 
-class Work(Protocol):
+class OwnedWork(Protocol):
     """Steps that may be repeated; an act that got no answer may have been carried out, or be so later."""
 
     name: str
@@ -58,14 +63,14 @@
 
     def begin(self, now: float, state: str | None) -> None: ...
 
-    def turn(self, now: float) -> Keep | list[Act]: ...
+    def turn(self, now: float) -> SaveState | list[Action]: ...
 
     def kept(self, now: float) -> None: ...
 
     def answered(self, now: float, target: str, reply: Any) -> None: ...
 
 
-class Command:
+class PendingProposal:
     """A proposal under way, sent again under its own number until its answer is known."""
 
     __slots__ = ("serial", "command", "asked_at", "sent_at")
@@ -75,36 +80,36 @@
 
 
 class Runner:
-    def __init__(self, work: Work, name: str, span: float, seed: int) -> None:
-        self.work, self.holder, self.seed, self.draws = work, Holder(work.name, name, span), seed, 0
+    def __init__(self, work: OwnedWork, name: str, span: float, seed: int) -> None:
+        self.work, self.holder, self.seed, self.draws = work, LeaseHolder(work.name, name, span), seed, 0
         self.token = 0  # under which the work runs
-        self.pending: list[Command | None] = [None, None]
+        self.pending: list[PendingProposal | None] = [None, None]
         self.serials = [0, 0]
         self.ask_at = 0.0
         self.elsewhere = False  # as far as this instance knows, somebody else holds the work
         self.wish: dict[str, Any] | None = None  # to give the work back or hand it over
-        self.out: list[Propose | Act | Note] = []
+        self.out: list[Proposal | Action | RunnerEvent] = []
         self.refused: dict[str, int] = {}
 
     @property
     def due(self) -> float:
         """When to be called next, with nothing coming in."""
         span = self.holder.span
-        times = [c.sent_at + span * RETRY for c in self.pending if c is not None]
-        if self.pending[LEASE] is None:
+        times = [c.sent_at + span * RETRY_SHARE for c in self.pending if c is not None]
+        if self.pending[LEASE_SESSION] is None:
             times.append(self.holder.renew_at if self.token else self.ask_at)
         if self.token:
-            times += [self.holder.until, self.work.due if self.pending[STATE] is None else math.inf]
+            times += [self.holder.until, self.work.due if self.pending[STATE_SESSION] is None else math.inf]
         return min(times)
 
-    def tick(self, now: float) -> list[Propose | Act | Note]:
+    def tick(self, now: float) -> list[Proposal | Action | RunnerEvent]:
         self._mind_lease(now)
-        for session in (LEASE, STATE):
+        for session in (LEASE_SESSION, STATE_SESSION):
             command = self.pending[session]
-            if command is not None and now - command.sent_at >= self.holder.span * RETRY:
+            if command is not None and now - command.sent_at >= self.holder.span * RETRY_SHARE:
                 command.sent_at = now
-                self.out.append(Propose(session, command.serial, command.command))
-        if self.token and self.pending[STATE] is None:
+                self.out.append(Proposal(session, command.serial, command.command))
+        if self.token and self.pending[STATE_SESSION] is None:
             self._turn(now)
         out, self.out = self.out, []
         return out
@@ -117,10 +122,10 @@
             # Danger: a renewal still under way would give the lease back, and with it the state as of the
             # grant, which the work has long gone on from.
             self._lose("ended")
-        pending = self.pending[LEASE]
+        pending = self.pending[LEASE_SESSION]
         if pending is not None and now - pending.asked_at >= holder.span:
             # Danger: a grant counts from when it was first asked for; past a span its answer gives nothing.
-            pending = self.pending[LEASE] = None
+            pending = self.pending[LEASE_SESSION] = None
         if pending is not None or (not holder.token and now < self.ask_at):
             return
         if not holder.token and self.elsewhere:
@@ -133,12 +138,12 @@
             self._stop(command["do"])
             holder.token, self.ask_at = 0, now + holder.span
         if command is not None:
-            self._propose(now, LEASE, command)
+            self._propose(now, LEASE_SESSION, command)
 
     def _propose(self, now: float, session: int, command: dict[str, Any]) -> None:
         self.serials[session] += 1
-        self.pending[session] = Command(self.serials[session], command, now)
-        self.out.append(Propose(session, self.serials[session], command))
+        self.pending[session] = PendingProposal(self.serials[session], command, now)
+        self.out.append(Proposal(session, self.serials[session], command))
 
     def answer(self, now: float, session: int, serial: int, result: Any) -> None:
         """What became of a proposal; None is not known, and it is asked again in its time."""
@@ -146,7 +151,7 @@
         if command is None or command.serial != serial or result is None:
             return
         self.pending[session] = None
-        if session == LEASE:
+        if session == LEASE_SESSION:
             self._leased(now, command, result)
         elif "no" in result:
             # Danger: the state did not stand; acts that rest on it would be another owner's to make.
@@ -154,13 +159,13 @@
         elif self.token == command.command["token"]:
             self.work.kept(now)
 
-    def _leased(self, now: float, command: Command, result: dict[str, Any]) -> None:
+    def _leased(self, now: float, command: PendingProposal, result: dict[str, Any]) -> None:
         if command.command["do"] in ("acquire", "renew"):
             self.holder.answered(now, command.asked_at, result)
         if not self.holder.token:
             self._pause(now)
         elif command.command["do"] == "renew" and self.token == self.holder.token and "no" not in result:
-            self.out.append(Note("renewed", self.token))
+            self.out.append(RunnerEvent("renewed", self.token))
         if self.token != self.holder.token:
             self._stop(self.holder.lost or "granted-anew")
             if self.holder.may_act(now):
@@ -174,15 +179,15 @@
             # Danger: work begun without what the last owner kept would deal out anew what is held already.
             self._count_refused(f"state-{error}")
             self._lose(f"state-{error}")
-            self.ask_at = now + UNREADABLE * self.holder.span
+            self.ask_at = now + UNREADABLE_STATE_BACKOFF * self.holder.span
         else:
-            self.out.append(Note("held", self.token))
+            self.out.append(RunnerEvent("held", self.token))
 
     def _count_refused(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
     def _pause(self, now: float) -> None:
-        low, high = ASK_AGAIN
+        low, high = REQUEST_BACKOFF
         self.draws += 1
         wait = self.holder.span * (low + (high - low) * chance(self.seed, self.draws))
         self.ask_at = max(self.ask_at, now + wait)
@@ -190,9 +195,9 @@
     def _stop(self, reason: str) -> None:
         """Nothing more is done under the token; answers to what is under way are not taken."""
         if self.token:
-            self.out.append(Note("lost", self.token, reason=reason))
+            self.out.append(RunnerEvent("lost", self.token, reason=reason))
             # what an operator wished of this lease is no wish for a later one
-            self.token, self.pending[STATE], self.wish = 0, None, None
+            self.token, self.pending[STATE_SESSION], self.wish = 0, None, None
 
     def _lose(self, reason: str) -> None:
         self.holder.token, self.holder.lost = 0, reason
@@ -209,21 +214,21 @@
 
     def _turn(self, now: float) -> None:
         got = self.work.turn(now)
-        if isinstance(got, Keep):
+        if isinstance(got, SaveState):
             command = {"do": "save", "work": self.work.name, "token": self.token, "state": got.state}
-            self._propose(now, STATE, command)
+            self._propose(now, STATE_SESSION, command)
             return
         for act in got:
             self.out.append(act._replace(token=self.token))
 
-    def acted(self, now: float, act: Act, reply: Any) -> None:
+    def acted(self, now: float, act: Action, reply: Any) -> None:
         """The target's answer; None if none came, a dict with `no` if it was refused."""
         if act.token != self.token:
             return
         if isinstance(reply, dict) and "no" in reply:
             reason = str(reply["no"])
             self._count_refused(reason)
-            self.out.append(Note("refused", self.token, act.target, reason))
+            self.out.append(RunnerEvent("refused", self.token, act.target, reason))
             if reason == "older-token":
                 self._lose(reason)
                 return
--- a/caperdeck/leases/table.py
+++ b/caperdeck/leases/table.py
@@ -8,13 +8,13 @@
 
 from typing import Any
 
-MOST_WORKS = 64
-LONGEST_NAME = 64  # characters
-LARGEST_STATE = 64 << 10  # characters of what an owner keeps
-LEAST_SPAN, MOST_SPAN = 200.0, 600_000.0  # milliseconds of a lease
+MAX_WORKS = 64
+MAX_NAME_LENGTH = 64  # characters
+MAX_STATE_LENGTH = 64 << 10  # characters of what an owner keeps
+MIN_SPAN_MS, MAX_SPAN_MS = 200.0, 600_000.0  # milliseconds of a lease
 
 
-class Table:
+class LeaseTable:
     """Commands and answers are JSON objects; an answer has `ok`, or `no` with its reason."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         }.get(command.get("do"))  # fmt: skip
         if do is None:
             return {"no": "unknown-command"}
-        if not 0 < len(command["work"]) <= LONGEST_NAME:
+        if not 0 < len(command["work"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
         return do(command["work"], command)
 
@@ -49,13 +49,17 @@
 
     def _acquire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
         holder, span = c.get("holder"), c.get("span")
-        if not isinstance(holder, str) or not 0 < len(holder) <= LONGEST_NAME:
+        if not isinstance(holder, str) or not 0 < len(holder) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
-        if isinstance(span, bool) or not isinstance(span, int | float) or not LEAST_SPAN <= span <= MOST_SPAN:
+        if (
+            isinstance(span, bool)
+            or not isinstance(span, int | float)
+            or not MIN_SPAN_MS <= span <= MAX_SPAN_MS
+        ):
             return {"no": "bad-span"}
         row = self.works.get(work)
         if row is None:
-            if len(self.works) >= MOST_WORKS:
+            if len(self.works) >= MAX_WORKS:
                 return {"no": "too-many-works"}
             row = {"holder": None, "heir": None, "token": 0, "span": 0.0, "renewed": 0, "state": None}
             self.works[work] = row
@@ -91,7 +95,7 @@
         """Given back, for one other to take; open to all once that one has not come for a lease's span."""
         if (row := self._held(work, c)) is None:
             return {"no": "not-held"}
-        if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= LONGEST_NAME:
+        if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
         row.update(holder=None, heir=c["to"], renewed=row["renewed"] + 1)
         return {"ok": True}
@@ -117,7 +121,7 @@
         if (row := self._held(work, c)) is None:
             return {"no": "older-token"}
         state = c.get("state")
-        if not isinstance(state, str) or len(state) > LARGEST_STATE:
+        if not isinstance(state, str) or len(state) > MAX_STATE_LENGTH:
             return {"no": "bad-state"}
         row["state"] = state
         return {"ok": True}
--- a/caperdeck/leases/target.py
+++ b/caperdeck/leases/target.py
@@ -14,11 +14,11 @@
 from .fence import Fence
 
 HOSTS, CENSUS = "hosts", "census"
-PART = 0.25  # of the listed hosts that may be out by the fleet's word at once
-LONGEST_OUT = 30_000.0  # milliseconds that one act may take a host out for
-FLOOR = 0.5  # of an equal share, which a node holds with nothing told
-MOST_ILL = 16  # hosts named in an answer
-NEVER = (0, 0)
+MAX_EJECTED_SHARE = 0.25  # of the listed hosts that may be out by the fleet's word at once
+MAX_ACTION_MS = 30_000.0  # milliseconds that one act may take a host out for
+FLOOR_SHARE = 0.5  # of an equal share, which a node holds with nothing told
+MAX_REPORTED_HOSTS = 16  # hosts named in an answer
+NO_ACTION = (0, 0)
 
 
 class Target:
@@ -34,8 +34,8 @@
         self.life, self.nodes = life, nodes
         self.listed, self.ill, self.well, self.tries = listed, ill, well, tries
         self.out: dict[str, float] = {}  # by uid, until when
-        self.number = NEVER  # of the last act on hosts: token, its number
-        self.epoch, self.share, self.living = 0, FLOOR / nodes, 0
+        self.number = NO_ACTION  # of the last act on hosts: token, its number
+        self.epoch, self.share, self.living = 0, FLOOR_SHARE / nodes, 0
         self.refused: dict[str, int] = {}
         self.taken = 0
 
@@ -66,9 +66,9 @@
         number, uids, span = (token, body["number"]), list(dict.fromkeys(body["out"])), body["ms"]
         if not all(isinstance(x, str) for x in [*uids, *body["ask"]]) or not isinstance(number[1], int):
             return "bad-act"
-        if isinstance(span, bool) or not math.isfinite(span) or not 0 < span <= LONGEST_OUT:
+        if isinstance(span, bool) or not math.isfinite(span) or not 0 < span <= MAX_ACTION_MS:
             return "bad-span"
-        if len(uids) > math.floor(PART * len(self.listed())):
+        if len(uids) > math.floor(MAX_EJECTED_SHARE * len(self.listed())):
             return "too-many-hosts"
         if number < self.number and token == self.number[0]:
             # Danger: an act that was long under way would bring back what a later one decided otherwise.
@@ -79,8 +79,8 @@
             self.out = dict.fromkeys(uids, now + span)
             ill = self.ill()
             return {
-                "life": self.life, "sound": ill is not None, "ill": (ill or [])[:MOST_ILL],
-                "well": [uid for uid in body["ask"][:MOST_ILL] if self.well(uid)],
+                "life": self.life, "sound": ill is not None, "ill": (ill or [])[:MAX_REPORTED_HOSTS],
+                "well": [uid for uid in body["ask"][:MAX_REPORTED_HOSTS] if self.well(uid)],
                 "hosts": len(self.listed()),
             }  # fmt: skip
 
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -11,10 +11,10 @@
 
 from caperdeck.core.model import HostState
 from caperdeck.leases.target import Target
-from caperdeck.gossip.judgements import ILL_EVERYWHERE
+from caperdeck.gossip.judgements import FAILING_SHARE_LIMIT
 from caperdeck.ops.admin_calls import ID, Then, no, yes
-from caperdeck.owner.token_recovery import Asking
-from caperdeck.owner.config import OwnerError, Owners, load_owners
+from caperdeck.owner.token_recovery import TokenRecovery
+from caperdeck.owner.config import OwnerError, OwnerEndpoints, load_owners
 from caperdeck.state.timers import cancel
 from caperdeck.wire.session_handler import Desk
 
@@ -24,7 +24,7 @@
 BEHIND = 0.05  # seconds after a host's time that the node looks for it
 
 
-def load(path: str, config: Config) -> Owners:
+def load(path: str, config: Config) -> OwnerEndpoints:
     """Raises ConfigError."""
     if config.admin is None:
         raise ConfigError(f"owner {path}: the configuration names no admin_addr, by which owners act")
@@ -38,7 +38,7 @@
     longest = LONGEST_ACT
 
     def __init__(
-        self, reactor: Any, desk: Desk, owners: Owners, name: str, nodes: int,
+        self, reactor: Any, desk: Desk, owners: OwnerEndpoints, name: str, nodes: int,
         bans: Callable[[], Iterable[str]],
     ) -> None:  # fmt: skip
         self.name, self.reactor, self.desk, self.bans = name, reactor, desk, bans
@@ -46,7 +46,7 @@
         # Danger: by a clock that went back a new life could be taken for an old one, and be told its word.
         life = int.from_bytes(os.urandom(6), "big") + 1
         self.target = Target(life, max(nodes, 1), self._listed, self._ill, self._well, desk.figures.tries)
-        self.asking = Asking(reactor, owners, self.target.fence.learned)
+        self.asking = TokenRecovery(reactor, owners, self.target.fence.learned)
         self.timer: Any = None
         self.in_force: set[str] = set()  # uids that are out here by the fleet's word
 
@@ -119,7 +119,7 @@
         return self.desk.balancer.shares.words(self.desk.clock())
 
     def _ill(self) -> list[str] | None:
-        if self.desk.balancer.shares.ill_everywhere(ILL_EVERYWHERE):
+        if self.desk.balancer.shares.ill_everywhere(FAILING_SHARE_LIMIT):
             return None
         uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.well]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from caperdeck.gossip.shared_decisions import Marked
-from caperdeck.gossip.sharing import Sharing, Uses, life_from
+from caperdeck.gossip.shared_decisions import SharedIdDecisions
+from caperdeck.gossip.sharing import Sharing, SharingFeatures, life_from
 from caperdeck.state.addresses import Address, AddressError, parse_address
 from caperdeck.wire.session_handler import Desk
 from caperdeck.wire.peers import PeerPort
@@ -18,18 +18,20 @@
 MOST_PEERS = 4096
 
 
-def load_uses(path: str) -> Uses:
+def load_uses(path: str) -> SharingFeatures:
     """The operator's file: what is done with what is shared, each a yes or no. Raises ConfigError."""
     try:
         raw = read_toml(path)
     except TomlError as error:
         raise ConfigError(f"sharing {path}: {error}") from None
     for key, value in raw.items():
-        if key not in Uses._fields:
-            raise ConfigError(f"sharing {path}: unknown key {key}, known are {', '.join(Uses._fields)}")
+        if key not in SharingFeatures._fields:
+            raise ConfigError(
+                f"sharing {path}: unknown key {key}, known are {', '.join(SharingFeatures._fields)}"
+            )
         if not isinstance(value, bool):
             raise ConfigError(f"sharing {path}: {key} is neither true nor false: {value!r:.50}")
-    return Uses(**raw)
+    return SharingFeatures(**raw)
 
 
 class PeersError(ValueError):
@@ -55,7 +57,7 @@
 
 
 def make_port(
-    reactor: Any, desk: Desk, config: Any, uses: Uses,
+    reactor: Any, desk: Desk, config: Any, uses: SharingFeatures,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
     """The port, not open yet; None, and a line in the log, where the node has to go on alone."""
     raw = config.peers
@@ -71,7 +73,7 @@
         return None
     now, shares = desk.clock(), desk.balancer.shares
     sharing = Sharing(
-        Marked(shares, uses, desk.report), raw.me, len(addresses), life_from(now), config.settings.seed, now,
-        uses, raw.tiers,
+        SharedIdDecisions(shares, uses, desk.report), raw.me, len(addresses), life_from(now),
+        config.settings.seed, now, uses, raw.tiers,
     )  # fmt: skip
     return PeerPort(reactor, desk.clock, sharing, addresses, everyone, desk.age), own
--- a/caperdeck/owner/commands.py
+++ b/caperdeck/owner/commands.py
@@ -14,10 +14,10 @@
 
 from .config import OwnerConfig, OwnerError, load_instance
 
-WAIT = 2.0  # seconds
-LONG = 15.0  # for an answer that waits for a change
-PAUSE = 0.1
-LENGTH = struct.Struct("!I")
+TIMEOUT_S = 2.0  # seconds
+WATCH_TIMEOUT_S = 15.0  # for an answer that waits for a change
+WATCH_PAUSE_S = 0.1
+LENGTH_PREFIX = struct.Struct("!I")
 
 
 def main(arguments: dict[str, Any]) -> int:
@@ -28,7 +28,7 @@
             return status(config)
         if arguments["watch"]:
             return watch(config, arguments["WORK"])
-        body = call_of(arguments)
+        body = request_for(arguments)
     except OwnerError as error:
         print(f"caperdeck: {error}", file=sys.stderr)
         return 2
@@ -41,7 +41,7 @@
     else:
         numbers = list(config.instances)
     for number in numbers:
-        answer = ask(config.instances[number], config.cluster, body)
+        answer = call_instance(config.instances[number], config.cluster, body)
         if isinstance(answer, dict):
             print(" ".join(f"{key}={value}" for key, value in answer.items()))
             return 1 if "no" in answer else 0
@@ -49,7 +49,7 @@
     return 1
 
 
-def call_of(arguments: dict[str, Any]) -> dict[str, Any]:
+def request_for(arguments: dict[str, Any]) -> dict[str, Any]:
     """Raises OwnerError."""
     if arguments["release"]:
         return {"do": "release", "work": arguments["WORK"]}
@@ -72,7 +72,7 @@
     """All instances; 1 if no leader answered."""
     led = False
     for number, address in config.instances.items():
-        s = ask(address, config.cluster, {"do": "status"})
+        s = call_instance(address, config.cluster, {"do": "status"})
         if not isinstance(s, dict):
             print(f"o{number}  no answer")
             continue
@@ -95,40 +95,42 @@
     token, holder, silent = 0, "", 0
     while silent < len(config.instances):
         for address in config.instances.values():
-            said = ask(address, config.cluster, {"do": "watch", "work": work, "token": token}, LONG)
+            said = call_instance(
+                address, config.cluster, {"do": "watch", "work": work, "token": token}, WATCH_TIMEOUT_S
+            )
             silent = 0 if isinstance(said, dict) and "token" in said else silent + 1
             if silent or (said["token"], said["holder"]) == (token, holder) or said["token"] < token:
                 continue
             token, holder = said["token"], said["holder"]
             print(f"{work} holder={holder or '-'} token={token}", flush=True)
-        time.sleep(PAUSE)
+        time.sleep(WATCH_PAUSE_S)
     return 1
 
 
 def holder_of(config: OwnerConfig, work: str) -> int | None:
     for address in config.instances.values():
-        s = ask(address, config.cluster, {"do": "status"})
+        s = call_instance(address, config.cluster, {"do": "status"})
         if isinstance(s, dict) and work in s["holds"]:
             return s["me"]
     return None
 
 
-def ask(address: Address, cluster: str, body: dict[str, Any], wait: float = WAIT) -> Any:
+def call_instance(address: Address, cluster: str, body: dict[str, Any], wait: float = TIMEOUT_S) -> Any:
     """The answer; None if none came."""
     data = frame(cluster, CALL, [1, body])
     try:
-        with socket.create_connection(address, WAIT) as conn:
+        with socket.create_connection(address, TIMEOUT_S) as conn:
             conn.settimeout(wait)
-            conn.sendall(LENGTH.pack(len(data)) + data)
-            length = LENGTH.unpack(_exactly(conn, LENGTH.size))[0]
+            conn.sendall(LENGTH_PREFIX.pack(len(data)) + data)
+            length = LENGTH_PREFIX.unpack(_receive_exactly(conn, LENGTH_PREFIX.size))[0]
             if length > LONGEST:
                 return None
-            return unwrap(_exactly(conn, length), cluster)[1][1]
+            return unwrap(_receive_exactly(conn, length), cluster)[1][1]
     except (OSError, FrameError, LookupError, TypeError):
         return None
 
 
-def _exactly(conn: socket.socket, size: int) -> bytes:
+def _receive_exactly(conn: socket.socket, size: int) -> bytes:
     data = bytearray()
     while len(data) < size:
         part = conn.recv(min(size - len(data), 65536))
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -16,11 +16,11 @@
 from caperdeck.core.seeded_random import chance
 from caperdeck.distribution.server import Distribution
 from caperdeck.leases.census import Census
-from caperdeck.leases.expiry import Warden
-from caperdeck.leases.runner import Act, Note, Propose, Runner
-from caperdeck.leases.table import Table
+from caperdeck.leases.expiry import LeaseExpiryMonitor
+from caperdeck.leases.runner import Action, RunnerEvent, Proposal, Runner
+from caperdeck.leases.table import LeaseTable
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.leases.outlier_ejection import Turning
+from caperdeck.leases.outlier_ejection import OutlierEjection
 from caperdeck.lifecycle.logs import one_line
 from caperdeck.raft.core import Raft, Role, Save
 from caperdeck.raft.driver import Driver
@@ -30,18 +30,18 @@
 from caperdeck.raft.transport import Net, Then
 from caperdeck.state.timers import cancel
 
-from .replicated_state import Agreed, for_versions, is_for_leases
+from .replicated_state import ReplicatedState, wrap_versions_command, is_lease_command
 from .config import OwnerConfig
-from .node_links import NodeLinks, line_of
+from .node_links import NodeLinks, action_line
 
-WORKS = {HOSTS: Turning, CENSUS: Census}
-LEAST_WAIT = 2.0  # milliseconds between two turns with nothing coming in
-EXPIRE_AGAIN = 200.0
-LONGEST_WAIT = 250.0  # between two turns at the most
-SLEPT = 1250.0  # between two turns, the instance was asleep or starved
-WATCH = 10_000.0  # milliseconds that a watch waits at the most
-MOST_CALLS = 64  # that wait for the agreement
-LARGEST_COMMAND = 1 << 20  # bytes of a command for the leases; what an owner keeps is far below that
+WORKS = {HOSTS: OutlierEjection, CENSUS: Census}
+MIN_WAIT_MS = 2.0  # milliseconds between two turns with nothing coming in
+EXPIRE_RETRY_MS = 200.0
+MAX_WAIT_MS = 250.0  # between two turns at the most
+SUSPENDED_AFTER_MS = 1250.0  # between two turns, the instance was asleep or starved
+MAX_WATCH_MS = 10_000.0  # milliseconds that a watch waits at the most
+MAX_PENDING_CALLS = 64  # that wait for the agreement
+MAX_COMMAND_BYTES = 1 << 20  # bytes of a command for the leases; what an owner keeps is far below that
 
 
 class Instance:
@@ -55,21 +55,22 @@
         self.reactor, self.config, self.clock, self.ended = reactor, config, clock, ended
         self.storage = Storage(config.folder, config.cluster, config.me, Members(config.first))
         self.seed, self.draws = zlib.crc32(f"{config.cluster}/{config.me}".encode(), os.getpid()), 0
-        self.agreed = Agreed()
+        self.agreed = ReplicatedState()
         self.table = self.agreed.leases
         self.machine = Sessions(self.agreed)
         log, now = self.storage.log, clock()
         self.machine.load(log.snapshot.data)
-        raft = Raft(config.me, self.storage.term, self.storage.vote, log_copy(log), self.seed, now)
+        raft = Raft(config.me, self.storage.term, self.storage.vote, copy_log(log), self.seed, now)
         self.pool = ThreadPool(1, 1, "disk")
         self.driver = Driver(raft, self.machine, clock, self._write, self._send, self._became, self._applied)
         self.net = Net(
             reactor, config.cluster, config.me, config.instances, self._receive, self._call, self._chance,
         )  # fmt: skip
         self.distribution = Distribution(
-            self.driver, self.net, self.agreed.versions, f"o{config.me}", self._at_leader, for_versions,
+            self.driver, self.net, self.agreed.versions, f"o{config.me}", self._at_leader,
+            wrap_versions_command,
         )  # fmt: skip
-        self.warden: Warden | None = None
+        self.warden: LeaseExpiryMonitor | None = None
         self.expiring: dict[str, float] = {}
         self.nodes = NodeLinks(reactor, config.nodes)
         names = list(config.nodes)
@@ -130,7 +131,7 @@
         if self.closed:
             return
         now = self.clock()
-        if now - self.turn_at > SLEPT:
+        if now - self.turn_at > SUSPENDED_AFTER_MS:
             # leases and elections count by the clock, not by turns: nothing more is to be done about it
             logger.warning("owner away ms={:.0f}", now - self.turn_at)
         self.turn_at = now
@@ -144,8 +145,8 @@
             return
         now = self.clock()
         runners = (r.due for r in self.runners.values())
-        due = min([self.raft.due, now + LONGEST_WAIT, self.distribution.due, *runners])
-        self.timer = self.reactor.callLater(max(due - now, LEAST_WAIT) / 1000.0, self._turn)
+        due = min([self.raft.due, now + MAX_WAIT_MS, self.distribution.due, *runners])
+        self.timer = self.reactor.callLater(max(due - now, MIN_WAIT_MS) / 1000.0, self._turn)
 
     def _soon(self) -> None:
         if self.timer is not None and not self.closed:
@@ -156,7 +157,7 @@
             return
         for command in self.warden.look(now):
             if now >= self.expiring.get(command["work"], 0.0):
-                self.expiring[command["work"]] = now + EXPIRE_AGAIN
+                self.expiring[command["work"]] = now + EXPIRE_RETRY_MS
                 self.driver.propose(orjson.dumps(command), 0, 0, lambda _: None)
 
     def _run(self, work: str) -> None:
@@ -164,12 +165,12 @@
         runner.elsewhere = row is not None and not {row["holder"], row["heir"]} <= {None, runner.holder.name}
         for out in runner.tick(self.clock()):
             match out:
-                case Propose(session, serial, command):
+                case Proposal(session, serial, command):
                     told = partial(self._told, work, session, serial)
                     self._submit(command, self.clients[work] + session, serial, told)
-                case Act():
+                case Action():
                     self._act(work, out)
-                case Note():
+                case RunnerEvent():
                     self._note(work, out)
 
     def _told(self, work: str, session: int, serial: int, result: Any) -> None:
@@ -177,21 +178,21 @@
             self.runners[work].answer(self.clock(), session, serial, result)
             self._soon()
 
-    def _act(self, work: str, act: Act) -> None:
+    def _act(self, work: str, act: Action) -> None:
         runner = self.runners[work]
         # Danger: the process may have been stopped since the runner looked; and may be again just after this,
         # which only the target's check keeps out.
         if not runner.holder.may_act(self.clock()) or runner.holder.token != act.token:
             return
-        line = line_of(work, act.token, act.body)
+        line = action_line(work, act.token, act.body)
         self.nodes.act(act.target, line, lambda reply: self._acted(work, act, reply))
 
-    def _acted(self, work: str, act: Act, reply: Any) -> None:
+    def _acted(self, work: str, act: Action, reply: Any) -> None:
         if not self.closed:
             self.runners[work].acted(self.clock(), act, reply)
             self._soon()
 
-    def _note(self, work: str, note: Note) -> None:
+    def _note(self, work: str, note: RunnerEvent) -> None:
         values = {"work": work, "holder": f"o{self.config.me}", "token": note.token}
         if note.target:
             values["target"] = note.target
@@ -221,7 +222,7 @@
         if handler is None or self.closed:
             then({"no": "unknown-call"})
             return
-        if self.calling >= MOST_CALLS:
+        if self.calling >= MAX_PENDING_CALLS:
             then({"no": "too-many-calls"})
             return
         self.calling += 1
@@ -254,7 +255,7 @@
             raise ValueError
         data = orjson.dumps(body["command"])
         # Danger: an entry that fits into no frame would be sent to the others again for ever.
-        if len(data) > LARGEST_COMMAND or not is_for_leases(body["command"]):
+        if len(data) > MAX_COMMAND_BYTES or not is_lease_command(body["command"]):
             raise ValueError
         if self.raft.role is Role.LEADER:
             self.driver.propose(data, client, serial, then)
@@ -268,7 +269,7 @@
             raise ValueError
         if self._at_leader(body, then):
             self.driver.read(
-                lambda agreed: then(None if agreed is None else {"token": token_of(agreed.leases, work)})
+                lambda agreed: then(None if agreed is None else {"token": last_token(agreed.leases, work)})
             )
 
     def _on_status(self, body: dict[str, Any], then: Then) -> None:
@@ -294,7 +295,7 @@
         work, known = body["work"], body.get("token", 0)
         if not isinstance(work, str) or isinstance(known, bool) or not isinstance(known, int):
             raise ValueError
-        self.watching.append((work, known, self.clock() + WATCH, then))
+        self.watching.append((work, known, self.clock() + MAX_WATCH_MS, then))
         self._tell_watchers()
 
     def _tell_watchers(self) -> None:
@@ -368,7 +369,7 @@
         self.net.send(to, message)
 
     def _became(self, role: Role, term: int, leader: int | None) -> None:
-        self.warden = Warden(self.table, self.clock()) if role is Role.LEADER else None
+        self.warden = LeaseExpiryMonitor(self.table, self.clock()) if role is Role.LEADER else None
         self.expiring = {}
         if role in (Role.LEADER, Role.FOLLOWER):
             name = "-" if leader is None else f"o{leader}"
@@ -384,12 +385,12 @@
                        token=result["token"])  # fmt: skip
 
 
-def log_copy(log: Any) -> Any:
+def copy_log(log: Any) -> Any:
     """Raft's own; the storage's is what is on disk."""
     return type(log)(log.snapshot, log.entries)
 
 
-def token_of(table: Table, work: str) -> int:
+def last_token(table: LeaseTable, work: str) -> int:
     """The highest that was given for the work; the one that nobody has yet where none was."""
     row = table.row(work)
     return row["token"] if row is not None else 0
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -17,17 +17,19 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import OneConnection
 
-ANSWER = 1.0  # seconds from an act until its answer, a connection that has to come up first included
-LONGEST = 8192  # bytes of an answer
+ANSWER_TIMEOUT_S = (
+    1.0  # seconds from an act until its answer, a connection that has to come up first included
+)
+MAX_ANSWER_BYTES = 8192  # bytes of an answer
 
-Then = Callable[[Any], None]
+ReplyHandler = Callable[[Any], None]
 """Takes the answer's object, one with `no` where the act was refused, None where nobody knows."""
 
 
-class Waiting(NamedTuple):
+class PendingAction(NamedTuple):
     """An act without its answer yet."""
 
-    then: Then
+    then: ReplyHandler
     timer: Any
 
 
@@ -35,17 +37,17 @@
     """One connection to one node, from the first act until either side ends it; it is not opened again."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_ANSWER_BYTES
 
     def __init__(self, reactor: Any, address: Address) -> None:
         self.reactor = reactor
-        self.waiting: deque[Waiting] = deque()  # the oldest first
+        self.waiting: deque[PendingAction] = deque()  # the oldest first
         self.unsent: list[bytes] = []  # acts that wait for the connection to come up
         self.over = False
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER)
+        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
 
-    def act(self, line: bytes, then: Then) -> None:
-        self.waiting.append(Waiting(then, self.reactor.callLater(ANSWER, self._late)))
+    def act(self, line: bytes, then: ReplyHandler) -> None:
+        self.waiting.append(PendingAction(then, self.reactor.callLater(ANSWER_TIMEOUT_S, self._late)))
         if self.connected:
             self.transport.write(line)
         else:
@@ -65,7 +67,7 @@
             return
         waiting = self.waiting.popleft()
         cancel(waiting.timer)
-        waiting.then(read(line.strip()))
+        waiting.then(parse_answer(line.strip()))
 
     def lineLengthExceeded(self, line: bytes) -> None:
         self.close()
@@ -101,7 +103,7 @@
         self.reactor, self.addresses = reactor, addresses
         self.links: dict[str, NodeLink] = {}
 
-    def act(self, node: str, line: bytes, then: Then) -> None:
+    def act(self, node: str, line: bytes, then: ReplyHandler) -> None:
         link = self.links.get(node)
         if link is None or link.over:
             link = self.links[node] = NodeLink(self.reactor, self.addresses[node])
@@ -113,7 +115,7 @@
             self.links.pop(name).close()
 
 
-def read(line: bytes) -> Any:
+def parse_answer(line: bytes) -> Any:
     word, _, rest = line.partition(b" ")
     if word == b"NAK":
         return {"no": rest.decode("utf-8", "replace")}
@@ -124,5 +126,5 @@
     return answer if isinstance(answer, dict) else None
 
 
-def line_of(work: str, token: int, body: dict[str, Any]) -> bytes:
+def action_line(work: str, token: int, body: dict[str, Any]) -> bytes:
     return b"act %s %d %s\n" % (work.encode(), token, orjson.dumps(body))
--- a/caperdeck/owner/process.py
+++ b/caperdeck/owner/process.py
@@ -7,7 +7,7 @@
 import time
 
 
-def steady() -> float:
+def boottime_ms() -> float:
     """Milliseconds; never steps, and counts on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
@@ -41,7 +41,7 @@
         sink = start_logging(level)
         from loguru import logger
 
-        instance = Instance(reactor, config, steady, failed)
+        instance = Instance(reactor, config, boottime_ms, failed)
     except (OwnerError, StorageError) as error:
         print(f"caperdeck: {error}", file=sys.stderr)
         return 2
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -5,28 +5,28 @@
 from typing import Any
 
 from caperdeck.distribution.table import Versions
-from caperdeck.leases.table import Table
+from caperdeck.leases.table import LeaseTable
 
 VERSIONS = "versions"  # key of a command for the versions; the command is its value
 
 
-def for_versions(command: dict[str, Any]) -> dict[str, Any]:
+def wrap_versions_command(command: dict[str, Any]) -> dict[str, Any]:
     return {VERSIONS: command}
 
 
-def is_for_leases(command: Any) -> bool:
+def is_lease_command(command: Any) -> bool:
     return not isinstance(command, dict) or VERSIONS not in command
 
 
-class Agreed:
+class ReplicatedState:
     """Each command goes to one of the two tables, by its key, and never to the other."""
 
     def __init__(self) -> None:
-        self.leases = Table()
+        self.leases = LeaseTable()
         self.versions = Versions()
 
     def apply(self, command: Any) -> dict[str, Any]:
-        if is_for_leases(command):
+        if is_lease_command(command):
             return self.leases.apply(command)
         if len(command) != 1:
             return {"no": "two-tables"}
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -15,19 +15,21 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import OneConnection
 
-from .config import Owners
+from .config import OwnerEndpoints
 
-ANSWER = 1.0  # seconds
-AGAIN = (0.1, 0.4)  # seconds until the next instance is asked, drawn
+ANSWER_TIMEOUT_S = 1.0  # seconds
+RETRY_DELAY_S = (0.1, 0.4)  # seconds until the next instance is asked, drawn
 
 
-class Question(Int32StringReceiver):
+class TokenRequest(Int32StringReceiver):
     MAX_LENGTH = LONGEST
 
-    def __init__(self, reactor: Any, owners: Owners, address: Address, body: Any, then: Callable) -> None:
+    def __init__(
+        self, reactor: Any, owners: OwnerEndpoints, address: Address, body: Any, then: Callable
+    ) -> None:
         self.cluster, self.body, self.then = owners.cluster, body, then
-        self.timer = reactor.callLater(ANSWER, self.end, None)
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER)
+        self.timer = reactor.callLater(ANSWER_TIMEOUT_S, self.end, None)
+        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
 
     def connectionMade(self) -> None:
         self.sendString(frame(self.cluster, CALL, [1, self.body]))
@@ -53,10 +55,10 @@
             self.connector.disconnect()
 
 
-class Asking:
+class TokenRecovery:
     """Asks until it is told; `learned` takes work and token."""
 
-    def __init__(self, reactor: Any, owners: Owners, learned: Callable[[str, int], None]) -> None:
+    def __init__(self, reactor: Any, owners: OwnerEndpoints, learned: Callable[[str, int], None]) -> None:
         self.reactor, self.owners, self.learned = reactor, owners, learned
         self.seed, self.draws = os.getpid(), 0
         self.under_way: dict[str, Any] = {}  # by work: the question, or the wait for the next
@@ -71,7 +73,7 @@
         address = self.owners.instances[(self.seed + self.draws) % len(self.owners.instances)]
         body = {"do": "token", "work": work}
         self.under_way[work] = None
-        Question(self.reactor, self.owners, address, body, lambda answer: self._told(work, answer))
+        TokenRequest(self.reactor, self.owners, address, body, lambda answer: self._told(work, answer))
 
     def _told(self, work: str, answer: Any) -> None:
         token = answer.get("token") if isinstance(answer, dict) else None
@@ -79,7 +81,7 @@
             self.under_way.pop(work, None)
             self.learned(work, token)
         elif not self.stopped:
-            low, high = AGAIN
+            low, high = RETRY_DELAY_S
             wait = low + (high - low) * chance(self.seed, self.draws)
             self.under_way[work] = self.reactor.callLater(wait, self._ask, work)
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -24,9 +24,9 @@
 from caperdeck.distribution.subscriber import NOTHING, Apply, Leave, State, Subscriber
 from caperdeck.distribution.table import LARGEST_CHANGES
 from caperdeck.distribution.watch_server import MOST_WATCHES, OTHER_FILES
-from caperdeck.owner.commands import ask
+from caperdeck.owner.commands import call_instance
 from caperdeck.owner.config import load_owners
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 from caperdeck.raft.codec import frame
 
 ROOT = Path(__file__).parents[1]
@@ -54,7 +54,7 @@
         return subprocess.Popen(words, cwd=ROOT, stderr=subprocess.DEVNULL)
 
     def ask(self, i, do):
-        return ask(self.owners.instances[i], "t", {"do": do})
+        return call_instance(self.owners.instances[i], "t", {"do": do})
 
     def leader(self):
         """Known to lead; None while none is."""
@@ -111,7 +111,7 @@
 
     def __init__(self, reactor, instances, name, refuses=(), number=1, places=PLACES):
         self.reactor, self.instances, self.refuses = reactor, instances, refuses
-        self.subscriber = Subscriber(Place(name, "a", "north"), places, NOTHING, number, 7, steady())
+        self.subscriber = Subscriber(Place(name, "a", "north"), places, NOTHING, number, 7, boottime_ms())
         self.connection, self.first = None, None
         self.revisions, self.reasons = [], []
         self.told = []  # publisher and message
@@ -122,11 +122,11 @@
 
     @property
     def is_current(self):
-        return self.subscriber.state(steady()) is State.CURRENT
+        return self.subscriber.state(boottime_ms()) is State.CURRENT
 
     def pump(self):
-        if steady() >= self.subscriber.due:
-            self.do(self.subscriber.tick(steady()))
+        if boottime_ms() >= self.subscriber.due:
+            self.do(self.subscriber.tick(boottime_ms()))
 
     def do(self, actions):
         for action in actions:
@@ -144,10 +144,10 @@
 
     def put_in_force(self, version):
         if version.revision in self.refuses:
-            self.do(self.subscriber.refused(steady(), version.revision, "no such class"))
+            self.do(self.subscriber.refused(boottime_ms(), version.revision, "no such class"))
             return
         self.revisions.append(version.revision)
-        self.do(self.subscriber.applied(steady(), version.revision))
+        self.do(self.subscriber.applied(boottime_ms(), version.revision))
 
     def opened(self, connection):
         connection.send(self.first)
@@ -157,11 +157,11 @@
 
     def message(self, connection, message):
         self.told.append((self.subscriber.publisher, message))
-        self.do(self.subscriber.receive(steady(), self.subscriber.publisher, message))
+        self.do(self.subscriber.receive(boottime_ms(), self.subscriber.publisher, message))
 
     def lost(self, connection, reason):
         self.reasons.append(reason)
-        self.do(self.subscriber.lost(steady(), self.subscriber.publisher))
+        self.do(self.subscriber.lost(boottime_ms(), self.subscriber.publisher))
 
     def close(self):
         if self.connection is not None:
@@ -292,11 +292,11 @@
     before = newest(instances)["revision"]
     for command in ({"versions": {"do": "publish"}}, {"work": "x" * (2 << 20)}):
         body = {"do": "propose", "command": command, "client": 2, "serial": 1}
-        assert ask(address, "t", body) == {"no": "bad-call"}
+        assert call_instance(address, "t", body) == {"no": "bad-call"}
     changes = [[["a"], "x" * LARGEST_CHANGES]]
     body = {"do": "publish", "on": before, "digest": "", "changes": changes, "client": 4, "serial": 1}
     # no answer: nobody led at that moment
-    refusal = until(lambda: ask(address, "t", body), 9.0)
+    refusal = until(lambda: call_instance(address, "t", body), 9.0)
     assert refusal["refused"].startswith("changes: ")
     assert newest(instances)["revision"] == before
     fleet.publish({"step": "next"})
@@ -394,8 +394,8 @@
             fleet.until(lambda: node.revision == first + 1 and node.is_current)
             wire.sendall(encode(Acknowledge("raw", 1, 2, first, node.subscriber.held.digest, False), "t"))
             # as long as a confirmation counts
-            end = steady() + 2500.0
-            fleet.until(lambda: steady() > end)
+            end = boottime_ms() + 2500.0
+            fleet.until(lambda: boottime_ms() > end)
         finally:
             instances.processes[at].send_signal(signal.SIGCONT)
         told = read_message(wire)
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -17,8 +17,8 @@
 from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
 from caperdeck.distribution.table import LARGEST_CHANGES, Versions, propose
 from caperdeck.distribution.watch_server import MOST_UNSENT, TURNED_AWAY, Watches
-from caperdeck.owner.replicated_state import Agreed, for_versions
-from caperdeck.owner.config import Owners
+from caperdeck.owner.replicated_state import ReplicatedState, wrap_versions_command
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.raft.codec import LONGEST, frame
 from caperdeck.raft.codec import encode as encode_raft
 from caperdeck.raft.core import Append
@@ -40,26 +40,26 @@
 
 
 def test_a_command_reaches_the_table_of_its_key_alone():
-    agreed = Agreed()
+    agreed = ReplicatedState()
     command = propose(agreed.versions, 0, {"a": 1}, 1)
     assert agreed.apply(command) == {"no": "no-work-named"}
-    assert agreed.apply(for_versions(ACQUIRE)) == {"no": "do: unknown command"}
-    assert agreed.apply(for_versions(command) | ACQUIRE) == {"no": "two-tables"}
+    assert agreed.apply(wrap_versions_command(ACQUIRE)) == {"no": "do: unknown command"}
+    assert agreed.apply(wrap_versions_command(command) | ACQUIRE) == {"no": "two-tables"}
     assert agreed.apply([]) == {"no": "no-work-named"}
     assert (agreed.versions.newest.revision, agreed.leases.works) == (0, {})
-    assert agreed.apply(for_versions(command))["revision"] == 1 and agreed.leases.works == {}
+    assert agreed.apply(wrap_versions_command(command))["revision"] == 1 and agreed.leases.works == {}
     assert agreed.apply(ACQUIRE)["token"] == 1 and agreed.versions.newest.revision == 1
 
 
 def test_files_without_versions_load_and_files_with_them_come_back_whole():
-    old = Sessions(Agreed().leases)
+    old = Sessions(ReplicatedState().leases)
     old.apply(Entry(1, Kind.COMMAND, orjson.dumps(ACQUIRE), 7, 1))
-    new = Sessions(Agreed())
+    new = Sessions(ReplicatedState())
     new.load(old.dump())
     assert new.machine.leases.row("hosts")["token"] == 1 and new.machine.versions.newest.revision == 0
     assert new.dump() == old.dump()  # which an instance of before could load
     publish(new.machine.versions, {"a": 1})
-    copy = Sessions(Agreed())
+    copy = Sessions(ReplicatedState())
     copy.load(new.dump())
     assert copy.dump() == new.dump() and copy.machine.versions.document == {"a": 1}
     copy.load(old.dump())
@@ -67,7 +67,7 @@
 
 
 def test_the_largest_changes_fit_into_a_frame_between_instances_and_larger_ones_are_refused():
-    command = orjson.dumps(for_versions({"changes": "x" * LARGEST_CHANGES}))
+    command = orjson.dumps(wrap_versions_command({"changes": "x" * LARGEST_CHANGES}))
     append = Append(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
     assert len(encode_raft(append, "c" * 64)) < LONGEST
     versions, key = Versions(), "k" * 2000
@@ -264,7 +264,7 @@
 # ---- commands
 
 VERSION = {"discovery": CONFIG["discovery"], "settings": {"listeners": CONFIG["settings"]["listeners"]}}
-OWNERS = Owners("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
+OWNERS = OwnerEndpoints("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
 
 
 class Instances:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,11 +10,11 @@
 from caperdeck.lab import sharing_network
 from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
 from caperdeck.gossip import message_sections
-from caperdeck.gossip.counters import AGE, MOST, MOST_RISE, Count, Counts
-from caperdeck.gossip.judgements import SPAN, Judgement, Judgements, Kind
-from caperdeck.gossip.quota_transfers import Loans
-from caperdeck.gossip.message_sections import Notes
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.counters import EXPIRY_MS, MAX_COUNTERS, MAX_INCREASE, CounterValue, CounterStore
+from caperdeck.gossip.judgements import VALIDITY_MS, Judgement, Judgements, HostCondition
+from caperdeck.gossip.quota_transfers import QuotaTransfers
+from caperdeck.gossip.message_sections import MessageSections
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.peers import codec
 from caperdeck.peers.codec import DatagramError, Message
 
@@ -63,7 +63,7 @@
     (2, 499.0, 0.0, [(0, 4.0, 500.0)]), (2, 500.0, 4.0, []), (1, 100.0, 0.0, []),
 ])  # fmt: skip
 def test_an_answer_is_taken_once_from_whom_was_asked_and_in_time(member, now, late, taken):
-    loans, got = Loans(), []
+    loans, got = QuotaTransfers(), []
     number = loans.ask(0.0, 2)
     for _ in range(2):
         loans.take(now, member, number, [(0, 4.0)], lambda *grant: got.append(grant))
@@ -71,19 +71,19 @@
 
 
 def test_a_question_that_comes_twice_is_lent_to_once():
-    loans, r = Loans(), rights(saved=10.0)
+    loans, r = QuotaTransfers(), rights(saved=10.0)
     first, second = (loans.give(1, 7, 3, [(0, 4.0)], r.lend) for _ in range(2))
     assert first == [(0, 4.0)] and second == [] and r.saved[0] == 6.0
 
 
 # ---- counts
 
-counts = st.builds(Count, st.just(0), st.integers(0, 3), st.integers(1, 3), st.integers(0, 1000))
+counts = st.builds(CounterValue, st.just(0), st.integers(0, 3), st.integers(1, 3), st.integers(0, 1000))
 
 
 @given(st.lists(counts, max_size=12), st.randoms())
 def test_counts_come_to_the_same_in_any_order_and_any_number_of_times(rows, shuffle):
-    a, b = Counts(), Counts()
+    a, b = CounterStore(), CounterStore()
     for c in rows:
         a.merge(0.0, c)
     again = rows * 2
@@ -97,44 +97,49 @@
 
 
 def test_a_restart_is_counted_beside_the_life_before_and_no_life_twice():
-    c = Counts()
-    for count in (Count(0, 1, 5, 100), Count(0, 1, 6, 7), Count(0, 1, 5, 100), Count(0, 1, 6, 9)):
+    c = CounterStore()
+    for count in (
+        CounterValue(0, 1, 5, 100),
+        CounterValue(0, 1, 6, 7),
+        CounterValue(0, 1, 5, 100),
+        CounterValue(0, 1, 6, 9),
+    ):
         c.merge(0.0, count)
     assert c.total(0) == 109
 
 
 def test_what_was_left_out_for_its_age_does_not_come_back():
     """A datagram minutes late would count a life once more."""
-    c = Counts()
-    c.merge(0.0, Count(0, 1, 5, 100))
-    c.age(AGE + 1)
-    assert c.total(0) == 0 and c.merge(AGE + 2, Count(0, 1, 5, 100)) == "closed-life"
+    c = CounterStore()
+    c.merge(0.0, CounterValue(0, 1, 5, 100))
+    c.age(EXPIRY_MS + 1)
+    assert c.total(0) == 0 and c.merge(EXPIRY_MS + 2, CounterValue(0, 1, 5, 100)) == "closed-life"
     # Danger: a node that was idle for a while would never be counted again.
-    assert c.merge(AGE + 2, Count(0, 1, 5, 101)) is None and c.total(0) == 101
+    assert c.merge(EXPIRY_MS + 2, CounterValue(0, 1, 5, 101)) is None and c.total(0) == 101
 
 
 def test_counts_that_jump_or_are_too_many_are_dropped_with_a_reason():
-    c = Counts()
-    c.merge(0.0, Count(0, 1, 5, 1))
-    assert c.merge(0.0, Count(0, 1, 5, MOST_RISE + 2)) == "count-jumps"
-    for budget in range(MOST):
-        reason = c.merge(0.0, Count(budget + 1, 1, 5, 1))
-    assert reason == "too-many-counts" and len(c.kept) == MOST
+    c = CounterStore()
+    c.merge(0.0, CounterValue(0, 1, 5, 1))
+    assert c.merge(0.0, CounterValue(0, 1, 5, MAX_INCREASE + 2)) == "count-jumps"
+    for budget in range(MAX_COUNTERS):
+        reason = c.merge(0.0, CounterValue(budget + 1, 1, 5, 1))
+    assert reason == "too-many-counts" and len(c.kept) == MAX_COUNTERS
 
 
 def test_what_others_send_is_their_rate():
-    c = Counts()
+    c = CounterStore()
     for now in range(0, 5000, 1000):
         for member in (1, 2):
-            c.merge(float(now), Count(0, member, 5, now // 100 * member))
+            c.merge(float(now), CounterValue(0, member, 5, now // 100 * member))
     assert c.rate(5000.0, 0, besides=3) == (pytest.approx(0.03), 2)
     assert c.rate(5000.0, 0, besides=2) == (pytest.approx(0.01), 1)
 
 
 def test_each_node_passes_on_its_own_counts_and_those_of_others_in_turn():
-    c = Counts()
+    c = CounterStore()
     for member in range(1, 6):
-        c.merge(0.0, Count(0, member, 5, member))
+        c.merge(0.0, CounterValue(0, member, 5, member))
     told = [{row.member for row in c.rows(2, 1)} for _ in range(8)]
     assert all(1 in members for members in told) and set().union(*told) == {1, 2, 3, 4, 5}
 
@@ -150,18 +155,19 @@
     return j
 
 
-LOST = [(7, Kind.LOST, member, member) for member in (1, 2, 3)]
+LOST = [(7, HostCondition.LOST, member, member) for member in (1, 2, 3)]
 
 
 @pytest.mark.parametrize("words, lost", [
     (LOST, True),
     (LOST[:2], False),  # too few
     (LOST[:1] * 5, False),  # one node, however often
-    ([(7, Kind.LOST, member, 1) for member in (1, 2, 3)], False),  # one node says it of others
-    (LOST + [(7, Kind.WELL, member, member) for member in (4, 5, 6)], False),  # as many hear from it
-    (LOST + [(7, Kind.WELL, 4, 4)], True),
-    (LOST + [(7, Kind.WELL, 3, 3)], True),  # a second word of the same moment
-    ([(7, Kind.FULL, member, member) for member in (1, 2, 3)], False),
+    ([(7, HostCondition.LOST, member, 1) for member in (1, 2, 3)], False),  # one node says it of others
+    # as many see it healthy
+    (LOST + [(7, HostCondition.HEALTHY, member, member) for member in (4, 5, 6)], False),
+    (LOST + [(7, HostCondition.HEALTHY, 4, 4)], True),
+    (LOST + [(7, HostCondition.HEALTHY, 3, 3)], True),  # a second word of the same moment
+    ([(7, HostCondition.FULL, member, member) for member in (1, 2, 3)], False),
 ])  # fmt: skip
 def test_a_host_is_lost_when_enough_say_so_and_more_than_hear_from_it(words, lost):
     assert bool(judged(words).lost(1000.0, 20)) is lost
@@ -175,15 +181,15 @@
 
 
 def test_no_set_of_judgements_takes_out_more_than_a_part_of_the_hosts():
-    words = [(host, Kind.LOST, member, member) for host in range(6) for member in (1, 2, 3)]
+    words = [(host, HostCondition.LOST, member, member) for host in range(6) for member in (1, 2, 3)]
     assert judged(words).lost(1000.0, 20) == {} and len(judged(words).lost(1000.0, 24)) == 6
 
 
 def test_a_judgement_ends_by_itself_and_an_old_one_is_not_taken():
     j = judged(LOST)
-    assert j.lost(1000.0, 20) == {7: 1000.0 + SPAN} and j.lost(1001.0 + SPAN, 20) == {}
+    assert j.lost(1000.0, 20) == {7: 1000.0 + VALIDITY_MS} and j.lost(1001.0 + VALIDITY_MS, 20) == {}
     # Danger: dated by the time of arrival, a word minutes late would hold from then on.
-    assert j.take(60_000.0, Judgement(7, Kind.LOST, 1, 10.0), 1000.0, 1) == "old-judgement"
+    assert j.take(60_000.0, Judgement(7, HostCondition.LOST, 1, 10.0), 1000.0, 1) == "old-judgement"
 
 
 # ---- notes
@@ -193,7 +199,7 @@
 
 @given(st.lists(amounts, max_size=6), st.lists(amounts, max_size=6), st.lists(counts, max_size=3))
 def test_notes_come_back(wants, grants, kept):
-    n = Notes(counts=kept, wants=wants, grants=grants, ill_everywhere=True)
+    n = MessageSections(counts=kept, wants=wants, grants=grants, ill_everywhere=True)
     assert message_sections.decode(message_sections.encode(n, 200), 4) == n
 
 
@@ -207,18 +213,20 @@
 
 @pytest.mark.parametrize("amount", [float("nan"), float("inf"), -1.0])
 def test_an_amount_that_is_none_is_turned_down(amount):
-    data = bytes((message_sections.GRANT, 1)) + message_sections.ROWS[message_sections.GRANT].pack(0, amount)
+    data = bytes((message_sections.GRANT, 1)) + message_sections.ROW_FORMATS[message_sections.GRANT].pack(
+        0, amount
+    )
     with pytest.raises(DatagramError, match="bad-amount"):
         message_sections.decode(data, 4)
 
 
 @given(st.floats(0, 1e12))
 def test_a_loan_is_never_rounded_up_on_its_way(amount):
-    assert message_sections.as_sent(amount) <= amount
+    assert message_sections.round_down_to_wire(amount) <= amount
 
 
 def test_ages_are_rounded_up_and_the_rest_is_cut():
-    n = Notes(seen=[(h, 0.5, 17.0) for h in range(40)])
+    n = MessageSections(seen=[(h, 0.5, 17.0) for h in range(40)])
     data = message_sections.encode(n, codec.SECTION_BYTES)
     assert len(data) <= codec.SECTION_BYTES
     assert all(age == 32.0 for _, _, age in message_sections.decode(data, 4).seen)
@@ -226,7 +234,7 @@
 
 # ---- many copies
 
-ROOM = Uses(room=True)
+ROOM = SharingFeatures(room=True)
 
 
 @pytest.mark.parametrize("members, seed", [(3, 1), (3, 2), (8, 3), (40, 4), (40, 5), (200, 6)])
@@ -276,28 +284,28 @@
 
 
 def test_a_false_word_of_a_cut_off_node_takes_no_host_out():
-    net = Net(8, 1, Uses(lost=True))
+    net = Net(8, 1, SharingFeatures(lost=True))
     for i, stub in enumerate(net.stubs):
         stub.figures = []
-        stub.words = [(7, Kind.LOST if i == 0 else Kind.WELL, net.clock(i))]
+        stub.words = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
     for _ in range(60):
         for i, stub in enumerate(net.stubs):
-            stub.words = [(7, Kind.LOST if i == 0 else Kind.WELL, net.clock(i))]
+            stub.words = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
         net.run(500.0)
     assert not any(stub.lost for stub in net.stubs)
 
 
 def test_a_host_that_most_find_lost_is_told_to_the_others():
-    net = Net(8, 1, Uses(lost=True))
+    net = Net(8, 1, SharingFeatures(lost=True))
     for _ in range(120):
         for i, stub in enumerate(net.stubs[:6]):
-            stub.words = [(7, Kind.LOST, net.clock(i))]
+            stub.words = [(7, HostCondition.LOST, net.clock(i))]
         net.run(500.0)
     assert net.stubs[7].lost.get(7, 0) > 0
 
 
 def test_a_host_past_full_load_moves_others_once_two_have_seen_it_and_not_all_at_once():
-    net = Net(20, 1, Uses(full=True))
+    net = Net(20, 1, SharingFeatures(full=True))
     net.run(3000.0)
     net.stubs[0].figures = [(7, 1.3, net.clock(0))]
     net.run(2000.0)
@@ -312,19 +320,19 @@
 
 
 def test_looks_told_to_all_that_lay_there_through_a_sleep_are_old():
-    net = Net(4, 1, Uses(full=True))
+    net = Net(4, 1, SharingFeatures(full=True))
     net.run(2000.0)
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
         told = Message(codec.MessageKind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
-        sections = message_sections.encode(Notes(seen=[(7, 1.5, 0.0)]), 142)
+        sections = message_sections.encode(MessageSections(seen=[(7, 1.5, 0.0)]), 142)
         data = codec.encode(told._replace(sections=sections), node.fleet)
         node.datagram(now, data, sender, lay=5000.0)
     assert node.full == {} and node.crowded == {}
 
 
 def test_one_lying_node_moves_nobody():
-    net = Net(8, 1, Uses(full=True))
+    net = Net(8, 1, SharingFeatures(full=True))
     for _ in range(30):
         net.stubs[0].figures = [(h, 2.0, net.clock(0)) for h in range(6)]
         net.run(500.0)
--- a/tests/test_gossip_bound.py
+++ b/tests/test_gossip_bound.py
@@ -4,7 +4,7 @@
 
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.rights_model import NodeModel, RightsModel
-from caperdeck.gossip.quota_transfers import LOAN
+from caperdeck.gossip.quota_transfers import LOAN_MS
 
 
 class DividesByTheLiving(NodeModel):
@@ -23,7 +23,7 @@
     def clone(self):
         c = super().clone()
         c.loans.take = lambda now, member, number, grants, borrow: [
-            borrow(budget, amount, c.loans.asked[number][1] + LOAN) for budget, amount in grants
+            borrow(budget, amount, c.loans.asked[number][1] + LOAN_MS) for budget, amount in grants
         ]  # fmt: skip
         return c
 
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -31,7 +31,7 @@
 from caperdeck.lab.scale.table import lines
 from caperdeck.lab.scale.traffic import Traffic
 from caperdeck.lab.scenario import ScenarioError
-from caperdeck.owner.config import MOST_NODES, WORKS
+from caperdeck.owner.config import MAX_NODES, WORKS
 from caperdeck.peers.swim import MemberState, Swim
 
 ROOT = Path(__file__).parents[1]
@@ -181,12 +181,12 @@
 
 
 def test_an_instance_takes_all_nodes_of_the_target():
-    assert load(str(TARGET)).target_nodes <= MOST_NODES
+    assert load(str(TARGET)).target_nodes <= MAX_NODES
 
 
 def test_an_instance_is_told_as_many_nodes_as_its_configuration_takes():
-    addresses = {f"n{i}": f"127.0.0.1:{i}" for i in range(MOST_NODES + 1)}
-    assert len(told_nodes(addresses)) == MOST_NODES
+    addresses = {f"n{i}": f"127.0.0.1:{i}" for i in range(MAX_NODES + 1)}
+    assert len(told_nodes(addresses)) == MAX_NODES
 
 
 def test_the_cost_of_a_node_is_the_mean_between_two_samples_of_each_process():
@@ -242,7 +242,7 @@
 
 def measured(**changes):
     """A run in which everything held."""
-    m = Measured(40, 37, 3, 3, MOST_NODES, start_s=3.0, seconds=90.0, known_s=20.0, owner_first_s=0.1)
+    m = Measured(40, 37, 3, 3, MAX_NODES, start_s=3.0, seconds=90.0, known_s=20.0, owner_first_s=0.1)
     m.cost = Cost(NodeCost(20.0, 0.004, 2.0, 900.0, 2.0, 2.5), 28.0, 0.003, 92.0, {"hollow nodes": 0.2})
     m.faults = [
         Fault("instance", "o1", 50.0, 0, 0.5, 2.0), Fault("rack", "rack2", 55.0, 12, 20.0, 9.0),
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -8,9 +8,9 @@
 from caperdeck.lab.oracle import judge
 from caperdeck.lab.scenario import ScenarioError, decode
 from caperdeck.lab.virtual import VirtualFleet
-from caperdeck.gossip.sharing import Sharing, Uses
+from caperdeck.gossip.sharing import Sharing, SharingFeatures
 
-ALL = list(Uses._fields)
+ALL = list(SharingFeatures._fields)
 
 
 def sent_cold(made, seed):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,8 +5,8 @@
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.lease_model import LeaseModel
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.expiry import DRIFT, Holder, Warden
-from caperdeck.leases.table import MOST_WORKS, Table
+from caperdeck.leases.expiry import MAX_CLOCK_DRIFT, LeaseHolder, LeaseExpiryMonitor
+from caperdeck.leases.table import MAX_WORKS, LeaseTable
 
 SPAN = 1000.0
 
@@ -16,11 +16,11 @@
 
 
 def test_a_token_grows_with_every_grant_also_over_a_snapshot_and_for_other_works():
-    t = Table()
+    t = LeaseTable()
     tokens = [acquire(t)["token"], acquire(t, work="v")["token"]]
     t.apply({"do": "give", "work": "w", "token": tokens[0]})
     tokens.append(acquire(t, "b")["token"])
-    u = Table()
+    u = LeaseTable()
     u.load(t.dump())
     u.apply({"do": "give", "work": "w", "token": tokens[2]})
     tokens.append(acquire(u)["token"])
@@ -41,7 +41,7 @@
     ({"do": "fly"}, "unknown-command"),
 ])  # fmt: skip
 def test_what_is_not_taken_has_its_reason_and_changes_nothing(command, answer):
-    t = Table()
+    t = LeaseTable()
     acquire(t)
     before = repr(t.dump())
     assert t.apply({"work": "w"} | command)["no"] == answer and repr(t.dump()) == before
@@ -49,16 +49,16 @@
 
 @pytest.mark.parametrize("command", [None, [], {"do": "acquire"}, {"do": "acquire", "work": 5}])
 def test_a_command_without_a_work_is_none(command):
-    assert Table().apply(command) == {"no": "no-work-named"}
+    assert LeaseTable().apply(command) == {"no": "no-work-named"}
 
 
 def test_works_are_bounded():
-    t = Table()
-    assert [acquire(t, work=f"w{i}").get("no") for i in range(MOST_WORKS + 1)][-1] == "too-many-works"
+    t = LeaseTable()
+    assert [acquire(t, work=f"w{i}").get("no") for i in range(MAX_WORKS + 1)][-1] == "too-many-works"
 
 
 def test_what_an_owner_saved_is_what_the_next_one_goes_on_from():
-    t = Table()
+    t = LeaseTable()
     token = acquire(t)["token"]
     assert t.apply({"do": "save", "work": "w", "token": token, "state": "half"}) == {"ok": True}
     t.apply({"do": "give", "work": "w", "token": token})
@@ -66,34 +66,37 @@
 
 
 def test_work_that_is_handed_over_is_kept_for_its_heir_until_that_one_does_not_come():
-    t = Table()
-    warden = Warden(t, 0.0)
+    t = LeaseTable()
+    warden = LeaseExpiryMonitor(t, 0.0)
     t.apply({"do": "hand", "work": "w", "token": acquire(t)["token"], "to": "b"})
     warden.look(0.0)
     assert acquire(t, "c") == {"no": "held", "holder": "b"}
-    for command in warden.look(SPAN * (1 + DRIFT)):
+    for command in warden.look(SPAN * (1 + MAX_CLOCK_DRIFT)):
         t.apply(command)
     assert acquire(t, "c")["ok"]
 
 
 def test_a_lease_counts_from_before_it_was_asked_for_and_ends_before_others_may_have_it():
-    h, t = Holder("w", "a", SPAN), Table()
+    h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     answer = t.apply(h.ask(0.0))
-    warden = Warden(t, 1.0)
+    warden = LeaseExpiryMonitor(t, 1.0)
     h.answered(400.0, 0.0, answer)
-    assert h.may_act(SPAN * (1 - DRIFT) - 1) and not h.may_act(SPAN * (1 - DRIFT))
-    assert warden.look(SPAN * (1 + DRIFT)) == [] and warden.look(SPAN * (1 + DRIFT) + 1) != []
+    assert h.may_act(SPAN * (1 - MAX_CLOCK_DRIFT) - 1) and not h.may_act(SPAN * (1 - MAX_CLOCK_DRIFT))
+    assert (
+        warden.look(SPAN * (1 + MAX_CLOCK_DRIFT)) == []
+        and warden.look(SPAN * (1 + MAX_CLOCK_DRIFT) + 1) != []
+    )
 
 
 def test_an_answer_that_comes_past_the_end_gives_nothing():
-    h, t = Holder("w", "a", SPAN), Table()
+    h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.answered(SPAN, 0.0, t.apply(h.ask(0.0)))
     assert not h.may_act(SPAN) and h.token == 0
 
 
 def test_a_holder_that_slept_past_the_end_does_not_renew():
     """Renewed in time by the table's count, it would go on with a lease that another may have had between."""
-    h, t = Holder("w", "a", SPAN), Table()
+    h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.answered(0.0, 0.0, t.apply(h.ask(0.0)))
     assert h.ask(100.0) is None and h.ask(400.0)["do"] == "renew"
     assert h.ask(5000.0)["do"] == "acquire" and h.lost == "ended"
@@ -101,7 +104,7 @@
 
 def test_a_renewal_that_is_answered_past_the_end_gives_nothing_back():
     """On the rig it gave the census back to its owner without its state, and shares passed the whole."""
-    h, t = Holder("w", "a", SPAN), Table()
+    h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.answered(0.0, 0.0, t.apply(h.ask(0.0)))
     t.apply({"do": "save", "work": "w", "token": 1, "state": "far"})
     answer = t.apply(h.ask(900.0))
@@ -114,7 +117,7 @@
 
 def test_an_operator_ends_a_lease_that_goes_on_being_renewed():
     """By the count of renewals that was read before, each renewal under way would save it."""
-    t = Table()
+    t = LeaseTable()
     acquire(t)
     t.apply({"do": "renew", "work": "w", "token": 1})
     assert t.apply({"do": "release", "work": "w", "token": 0}) == {"no": "not-held"}
@@ -124,9 +127,9 @@
 
 
 def test_a_new_leader_waits_a_whole_span_before_it_ends_a_lease():
-    t = Table()
+    t = LeaseTable()
     acquire(t)
-    warden = Warden(t, 50_000.0)
+    warden = LeaseExpiryMonitor(t, 50_000.0)
     assert warden.look(50_000.0 + SPAN) == []
     t.apply({"do": "renew", "work": "w", "token": 1})
     assert warden.look(50_000.0 + 2 * SPAN) == []  # renewed since
@@ -150,7 +153,7 @@
 # ---- every order of steps
 
 
-class CountsFromTheAnswer(Holder):
+class CountsFromTheAnswer(LeaseHolder):
     def answered(self, now, asked, answer):
         super().answered(now, now, answer)
 
@@ -165,7 +168,7 @@
         return "older-token" if token < self.highest.get(work, 0) else None
 
 
-class ReusesTokens(Table):
+class ReusesTokens(LeaseTable):
     def load(self, state):
         super().load(state)
         self.token = 0
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -8,12 +8,27 @@
 from caperdeck.lab.census_model import walk
 from caperdeck.lab.exploration import BrokenError
 from caperdeck.leases.census import Census
-from caperdeck.leases.census_state import MOST_NODES, CensusState, StateError, _encode_rows, decode, encode
-from caperdeck.leases.runner import LEASE, STATE, Act, Keep, Note, Propose, Runner
-from caperdeck.leases.rounds import LOOKS, Rounds
-from caperdeck.leases.table import LARGEST_STATE, Table
-from caperdeck.leases.target import CENSUS, FLOOR, HOSTS, PART, Target
-from caperdeck.leases.outlier_ejection import FRESH, HELD, MINUTE, OUT, OUTS_A_MINUTE, Turning
+from caperdeck.leases.census_state import MAX_NODES, CensusState, StateError, _encode_rows, decode, encode
+from caperdeck.leases.runner import (
+    LEASE_SESSION,
+    STATE_SESSION,
+    Action,
+    SaveState,
+    RunnerEvent,
+    Proposal,
+    Runner,
+)
+from caperdeck.leases.rounds import REVIEWS_PER_ROUND, RoundScheduler
+from caperdeck.leases.table import MAX_STATE_LENGTH, LeaseTable
+from caperdeck.leases.target import CENSUS, FLOOR_SHARE, HOSTS, MAX_EJECTED_SHARE, Target
+from caperdeck.leases.outlier_ejection import (
+    REPORT_VALIDITY_MS,
+    EJECTION_LEASE_MS,
+    MINUTE_MS,
+    FIRST_EJECTION_MS,
+    MAX_EJECTIONS_PER_MINUTE,
+    OutlierEjection,
+)
 
 SPAN = 1000.0
 
@@ -29,9 +44,9 @@
 
     def turn(self, now):
         if not self.safe:
-            return Keep(str(self.done))
+            return SaveState(str(self.done))
         self.done, self.safe = self.done + 1, False
-        return [Act("n0", {"step": self.done})]
+        return [Action("n0", {"step": self.done})]
 
     def kept(self, now):
         self.safe = True
@@ -44,7 +59,7 @@
     """A table that is agreed on at once, and runners that ask it."""
 
     def __init__(self):
-        self.table, self.acts = Table(), []
+        self.table, self.acts = LeaseTable(), []
 
     def runner(self, name, seed=1):
         return Runner(Steps(), name, SPAN, seed)
@@ -52,9 +67,9 @@
     def turn(self, runner, now, answers=True):
         out = runner.tick(now)
         for x in out:
-            if isinstance(x, Propose) and answers:
+            if isinstance(x, Proposal) and answers:
                 runner.answer(now, x.session, x.serial, self.table.apply(x.command))
-            elif isinstance(x, Act):
+            elif isinstance(x, Action):
                 self.acts.append(x)
         return out
 
@@ -69,10 +84,10 @@
 def test_an_act_waits_for_what_it_rests_on_and_carries_the_token():
     fleet, runner = held()
     fleet.turn(runner, 1.0)
-    assert fleet.acts == [Act("n0", {"step": 1}, 1)] and fleet.table.row("steps")["state"] is None
+    assert fleet.acts == [Action("n0", {"step": 1}, 1)] and fleet.table.row("steps")["state"] is None
     out = fleet.turn(runner, 2.0, answers=False)  # the state is on its way, and nothing else is done
     assert [x.command["do"] for x in out] == ["save"] and fleet.turn(runner, 3.0) == []
-    runner.answer(4.0, STATE, out[0].serial, fleet.table.apply(out[0].command))
+    runner.answer(4.0, STATE_SESSION, out[0].serial, fleet.table.apply(out[0].command))
     fleet.turn(runner, 5.0)
     assert [a.body["step"] for a in fleet.acts] == [1, 2]
 
@@ -93,8 +108,8 @@
     fleet, runner = held()
     fleet.turn(runner, 1.0)
     (save,) = fleet.turn(runner, 2.0, answers=False)
-    runner.answer(3.0, STATE, save.serial, {"no": "older-token"})
-    assert runner.token == 0 and Note("lost", 1, reason="older-token") in runner.tick(4.0)
+    runner.answer(3.0, STATE_SESSION, save.serial, {"no": "older-token"})
+    assert runner.token == 0 and RunnerEvent("lost", 1, reason="older-token") in runner.tick(4.0)
 
 
 def test_a_target_that_knows_a_newer_token_ends_the_work():
@@ -113,7 +128,7 @@
     fleet, runner = held()
     fleet.turn(runner, 1.0)
     out = fleet.turn(runner, 5 * SPAN, answers=False)
-    assert Note("lost", 1, reason="ended") in out and not any(isinstance(x, Act) for x in out)
+    assert RunnerEvent("lost", 1, reason="ended") in out and not any(isinstance(x, Action) for x in out)
     runner.acted(5 * SPAN, fleet.acts[0], {"life": 1})
     assert runner.work.answers == []
 
@@ -123,10 +138,10 @@
     fleet, runner = held()
     for k in range(1, 9):
         fleet.turn(runner, float(k))
-    (renew,) = [x for x in runner.tick(400.0) if isinstance(x, Propose) and x.session == LEASE]
+    (renew,) = [x for x in runner.tick(400.0) if isinstance(x, Proposal) and x.session == LEASE_SESSION]
     answer = fleet.table.apply(renew.command)
     runner.tick(SPAN)
-    runner.answer(SPAN + 1, LEASE, renew.serial, answer)
+    runner.answer(SPAN + 1, LEASE_SESSION, renew.serial, answer)
     assert runner.token == 0
     fleet.turn(runner, runner.due)
     assert runner.token == 2 and runner.work.done == int(fleet.table.row("steps")["state"])
@@ -136,7 +151,9 @@
     runner = Fleet().runner("o0")
     first = runner.tick(0.0)
     assert runner.tick(50.0) == [] and runner.tick(100.0) == first
-    runner.answer(150.0, LEASE, first[0].serial, {"ok": True, "token": 1, "span": SPAN, "state": None})
+    runner.answer(
+        150.0, LEASE_SESSION, first[0].serial, {"ok": True, "token": 1, "span": SPAN, "state": None}
+    )
     assert runner.holder.until < SPAN  # counted from the first time of asking
     late = Fleet().runner("o0")
     (one,) = late.tick(0.0)
@@ -159,7 +176,7 @@
     fleet.turn(runner, 1.0)
     row = fleet.table.row("steps")
     assert (row["holder"], row["heir"], runner.token) == (holder, heir, 0)
-    assert not any(isinstance(x, Propose) for x in runner.tick(2.0))  # it does not take it again at once
+    assert not any(isinstance(x, Proposal) for x in runner.tick(2.0))  # it does not take it again at once
 
 
 # ---- a node as the target
@@ -174,7 +191,7 @@
     return t
 
 
-def out(*uids, number=1, ms=HELD, **more):
+def out(*uids, number=1, ms=EJECTION_LEASE_MS, **more):
     return {"number": number, "out": list(uids), "ms": ms, "ask": []} | more
 
 
@@ -214,7 +231,7 @@
 
 def test_a_node_that_starts_takes_nothing_before_it_has_asked():
     t = Target(1, 4, list, list, bool, int)
-    assert t.act(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "asks-first"} and t.share == FLOOR / 4
+    assert t.act(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "asks-first"} and t.share == FLOOR_SHARE / 4
     t.fence.learned(CENSUS, 10)
     assert t.act(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "older-token"}
     assert "no" not in t.act(0.0, CENSUS, 10, share(0, 0.0, 0))
@@ -223,9 +240,9 @@
 def test_a_host_is_back_by_itself_when_nobody_renews_it():
     t = target()
     t.act(0.0, HOSTS, 1, out("h0", "h1"))
-    t.act(HELD / 2, HOSTS, 1, out("h1"))
-    assert [t.is_out(HELD, uid) for uid in ("h0", "h1")] == [False, True]
-    assert t.tick(HELD) == [] and t.tick(1.5 * HELD) == ["h1"] and not t.out
+    t.act(EJECTION_LEASE_MS / 2, HOSTS, 1, out("h1"))
+    assert [t.is_out(EJECTION_LEASE_MS, uid) for uid in ("h0", "h1")] == [False, True]
+    assert t.tick(EJECTION_LEASE_MS) == [] and t.tick(1.5 * EJECTION_LEASE_MS) == ["h1"] and not t.out
 
 
 def test_a_node_says_what_it_sees_of_hosts():
@@ -242,7 +259,7 @@
 
     def __init__(self, nodes=4, state=None, now=0.0):
         self.names = [f"n{i}" for i in range(nodes)]
-        self.work = Turning(self.names, 3)
+        self.work = OutlierEjection(self.names, 3)
         self.work.begin(now, state)
         self.ill = dict.fromkeys(self.names, ())
         self.well = dict.fromkeys(self.names, ())
@@ -252,7 +269,7 @@
     def run(self, now, until):
         while now < until:
             got = self.work.turn(now)
-            if isinstance(got, Keep):
+            if isinstance(got, SaveState):
                 self.state = got.state
                 self.work.kept(now)
                 continue
@@ -283,7 +300,7 @@
     f.ill |= ill
     f.well |= well
     f.silent = set(silent)
-    assert f.run(0.0, FRESH + 2000) == gone and len(gone) <= PART * 8
+    assert f.run(0.0, REPORT_VALIDITY_MS + 2000) == gone and len(gone) <= MAX_EJECTED_SHARE * 8
 
 
 def test_a_host_comes_back_as_a_trial_and_goes_out_for_longer():
@@ -292,19 +309,19 @@
     assert f.run(0.0, 3000) == ["h5"]
     first = f.work.out["h5"]
     f.run(3000.0, first + 3000)
-    assert f.work.out["h5"] - first > 1.9 * OUT
+    assert f.work.out["h5"] - first > 1.9 * FIRST_EJECTION_MS
 
 
 def test_so_many_go_out_in_a_minute_whoever_owns_the_work():
     f = Hosts(nodes=3)
     f.ill |= {n: [f"h{i}" for i in range(8)] for n in ("n0", "n1", "n2")}
-    f.run(0.0, OUT + 4000)
-    assert len(f.work.recent) == OUTS_A_MINUTE
-    other = Hosts(nodes=3, state=f.state, now=OUT + 4000)
+    f.run(0.0, FIRST_EJECTION_MS + 4000)
+    assert len(f.work.recent) == MAX_EJECTIONS_PER_MINUTE
+    other = Hosts(nodes=3, state=f.state, now=FIRST_EJECTION_MS + 4000)
     other.ill |= f.ill
     assert sorted(other.work.out) == sorted(f.work.out) and other.work.number == f.work.number
-    other.run(OUT + 4000, MINUTE)
-    assert sum(at > 0 for at in other.work.recent) == OUTS_A_MINUTE
+    other.run(FIRST_EJECTION_MS + 4000, MINUTE_MS)
+    assert sum(at > 0 for at in other.work.recent) == MAX_EJECTIONS_PER_MINUTE
 
 
 # ---- the census
@@ -330,7 +347,7 @@
     before = {n: t.share for n, t in world.nodes.items()}
     assert sum(before.values()) == pytest.approx(1.0) and world.nodes["n0"].living == 3
     world.die("n2")
-    assert world.nodes["n2"].share == pytest.approx(FLOOR / 3)
+    assert world.nodes["n2"].share == pytest.approx(FLOOR_SHARE / 3)
     settle(8)
     assert sum(t.share for t in world.nodes.values()) == pytest.approx(1.0)
 
@@ -361,7 +378,7 @@
 class TellsWhatIsNotKept(Census):
     def turn(self, now):
         got = super().turn(now)
-        if isinstance(got, Keep):
+        if isinstance(got, SaveState):
             self.dirty = False
             return super().turn(now)
         return got
@@ -387,7 +404,7 @@
     c.epoch, c.want, c.held = 4, {"a": 0.55, "d": 0.2}, {"a": 0.55, "b": 0.125, "c": 0.125, "d": 0.2}
     fewer = Census(["a", "b", "c"], 1)
     fewer.begin(0.0, c.dump())
-    assert fewer.held == {"a": 0.55, "b": FLOOR / 3, "c": FLOOR / 3} and fewer.want == {"a": 0.55}
+    assert fewer.held == {"a": 0.55, "b": FLOOR_SHARE / 3, "c": FLOOR_SHARE / 3} and fewer.want == {"a": 0.55}
 
 
 shares = st.floats(0, 1)
@@ -405,9 +422,9 @@
 
 
 def test_the_census_of_the_most_nodes_fits_with_the_longest_names():
-    names = [f"{i:064}" for i in range(MOST_NODES)]
-    whole = CensusState(1 << 53, MOST_NODES, {}, dict.fromkeys(names, 1.0))
-    assert MOST_NODES >= 3650 and len(_encode_rows(whole)) <= LARGEST_STATE
+    names = [f"{i:064}" for i in range(MAX_NODES)]
+    whole = CensusState(1 << 53, MAX_NODES, {}, dict.fromkeys(names, 1.0))
+    assert MAX_NODES >= 3650 and len(_encode_rows(whole)) <= MAX_STATE_LENGTH
     few = CensusState(3, 2, {"a": 0.5}, {"a": 0.5})
     assert orjson.loads(encode(few)) == {"epoch": 3, "want": {"a": 0.5}, "living": 2, "held": {"a": 0.5}}
     # an older program, for which what is not there is a fleet at its floors, must not read the other form
@@ -428,13 +445,13 @@
     text = (state if isinstance(state, bytes) else orjson.dumps(state)).decode()
     with pytest.raises(StateError, match=f"^{reason}$"):
         decode(text, ["a"])
-    table, runner = Table(), Runner(Census(["a"], 1), "o0", SPAN, 1)
+    table, runner = LeaseTable(), Runner(Census(["a"], 1), "o0", SPAN, 1)
     table.apply({"do": "acquire", "work": CENSUS, "holder": "o9", "span": SPAN})
     table.apply({"do": "save", "work": CENSUS, "token": 1, "state": text})
     table.apply({"do": "give", "work": CENSUS, "token": 1})
     for out in runner.tick(0.0):
         runner.answer(0.0, out.session, out.serial, table.apply(out.command))
-    assert runner.tick(1.0) == [Note("lost", 2, reason=f"state-{reason}")]
+    assert runner.tick(1.0) == [RunnerEvent("lost", 2, reason=f"state-{reason}")]
     assert not runner.token and runner.refused == {f"state-{reason}": 1}
     assert not runner.tick(3 * SPAN) and runner.tick(5 * SPAN)  # asks again, once others had the time to
 
@@ -442,22 +459,22 @@
 def test_many_nodes_are_dealt_the_whole_with_a_bounded_number_of_looks_at_all(monkeypatch):
     size, seconds, looks = 1200, 8, 0
     names = [f"n{i}" for i in range(size)]
-    census, heard = Census(names, 1), Rounds.heard
+    census, heard = Census(names, 1), RoundScheduler.heard
 
     def counted(rounds, now, within):
         nonlocal looks
         looks += 1
         return heard(rounds, now, within)
 
-    monkeypatch.setattr(Rounds, "heard", counted)
+    monkeypatch.setattr(RoundScheduler, "heard", counted)
     nodes = {n: Target(i + 1, size, list, list, lambda uid: False, lambda: 0) for i, n in enumerate(names)}
     for node in nodes.values():
         node.fence.learned(CENSUS, 1)
     acts = kept = 0
     for now in range(0, seconds * 1000, 2):
         got = census.turn(float(now))
-        if isinstance(got, Keep):
-            assert len(got.state) <= LARGEST_STATE
+        if isinstance(got, SaveState):
+            assert len(got.state) <= MAX_STATE_LENGTH
             kept += 1
             census.kept(float(now))
             continue
@@ -466,7 +483,7 @@
             census.answered(float(now), act.target, nodes[act.target].act(now, CENSUS, 1, act.body))
     assert sum(n.share for n in nodes.values()) == pytest.approx(1.0, abs=1e-6)
     assert {n.living for n in nodes.values()} == {size} and acts > size * (seconds - 2)
-    assert looks + kept < (LOOKS + 10) * seconds * 1.3
+    assert looks + kept < (REVIEWS_PER_ROUND + 10) * seconds * 1.3
 
 
 def test_a_wish_ends_with_its_lease():
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -27,12 +27,12 @@
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import Owned
 from caperdeck.lifecycle.owners import load as load_for_node
-from caperdeck.owner.commands import ask
-from caperdeck.leases.census_state import MOST_NODES
+from caperdeck.owner.commands import call_instance
+from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
-from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
-from caperdeck.owner.node_links import read as read_answer
+from caperdeck.owner.node_links import ANSWER_TIMEOUT_S, NodeLinks, action_line
+from caperdeck.owner.node_links import parse_answer as read_answer
 from caperdeck.ops.admin_server import PATIENCE, Front
 from caperdeck.raft.codec import encode, frame
 from caperdeck.raft.core import TakeOver
@@ -66,7 +66,7 @@
     ({"instances": {"0": "localhost:1"}}, "instances.0"), ({"nodes": {"n0": "127.0.0.1"}}, "nodes.n0"),
     ({"nodes": {"n0": "127.0.0.1:1", "n1": "127.0.0.1:1"}}, "twice"),
     ({"nodes": {"": "127.0.0.1:1"}}, "nodes"),
-    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MOST_NODES + 1)}}, "over"),
+    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MAX_NODES + 1)}}, "over"),
     ({"nodes": {"n17546": "127.0.0.1:1", "n2152930": "127.0.0.1:2"}}, "one digest"),
     ({"first": [0, 0, 1]}, "first"), ({"first": [5]}, "first"), ({"first": []}, "first"),
     ({"works": ["bake"]}, "works"), ({"works": ["hosts", "hosts"]}, "works"),
@@ -195,9 +195,9 @@
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1)})
     links.act("n0", b"act census 7 {}\n", said.append)
     conn, wire = link_up(reactor)
-    reactor.advance(ANSWER / 2)
+    reactor.advance(ANSWER_TIMEOUT_S / 2)
     links.act("n0", b"act hosts 9 {}\n", said.append)
-    reactor.advance(ANSWER)
+    reactor.advance(ANSWER_TIMEOUT_S)
     assert said == [None, None] and conn.over
     conn.dataReceived(b'ACK {"life":1}\r\n')
     links.act("n0", b"act hosts 9 {}\n", said.append)
@@ -210,7 +210,7 @@
     front = Front(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), Wire()
     conn.makeConnection(wire)
-    line = line_of("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
+    line = action_line("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
         conn.dataReceived(line)
         d.reactor.advance(PATIENCE - 1)
@@ -320,13 +320,13 @@
 
 
 def test_a_line_of_the_longest_lists_is_taken(tmp_path):
-    from caperdeck.leases.outlier_ejection import HELD, LONGEST_LIST, short
+    from caperdeck.leases.outlier_ejection import EJECTION_LEASE_MS, MAX_UID_CHARACTERS, truncate_uids
     from caperdeck.ops.admin_server import LONGEST_CALL
 
-    uids = short([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
-    body = {"number": 123456, "out": uids, "ms": HELD, "ask": uids}
-    line = line_of("hosts", 1 << 40, body)
-    assert sum(map(len, uids)) <= LONGEST_LIST and len(line) <= LONGEST_CALL
+    uids = truncate_uids([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
+    body = {"number": 123456, "out": uids, "ms": EJECTION_LEASE_MS, "ask": uids}
+    line = action_line("hosts", 1 << 40, body)
+    assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= LONGEST_CALL
     d, service, owned = owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest)
     said = []
@@ -376,7 +376,7 @@
 
     def held(work):
         for port in ports[:3]:
-            s = ask(("127.0.0.1", port), "t", {"do": "status"})
+            s = call_instance(("127.0.0.1", port), "t", {"do": "status"})
             if s and work in s["holds"]:
                 return s["me"], s["holds"][work]["token"]
         return None
@@ -410,8 +410,8 @@
                                      timeout=30, check=False)  # fmt: skip
         assert again_on_it.returncode == 2 and b"another instance runs on it" in again_on_it.stderr
         assert say("remove", "2")[0] == 0
-        until(lambda: any((s := ask(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] == [0, 1]
-                          for p in ports[:2]))  # fmt: skip
+        until(lambda: any((s := call_instance(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] ==
+                          [0, 1] for p in ports[:2]))  # fmt: skip
         processes[0].send_signal(signal.SIGTERM)
         assert processes[0].wait(10) == 0
     finally:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 
 from caperdeck.lab.sharing_network import Net
 from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.peers import codec
 from caperdeck.peers.codec import Heartbeat, DatagramError, MessageKind, Message, MemberState, MemberUpdate
 from caperdeck.peers.swim import ACK_TIMEOUT_MS, MAX_PENDING_UPDATES, PING_PERIOD_MS, SUSPICION_PERIODS, Swim
@@ -17,7 +17,7 @@
 PING = Message(
     MessageKind.PING, 1, 7, 2, 99, (MemberUpdate(3, MemberState.SUSPECTED, 4, 1),), (Heartbeat(1, 7, 5),), b""
 )
-MEMBERSHIP = Uses()
+MEMBERSHIP = SharingFeatures()
 
 
 def swim(now=0.0, members=5, life=10):
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -16,8 +16,8 @@
 
 from caperdeck.core.quotas import ROOM_BUDGET
 from caperdeck.core.fleet_state import Shares
-from caperdeck.gossip.shared_decisions import Marked
-from caperdeck.gossip.sharing import ROOM, Uses, life_from
+from caperdeck.gossip.shared_decisions import SharedIdDecisions
+from caperdeck.gossip.sharing import SHARED_ROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
 from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
 from caperdeck.ops.show_peers import show_peers
@@ -46,7 +46,7 @@
 
 
 def test_the_operators_file_of_the_project_is_whole():
-    assert load_uses("deploy/sharing.toml") == Uses(*[True] * len(Uses._fields))
+    assert load_uses("deploy/sharing.toml") == SharingFeatures(*[True] * len(SharingFeatures._fields))
 
 
 @pytest.mark.parametrize("peers, listen, me, reason", [
@@ -93,7 +93,7 @@
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
     d = desk()
     with logged() as lines:
-        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
+        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures()) is None
     assert line in lines[0]
 
 
@@ -114,7 +114,7 @@
         pass
 
 
-def made_port(uses=Uses()):  # noqa: B008
+def made_port(uses=SharingFeatures()):  # noqa: B008
     d = desk()
     port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = Out(), object()
@@ -144,7 +144,7 @@
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
     d = desk()
     service = service_over(d, tmp_path, **SHARED)
-    service.uses, service.takes = Uses(), True
+    service.uses, service.takes = SharingFeatures(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
     service.join()
     first = service.peers
@@ -163,7 +163,7 @@
     if cold:
         d.listed(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
     s = Shares(d.balancer._node)
-    return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report)
+    return d, s, SharedIdDecisions(s, SharingFeatures(*[True] * len(SharingFeatures._fields)), d.report)
 
 
 def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
@@ -196,7 +196,7 @@
     n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
     assert m.wants(now) == []
     n.short_at = now
-    assert m.wants(now) == [(ROOM, 8.0)] and m.wants(now + 1000) == []
+    assert m.wants(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wants(now + 1000) == []
 
 
 def test_a_told_figure_stands_in_for_the_mean_and_ends():
