--- a/caperdeck/lab/census_model.py
+++ b/caperdeck/lab/census_model.py
@@ -61,9 +61,9 @@
             (t.life, t.epoch, t.share, tuple(t.fence.highest.items())) for t in self.nodes.values()
         )  # fmt: skip
         owners = tuple(
-            (o.token, o.census.dump(), repr(o.census.rounds.under_way), repr(o.census.lives),
-             o.census.dirty, o.census.changed_at, repr(o.census.rounds.replies),
-             repr(o.census.rounds.next_at))
+            (o.token, o.census.dump(), repr(o.census.scheduler.in_flight), repr(o.census.lives),
+             o.census.dirty, o.census.epoch_started_at, repr(o.census.scheduler.replies),
+             repr(o.census.scheduler.next_at))
             for o in self.owners
         )  # fmt: skip
         return (self.now, nodes, owners, self.token, self.state, repr(sorted(self.flying, key=repr)),
@@ -77,7 +77,7 @@
             if o.token:
                 out.append(("turn", i))
                 if self.left["late"]:
-                    out += [("late", i, n) for n in self.names if o.census.rounds.under_way[n] is not None]
+                    out += [("late", i, n) for n in self.names if o.census.scheduler.in_flight[n] is not None]
         for name, t in self.nodes.items():
             if self.left["die"]:
                 out.append(("die", name))
@@ -108,19 +108,19 @@
 
     def turn(self, i: int) -> None:
         o = self.owners[i]
-        got = o.census.turn(self.now)
+        got = o.census.next_step(self.now)
         if isinstance(got, SaveState):
             if o.token != self.token:
                 o.token = 0  # what it would keep is refused, and it is told so
                 return
             self.state = got.state
-            o.census.kept(self.now)
+            o.census.state_committed(self.now)
             return
         self.flying += [("act", i, o.token, act.target, act.body) for act in got]
 
     def late(self, i: int, name: str) -> None:
         """The owner waits no longer for an answer; the act, or the answer, is under way still."""
-        self.owners[i].census.answered(self.now, name, None)
+        self.owners[i].census.handle_reply(self.now, name, None)
         self.flying = [
             m for m in self.flying if m[:4] != ("reply", i, self.owners[i].token, name)
         ]  # fmt: skip
@@ -134,19 +134,19 @@
         what, i, token, name, body = self.flying.pop(k)
         o = self.owners[i]
         if what == "act":
-            reply = self.nodes[name].act(self.now, CENSUS, token, copy.deepcopy(body))
+            reply = self.nodes[name].execute(self.now, CENSUS, token, copy.deepcopy(body))
             if reply.get("no") == "older-token":
                 o.token = 0 if o.token == token else o.token
-            elif o.token == token and o.census.rounds.under_way[name] == body:
+            elif o.token == token and o.census.scheduler.in_flight[name] == body:
                 self.flying.append(("reply", i, token, name, None if "no" in reply else reply))
-        elif o.token == token and o.census.rounds.under_way[name] is not None:
-            o.census.answered(self.now, name, body)
+        elif o.token == token and o.census.scheduler.in_flight[name] is not None:
+            o.census.handle_reply(self.now, name, body)
 
     def die(self, name: str) -> None:
         self.born(name)
 
     def learn(self, name: str) -> None:
-        self.nodes[name].fence.learned(CENSUS, self.token)
+        self.nodes[name].fence.record_token(CENSUS, self.token)
 
 
 def walk(seed: int, steps: int, **options: Any) -> CensusModel:
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -34,19 +34,20 @@
         self.holders = [holder(WORK, name, MIN_SPAN_MS) for name in "ab"]
         self.ready = [0, 0]  # the token that an owner has just checked, before its act leaves
         self.table = table()
-        self.warden = LeaseExpiryMonitor(self.table, 0.0)
+        self.expiry_monitor = LeaseExpiryMonitor(self.table, 0.0)
         self.target = fence({})
         self.flying: list[tuple] = []
         self.highest = 0  # among the acts taken
         self.given: list[int] = []
 
     def key(self) -> Any:
-        holders = tuple((h.token, h.until, h.asked_at) for h in self.holders)
+        holders = tuple((h.token, h.expires_at, h.requested_at) for h in self.holders)
         row = self.table.works.get(WORK)
         return (
             self.time, tuple(self.left.values()), holders, tuple(self.ready), self.table.token,
-            tuple(row.items()) if row else None, tuple(self.warden.since.items()), self.target.remembers,
-            tuple(self.target.highest.items()), tuple(sorted(map(repr, self.flying))), self.highest,
+            tuple(row.items()) if row else None, tuple(self.expiry_monitor.observed.items()),
+            self.target.remembers, tuple(self.target.highest.items()), tuple(sorted(map(repr, self.flying))),
+            self.highest,
         )  # fmt: skip
 
     def clone(self) -> LeaseModel:
@@ -82,7 +83,7 @@
         self.time += TICK
 
     def ask(self, i: int) -> None:
-        command = self.holders[i].ask(self.now(i))
+        command = self.holders[i].next_command(self.now(i))
         if command is not None:
             self.flying.append(("ask", i, command, self.now(i)))
 
@@ -104,26 +105,26 @@
             self.watch()
             self.flying.append(("answer", i, answer, asked))
         elif what == "answer":
-            self.holders[i].answered(self.now(i), asked, value)
+            self.holders[i].handle_answer(self.now(i), asked, value)
         elif self.target.check(WORK, value) is None:
             if value < self.highest:
                 raise BrokenError(f"an act with token {value} is taken after one with {self.highest}")
             self.highest = value
 
     def watch(self) -> None:
-        for command in self.warden.look(self.now(2)):
+        for command in self.expiry_monitor.check(self.now(2)):
             self.table.apply(command)
-        self.warden.look(self.now(2))
+        self.expiry_monitor.check(self.now(2))
 
     def die(self) -> None:
         """The target starts again."""
         self.target = type(self.target)(self.target.highest if self.disk else None)
 
     def learn(self) -> None:
-        self.target.learned(WORK, self.table.token)
+        self.target.record_token(WORK, self.table.token)
 
     def snapshot(self) -> None:
         state = copy.deepcopy(self.table.dump())
         self.table = type(self.table)()
         self.table.load(state)
-        self.warden = LeaseExpiryMonitor(self.table, self.now(2))
+        self.expiry_monitor = LeaseExpiryMonitor(self.table, self.now(2))
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -65,15 +65,15 @@
 
     def __init__(self, number: int, nodes: int, owners: OwnerEndpoints) -> None:
         self.target = Target(number + 1, nodes, lambda: HOSTS, list, lambda uid: False, lambda: 0)
-        self.asking = TokenRecovery(reactor, owners, self.target.fence.learned)
+        self.asking = TokenRecovery(reactor, owners, self.target.fence.record_token)
 
     @property
     def reached(self) -> bool:
-        return self.target.taken > 0 or bool(self.target.refused)
+        return self.target.accepted > 0 or bool(self.target.refused)
 
     def act(self, work: str, token: str, body: str, then: Then) -> None:
         now = reactor.seconds() * 1000.0
-        answer = self.target.act(now, work, int(token), orjson.loads(body))
+        answer = self.target.execute(now, work, int(token), orjson.loads(body))
         reason = answer.get("no")
         if reason is None:
             then(yes(orjson.dumps(answer).decode()))
--- a/caperdeck/leases/census.py
+++ b/caperdeck/leases/census.py
@@ -32,72 +32,76 @@
 
     def begin(self, now: float, state: str | None) -> None:
         """Raises StateError."""
-        told = decode(state, self.nodes)
-        self.epoch: int = told.epoch
+        saved = decode(state, self.nodes)
+        self.epoch: int = saved.epoch
         floor = FLOOR_SHARE / len(self.nodes)
         # shares of this epoch, by node; one that the file does not name any more has been declared gone
-        self.want = dict(told.want)
-        self.living: int = told.living
+        self.wanted_shares = dict(saved.wanted_shares)
+        self.living: int = saved.living
         # Danger: a node that the file names anew was at its floor all along, whoever owned the work.
-        self.held = {n: max(told.held.get(n, floor), floor) for n in self.nodes}
+        self.held_shares = {n: max(saved.held_shares.get(n, floor), floor) for n in self.nodes}
         self.lives: dict[str, int] = {}
-        self.rounds = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
+        self.scheduler = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
         self.rates: dict[str, tuple[int, int, float, float]] = {}  # life, tries, when, a second
-        self.changed_at = now
+        self.epoch_started_at = now
         self.dirty = False  # held has grown, or there is a new epoch: to be committed before it is told
 
     @property
     def due(self) -> float:
-        return self.rounds.due
+        return self.scheduler.due
 
     def dump(self) -> str:
-        return encode(CensusState(self.epoch, self.living, self.want, self.held))
+        return encode(CensusState(self.epoch, self.living, self.wanted_shares, self.held_shares))
 
     # ---- the runner's calls
 
-    def turn(self, now: float) -> SaveState | list[Action]:
+    def next_step(self, now: float) -> SaveState | list[Action]:
         # Danger: a look at all nodes after each answer costs the square of their number.
-        if self.rounds.worth_a_look(now):
-            self._plan(now)
-            self._grow()
+        if self.scheduler.review_is_due(now):
+            self._review_epoch(now)
+            self._grow_shares()
         if self.dirty:
             return SaveState(self.dump())
         acts = []
-        for node in self.rounds.next(now):
-            body = self._body(node)
-            self.rounds.sent(now, node, body)
+        for node in self.scheduler.due_targets(now):
+            body = self._request_body(node)
+            self.scheduler.record_sent(now, node, body)
             acts.append(Action(node, body))
         return acts
 
-    def kept(self, now: float) -> None:
+    def state_committed(self, now: float) -> None:
         self.dirty = False
 
-    def _body(self, node: str) -> dict[str, Any]:
-        want = self.want.get(node)
+    def _request_body(self, node: str) -> dict[str, Any]:
+        want = self.wanted_shares.get(node)
         life = self.lives.get(node)
-        if want is None or life is None or want > self.held[node] + EPSILON:
+        if want is None or life is None or want > self.held_shares[node] + EPSILON:
             # nothing of this epoch may be told yet; the question alone
             return {"epoch": 0, "share": 0.0, "living": 0, "life": 0, "nodes": len(self.nodes)}
-        told = {"epoch": self.epoch, "share": want, "living": self.living}
-        return told | {"life": life, "nodes": len(self.nodes)}
+        saved = {"epoch": self.epoch, "share": want, "living": self.living}
+        return saved | {"life": life, "nodes": len(self.nodes)}
 
-    def answered(self, now: float, target: str, reply: Any) -> None:
-        body = self.rounds.came(target, reply)
+    def handle_reply(self, now: float, target: str, reply: Any) -> None:
+        body = self.scheduler.record_reply(target, reply)
         if reply is None:
             # Danger: a node that has started anew refuses what is meant for its old life, for ever.
             self.lives.pop(target, None)
             return
-        self._rate(now, target, reply)
+        self._update_rate(now, target, reply)
         self.lives[target] = reply["life"]
         # Danger: a share that was told under this epoch may be under way to the node still, and grow there;
         # only what the node says after the epoch's own word is its last.
         if body["epoch"] == self.epoch and reply["epoch"] == self.epoch:
-            self.held[target] = reply["share"]
-        wanted = self.want.get(target)
-        if wanted is not None and reply["epoch"] != self.epoch and wanted <= self.held[target] + EPSILON:
-            self.rounds.soon(now, target)
-
-    def _rate(self, now: float, node: str, reply: dict[str, Any]) -> None:
+            self.held_shares[target] = reply["share"]
+        wanted = self.wanted_shares.get(target)
+        if (
+            wanted is not None
+            and reply["epoch"] != self.epoch
+            and wanted <= self.held_shares[target] + EPSILON
+        ):
+            self.scheduler.expedite(now, target)
+
+    def _update_rate(self, now: float, node: str, reply: dict[str, Any]) -> None:
         last, rate = self.rates.get(node), 0.0
         if last is not None and last[0] == reply["life"] and now > last[2]:
             rate = last[3] + RATE_SMOOTHING * (
@@ -107,41 +111,43 @@
 
     # ---- epochs
 
-    def _plan(self, now: float) -> None:
+    def _review_epoch(self, now: float) -> None:
         """A new epoch where other nodes live, or traffic has moved."""
-        if now - self.changed_at < MIN_EPOCH_MS:
+        if now - self.epoch_started_at < MIN_EPOCH_MS:
             return
-        heard = self.rounds.heard(now, ALIVE_WITHIN_MS)
-        settled = all(heard[n]["epoch"] == self.epoch for n in heard if n in self.want)
-        if not heard or not (settled or now - self.changed_at > 3 * ALIVE_WITHIN_MS):
+        replies = self.scheduler.recent_replies(now, ALIVE_WITHIN_MS)
+        settled = all(replies[n]["epoch"] == self.epoch for n in replies if n in self.wanted_shares)
+        if not replies or not (settled or now - self.epoch_started_at > 3 * ALIVE_WITHIN_MS):
             return
-        living = [n for n in self.nodes if n in heard]
-        share = self._shares(living)
-        known = [n for n in living if n in self.want]
-        moved = any(abs(share[n] - self.want[n]) > REBALANCE_THRESHOLD * self.want[n] for n in known)
-        if len(known) == len(living) == len(self.want) and not moved:
+        living = [n for n in self.nodes if n in replies]
+        share = self._divide(living)
+        known = [n for n in living if n in self.wanted_shares]
+        moved = any(
+            abs(share[n] - self.wanted_shares[n]) > REBALANCE_THRESHOLD * self.wanted_shares[n] for n in known
+        )
+        if len(known) == len(living) == len(self.wanted_shares) and not moved:
             return
         self.epoch += 1
-        self.want, self.living, self.changed_at, self.dirty = share, len(living), now, True
+        self.wanted_shares, self.living, self.epoch_started_at, self.dirty = share, len(living), now, True
         for node in living:
-            self.rounds.soon(now, node)
+            self.scheduler.expedite(now, node)
 
-    def _shares(self, living: list[str]) -> dict[str, float]:
+    def _divide(self, living: list[str]) -> dict[str, float]:
         floor = FLOOR_SHARE / len(self.nodes)
         # what a silent node may hold over its floor is nobody else's
         lives = set(living)
-        silent = sum(max(self.held[n] - floor, 0.0) for n in self.nodes if n not in lives)
+        silent = sum(max(self.held_shares[n] - floor, 0.0) for n in self.nodes if n not in lives)
         rest = max(1.0 - FLOOR_SHARE - silent, 0.0)
         mean = sum(self.rates.get(n, (0, 0, 0, 0.0))[3] for n in living) / len(living)
         weight = {n: 0.5 * mean + 0.5 * self.rates.get(n, (0, 0, 0, 0.0))[3] if mean else 1.0 for n in living}
         total = sum(weight.values())
         return {n: floor + rest * weight[n] / total for n in living}
 
-    def _grow(self) -> None:
+    def _grow_shares(self) -> None:
         """Lets shares grow as far as others have given theirs back."""
-        free = 1.0 - sum(self.held.values())
+        free = 1.0 - sum(self.held_shares.values())
         for node in self.nodes:
-            more = self.want.get(node, 0.0) - self.held[node]
+            more = self.wanted_shares.get(node, 0.0) - self.held_shares[node]
             if EPSILON < more <= free + EPSILON:
-                self.held[node], self.dirty = self.want[node], True
+                self.held_shares[node], self.dirty = self.wanted_shares[node], True
                 free -= more
--- a/caperdeck/leases/census_state.py
+++ b/caperdeck/leases/census_state.py
@@ -23,9 +23,8 @@
 
 from .table import MAX_STATE_LENGTH
 
-DIGEST_BYTES = (
-    5  # bytes of a name's digest; two names of one file that share theirs are refused with the file
-)
+# bytes of a name's digest; two names of one file that share theirs are refused with the file
+DIGEST_BYTES = 5
 SHARE_UNITS = (1 << 32) - 1  # parts of the whole
 ROW = struct.Struct(f">{DIGEST_BYTES}sII")  # digest, share wanted rounded down, share held rounded up
 MAX_HEADER_LENGTH = 128  # characters beside the rows, at the most
@@ -42,8 +41,8 @@
 
     epoch: int = 0
     living: int = 0
-    want: Mapping[str, float] = {}
-    held: Mapping[str, float] = {}
+    wanted_shares: Mapping[str, float] = {}
+    held_shares: Mapping[str, float] = {}
 
 
 def digest(name: str) -> bytes:
@@ -62,7 +61,8 @@
 
 def encode(state: CensusState) -> str:
     text = orjson.dumps({
-        "epoch": state.epoch, "want": dict(state.want), "living": state.living, "held": dict(state.held),
+        "epoch": state.epoch, "want": dict(state.wanted_shares), "living": state.living,
+        "held": dict(state.held_shares),
     }).decode()  # fmt: skip
     return text if len(text) <= MAX_STATE_LENGTH else _encode_rows(state)
 
@@ -71,9 +71,11 @@
     rows = b"".join(
         # Danger: a share that is held must never be read back as less, nor a wanted one as more.
         ROW.pack(
-            digest(name), math.floor(state.want.get(name, 0.0) * SHARE_UNITS), math.ceil(held * SHARE_UNITS)
+            digest(name),
+            math.floor(state.wanted_shares.get(name, 0.0) * SHARE_UNITS),
+            math.ceil(held * SHARE_UNITS),
         )
-        for name, held in state.held.items()
+        for name, held in state.held_shares.items()
     )
     # Danger: an older reader takes what lacks names for a fleet at its floors; `want` of no object stops it.
     head = {"epoch": state.epoch, "living": state.living, "want": None}
@@ -85,29 +87,29 @@
     if not text:
         return CensusState()
     try:
-        told = orjson.loads(text)
+        saved = orjson.loads(text)
     except orjson.JSONDecodeError:
         raise StateError("no-json") from None
-    if not isinstance(told, dict):
+    if not isinstance(saved, dict):
         raise StateError("no-object")
-    epoch, living = _count(told, "epoch"), _count(told, "living")
+    epoch, living = _read_count(saved, "epoch"), _read_count(saved, "living")
     names = list(nodes)
-    if "rows" in told:
-        want, held = _decode_rows(told["rows"], names)
+    if "rows" in saved:
+        want, held = _decode_rows(saved["rows"], names)
     else:
-        want, held = _shares(told, "want", names), _shares(told, "held", names)
+        want, held = _read_shares(saved, "want", names), _read_shares(saved, "held", names)
     return CensusState(epoch, living, want, held)
 
 
-def _count(told: dict[str, Any], key: str) -> int:
-    value = told.get(key)
+def _read_count(saved: dict[str, Any], key: str) -> int:
+    value = saved.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise StateError(f"bad-{key}")
     return value
 
 
-def _shares(told: dict[str, Any], key: str, names: list[str]) -> dict[str, float]:
-    table = told.get(key)
+def _read_shares(saved: dict[str, Any], key: str, names: list[str]) -> dict[str, float]:
+    table = saved.get(key)
     if not isinstance(table, dict) or not all(_is_share(value) for value in table.values()):
         raise StateError(f"bad-{key}")
     return {name: table[name] for name in names if name in table}
@@ -124,9 +126,9 @@
         raise StateError("bad-rows") from None
     if len(data) % ROW.size:
         raise StateError("rows-cut-short")
-    rows = {mark: (want, held) for mark, want, held in ROW.iter_unpack(data)}
+    rows = {name_digest: (want, held) for name_digest, want, held in ROW.iter_unpack(data)}
     if len(rows) * ROW.size != len(data):
         raise StateError("a-row-twice")
-    found = {name: rows[mark] for name in names if (mark := digest(name)) in rows}
+    found = {name: rows[name_digest] for name in names if (name_digest := digest(name)) in rows}
     want = {name: parts / SHARE_UNITS for name, (parts, _) in found.items() if parts}
     return want, {name: parts / SHARE_UNITS for name, (_, parts) in found.items()}
--- a/caperdeck/leases/expiry.py
+++ b/caperdeck/leases/expiry.py
@@ -21,36 +21,36 @@
     def __init__(self, work: str, name: str, span: float) -> None:
         self.work, self.name, self.span = work, name, span
         self.token = 0
-        self.until = 0.0  # on the own clock; nothing may be done from then on
-        self.asked_at = 0.0
+        self.expires_at = 0.0  # on the own clock; nothing may be done from then on
+        self.requested_at = 0.0
         self.state: Any = None  # what the owner before left
-        self.lost = ""
+        self.loss_reason = ""
 
     def may_act(self, now: float) -> bool:
         """Checked just before each act, and by the act's target again, by its token."""
-        return self.token > 0 and now < self.until
+        return self.token > 0 and now < self.expires_at
 
     @property
     def renew_at(self) -> float:
-        return self.until - self.span * (1 - MAX_CLOCK_DRIFT) * (1 - RENEW_AT_SHARE)
+        return self.expires_at - self.span * (1 - MAX_CLOCK_DRIFT) * (1 - RENEW_AT_SHARE)
 
-    def ask(self, now: float) -> dict[str, Any] | None:
+    def next_command(self, now: float) -> dict[str, Any] | None:
         """Acquires where nothing is held, renews in time; None where there is nothing to ask yet."""
-        if self.token and now >= self.until:
+        if self.token and now >= self.expires_at:
             # Danger: a holder that slept past the end must not go on as if it renewed in time.
-            self.token, self.lost = 0, "ended"
+            self.token, self.loss_reason = 0, "ended"
         if not self.token:
-            self.asked_at = now
+            self.requested_at = now
             return {"do": "acquire", "work": self.work, "holder": self.name, "span": self.span}
         if now < self.renew_at:
             return None
         return {"do": "renew", "work": self.work, "token": self.token}
 
-    def answered(self, now: float, asked: float, answer: dict[str, Any]) -> None:
+    def handle_answer(self, now: float, requested_at: float, answer: dict[str, Any]) -> None:
         """The answer to what was asked then."""
         if "no" in answer:
             if self.token and answer["no"] == "not-held":
-                self.token, self.lost = 0, "not-held"
+                self.token, self.loss_reason = 0, "not-held"
             return
         if answer["token"] < self.token:
             return  # to a grant before this one
@@ -61,9 +61,9 @@
                 return
             self.state = answer["state"]
         # Danger: counted from the answer, a grant long under way lasts past the time that others wait.
-        end = asked + answer["span"] * (1 - MAX_CLOCK_DRIFT)
+        end = requested_at + answer["span"] * (1 - MAX_CLOCK_DRIFT)
         if now < end:
-            self.token, self.until, self.lost = answer["token"], max(end, self.until), ""
+            self.token, self.expires_at, self.loss_reason = answer["token"], max(end, self.expires_at), ""
 
 
 class LeaseExpiryMonitor:
@@ -71,19 +71,21 @@
 
     def __init__(self, table: LeaseTable, now: float) -> None:
         self.table = table
-        self.since: dict[str, tuple[int, int, float]] = {}  # by work: token, renewals, first seen so
-        self.look(now)
+        self.observed: dict[str, tuple[int, int, float]] = {}  # by work: token, renewals, first seen so
+        self.check(now)
 
-    def look(self, now: float) -> list[dict[str, Any]]:
+    def check(self, now: float) -> list[dict[str, Any]]:
         """After each command that was applied, and now and then; the commands to propose."""
-        ended = []
+        expired = []
         for work, row in self.table.works.items():
             if row["holder"] is None and row["heir"] is None:
-                self.since.pop(work, None)
+                self.observed.pop(work, None)
                 continue
-            seen = self.since.get(work)
+            seen = self.observed.get(work)
             if seen is None or seen[:2] != (row["token"], row["renewed"]):
-                self.since[work] = row["token"], row["renewed"], now
+                self.observed[work] = row["token"], row["renewed"], now
             elif now - seen[2] >= row["span"] * (1 + MAX_CLOCK_DRIFT):
-                ended.append({"do": "expire", "work": work, "token": row["token"], "renewed": row["renewed"]})
-        return ended
+                expired.append(
+                    {"do": "expire", "work": work, "token": row["token"], "renewed": row["renewed"]}
+                )
+        return expired
--- a/caperdeck/leases/fence.py
+++ b/caperdeck/leases/fence.py
@@ -35,7 +35,7 @@
                 return "too-many-works"
         return "older-token" if token < self.highest.get(work, 0) else None
 
-    def learned(self, work: str, token: int) -> None:
+    def record_token(self, work: str, token: int) -> None:
         """The instances' answer to a linearizable read: the token in force, or the last one given."""
         if work in self.highest or len(self.highest) < MAX_WORKS:
             self.highest[work] = max(self.highest.get(work, 0), token)
--- a/caperdeck/leases/outlier_ejection.py
+++ b/caperdeck/leases/outlier_ejection.py
@@ -39,91 +39,107 @@
 
     def __init__(self, nodes: list[str], seed: int) -> None:
         self.nodes, self.seed = nodes, seed
-        self.witnesses = 2 if len(nodes) < 5 else 3
+        self.min_witnesses = 2 if len(nodes) < 5 else 3
         self.begin(0.0, None)
 
     def begin(self, now: float, state: str | None) -> None:
-        told = orjson.loads(state) if state else {}
-        self.number: int = told.get("number", 0)
+        saved = orjson.loads(state) if state else {}
+        self.sequence: int = saved.get("number", 0)
         # Danger: no clock is shared with the owner before; what it did counts as done just now.
-        self.out: dict[str, float] = {uid: now + left for uid, left in told.get("out", {}).items()}
-        self.spans: dict[str, float] = told.get("spans", {})  # of the next time out
-        self.backs: dict[str, float] = dict.fromkeys(self.spans, now)
-        self.recent: list[float] = [now] * told.get("recent", 0)
-        self.ask: list[str] = []  # hosts that nodes are asked about
-        self.rounds = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
+        self.ejected_until: dict[str, float] = {uid: now + left for uid, left in saved.get("out", {}).items()}
+        self.next_durations: dict[str, float] = saved.get("spans", {})  # of the next time out
+        self.readmitted_at: dict[str, float] = dict.fromkeys(self.next_durations, now)
+        self.recent_ejections: list[float] = [now] * saved.get("recent", 0)
+        self.hosts_in_question: list[str] = []  # hosts that nodes are asked about
+        self.scheduler = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
         self.dirty = False
 
     @property
     def due(self) -> float:
-        return min(self.rounds.due, min(self.out.values(), default=math.inf))
+        return min(self.scheduler.due, min(self.ejected_until.values(), default=math.inf))
 
     def dump(self, now: float) -> str:
         return orjson.dumps({
-            "number": self.number, "spans": self.spans, "recent": len(self.recent),
-            "out": {uid: max(round(until - now, 1), 0.0) for uid, until in self.out.items()},
+            "number": self.sequence, "spans": self.next_durations, "recent": len(self.recent_ejections),
+            "out": {uid: max(round(until - now, 1), 0.0) for uid, until in self.ejected_until.items()},
         }).decode()  # fmt: skip
 
-    def turn(self, now: float) -> SaveState | list[Action]:
+    def next_step(self, now: float) -> SaveState | list[Action]:
         # Danger: a look at all nodes after each answer costs the square of their number.
-        if self.rounds.worth_a_look(now) or min(self.out.values(), default=math.inf) <= now:
-            self._decide(now)
-            heard = self.rounds.heard(now, REPORT_VALIDITY_MS).values()
-            self.ask = truncate_uids(sorted({uid for reply in heard for uid in reply["ill"]}))
+        if self.scheduler.review_is_due(now) or min(self.ejected_until.values(), default=math.inf) <= now:
+            self._review_hosts(now)
+            replies = self.scheduler.recent_replies(now, REPORT_VALIDITY_MS).values()
+            self.hosts_in_question = truncate_uids(sorted({uid for reply in replies for uid in reply["ill"]}))
         if self.dirty:
             return SaveState(self.dump(now))
         acts = []
-        for node in self.rounds.next(now):
-            body = {"number": self.number, "out": list(self.out), "ms": EJECTION_LEASE_MS, "ask": self.ask}
-            self.rounds.sent(now, node, body)
+        for node in self.scheduler.due_targets(now):
+            body = {
+                "number": self.sequence,
+                "out": list(self.ejected_until),
+                "ms": EJECTION_LEASE_MS,
+                "ask": self.hosts_in_question,
+            }
+            self.scheduler.record_sent(now, node, body)
             acts.append(Action(node, body))
         return acts
 
-    def kept(self, now: float) -> None:
+    def state_committed(self, now: float) -> None:
         self.dirty = False
 
-    def answered(self, now: float, target: str, reply: Any) -> None:
-        self.rounds.came(target, reply)
-
-    def _decide(self, now: float) -> None:
-        back = [uid for uid, until in self.out.items() if until <= now]
-        for uid in back:
-            del self.out[uid]
-            self.backs[uid] = now
-        for uid in [u for u, at in self.backs.items() if u not in self.out and now - at > RESET_AFTER_MS]:
-            del self.backs[uid], self.spans[uid]
-        gone = self._worst(now)
-        if not back and gone is None:
+    def handle_reply(self, now: float, target: str, reply: Any) -> None:
+        self.scheduler.record_reply(target, reply)
+
+    def _review_hosts(self, now: float) -> None:
+        readmitted = [uid for uid, until in self.ejected_until.items() if until <= now]
+        for uid in readmitted:
+            del self.ejected_until[uid]
+            self.readmitted_at[uid] = now
+        for uid in [
+            u
+            for u, at in self.readmitted_at.items()
+            if u not in self.ejected_until and now - at > RESET_AFTER_MS
+        ]:
+            del self.readmitted_at[uid], self.next_durations[uid]
+        ejected = self._host_to_eject(now)
+        if not readmitted and ejected is None:
             return
-        if gone is not None:
-            span = self.spans.get(gone, FIRST_EJECTION_MS)
-            self.out[gone], self.spans[gone] = now + span, min(2 * span, MAX_EJECTION_MS)
-            self.recent = [at for at in self.recent if now - at < MINUTE_MS] + [now]
-        self.number, self.dirty = self.number + 1, True
+        if ejected is not None:
+            duration = self.next_durations.get(ejected, FIRST_EJECTION_MS)
+            self.ejected_until[ejected], self.next_durations[ejected] = (
+                now + duration,
+                min(2 * duration, MAX_EJECTION_MS),
+            )
+            self.recent_ejections = [at for at in self.recent_ejections if now - at < MINUTE_MS] + [now]
+        self.sequence, self.dirty = self.sequence + 1, True
         for node in self.nodes:
-            self.rounds.soon(now, node)
+            self.scheduler.expedite(now, node)
 
-    def _worst(self, now: float) -> str | None:
+    def _host_to_eject(self, now: float) -> str | None:
         """The host that most nodes see ill, if enough do and one more may go out."""
-        heard = self.rounds.heard(now, REPORT_VALIDITY_MS)
+        replies = self.scheduler.recent_replies(now, REPORT_VALIDITY_MS)
         # Danger: an owner cut off with a few nodes sees what they see; that is no word of the fleet.
-        if 2 * len(heard) <= len(self.nodes):
+        if 2 * len(replies) <= len(self.nodes):
             return None
-        if sum(now - at < MINUTE_MS for at in self.recent) >= MAX_EJECTIONS_PER_MINUTE:
+        if sum(now - at < MINUTE_MS for at in self.recent_ejections) >= MAX_EJECTIONS_PER_MINUTE:
             return None
-        most = min(
-            math.floor(MAX_EJECTED_SHARE * min(reply["hosts"] for reply in heard.values())), MAX_EJECTED
+        limit = min(
+            math.floor(MAX_EJECTED_SHARE * min(reply["hosts"] for reply in replies.values())), MAX_EJECTED
         )
-        if len(self.out) >= most:
+        if len(self.ejected_until) >= limit:
             return None
-        sound = [reply for reply in heard.values() if reply["sound"]]
-        ill: dict[str, int] = {}
+        sound = [reply for reply in replies.values() if reply["sound"]]
+        failing_votes: dict[str, int] = {}
         for reply in sound:
             for uid in reply["ill"]:
-                ill[uid] = ill.get(uid, 0) + 1
-        room = MAX_UID_CHARACTERS - sum(len(uid) for uid in self.out)
-        for uid, count in sorted(ill.items(), key=lambda row: (-row[1], row[0])):
-            well = sum(uid in reply["well"] for reply in sound)
-            if uid not in self.out and len(uid) <= room and count >= max(self.witnesses, well + 1):
+                failing_votes[uid] = failing_votes.get(uid, 0) + 1
+        free_characters = MAX_UID_CHARACTERS - sum(len(uid) for uid in self.ejected_until)
+        for uid, count in sorted(failing_votes.items(), key=lambda row: (-row[1], row[0])):
+            healthy_votes = sum(uid in reply["well"] for reply in sound)
+            if (
+                uid not in self.ejected_until
+                and len(uid) <= free_characters
+                and count >= max(self.min_witnesses, healthy_votes + 1)
+            ):
                 return uid
         return None
--- a/caperdeck/leases/runner.py
+++ b/caperdeck/leases/runner.py
@@ -15,14 +15,11 @@
 from .census_state import StateError
 from .expiry import RETRY_SHARE, LeaseHolder
 
-LEASE_SESSION, STATE_SESSION = (
-    0,
-    1,
-)  # a runner's two client sessions: one command of each is under way at a time
+# a runner's two client sessions: one command of each is under way at a time
+LEASE_SESSION, STATE_SESSION = 0, 1
 REQUEST_BACKOFF = (0.1, 0.3)  # of a span, while somebody else holds the work
-UNREADABLE_STATE_BACKOFF = (
-    4.0  # spans in which one that cannot read the last owner's state leaves the work to others
-)
+# spans in which one that cannot read the last owner's state leaves the work to others
+UNREADABLE_STATE_BACKOFF = 4.0
 
 
 class SaveState(NamedTuple):
@@ -46,7 +43,7 @@
 class RunnerEvent(NamedTuple):
     """Something that operators and histories are told."""
 
-    what: str  # held, renewed, lost, refused
+    name: str  # held, renewed, lost, refused
     token: int
     target: str = ""
     reason: str = ""
@@ -63,20 +60,20 @@
 
     def begin(self, now: float, state: str | None) -> None: ...
 
-    def turn(self, now: float) -> SaveState | list[Action]: ...
+    def next_step(self, now: float) -> SaveState | list[Action]: ...
 
-    def kept(self, now: float) -> None: ...
+    def state_committed(self, now: float) -> None: ...
 
-    def answered(self, now: float, target: str, reply: Any) -> None: ...
+    def handle_reply(self, now: float, target: str, reply: Any) -> None: ...
 
 
 class PendingProposal:
     """A proposal under way, sent again under its own number until its answer is known."""
 
-    __slots__ = ("serial", "command", "asked_at", "sent_at")
+    __slots__ = ("serial", "command", "first_sent_at", "sent_at")
 
     def __init__(self, serial: int, command: dict[str, Any], now: float) -> None:
-        self.serial, self.command, self.asked_at, self.sent_at = serial, command, now, now
+        self.serial, self.command, self.first_sent_at, self.sent_at = serial, command, now, now
 
 
 class Runner:
@@ -84,153 +81,156 @@
         self.work, self.holder, self.seed, self.draws = work, LeaseHolder(work.name, name, span), seed, 0
         self.token = 0  # under which the work runs
         self.pending: list[PendingProposal | None] = [None, None]
-        self.serials = [0, 0]
-        self.ask_at = 0.0
-        self.elsewhere = False  # as far as this instance knows, somebody else holds the work
-        self.wish: dict[str, Any] | None = None  # to give the work back or hand it over
-        self.out: list[Proposal | Action | RunnerEvent] = []
+        self.last_serials = [0, 0]
+        self.next_request_at = 0.0
+        self.held_elsewhere = False  # as far as this instance knows, somebody else holds the work
+        self.pending_handover: dict[str, Any] | None = None  # to give the work back or hand it over
+        self.outputs: list[Proposal | Action | RunnerEvent] = []
         self.refused: dict[str, int] = {}
 
     @property
     def due(self) -> float:
         """When to be called next, with nothing coming in."""
         span = self.holder.span
-        times = [c.sent_at + span * RETRY_SHARE for c in self.pending if c is not None]
+        times = [proposal.sent_at + span * RETRY_SHARE for proposal in self.pending if proposal is not None]
         if self.pending[LEASE_SESSION] is None:
-            times.append(self.holder.renew_at if self.token else self.ask_at)
+            times.append(self.holder.renew_at if self.token else self.next_request_at)
         if self.token:
-            times += [self.holder.until, self.work.due if self.pending[STATE_SESSION] is None else math.inf]
+            times += [
+                self.holder.expires_at,
+                self.work.due if self.pending[STATE_SESSION] is None else math.inf,
+            ]
         return min(times)
 
     def tick(self, now: float) -> list[Proposal | Action | RunnerEvent]:
-        self._mind_lease(now)
+        self._maintain_lease(now)
         for session in (LEASE_SESSION, STATE_SESSION):
-            command = self.pending[session]
-            if command is not None and now - command.sent_at >= self.holder.span * RETRY_SHARE:
-                command.sent_at = now
-                self.out.append(Proposal(session, command.serial, command.command))
+            proposal = self.pending[session]
+            if proposal is not None and now - proposal.sent_at >= self.holder.span * RETRY_SHARE:
+                proposal.sent_at = now
+                self.outputs.append(Proposal(session, proposal.serial, proposal.command))
         if self.token and self.pending[STATE_SESSION] is None:
-            self._turn(now)
-        out, self.out = self.out, []
-        return out
+            self._run_work(now)
+        outputs, self.outputs = self.outputs, []
+        return outputs
 
     # ---- the lease
 
-    def _mind_lease(self, now: float) -> None:
+    def _maintain_lease(self, now: float) -> None:
         holder = self.holder
         if self.token and not holder.may_act(now):
             # Danger: a renewal still under way would give the lease back, and with it the state as of the
             # grant, which the work has long gone on from.
-            self._lose("ended")
+            self._lose_lease("ended")
         pending = self.pending[LEASE_SESSION]
-        if pending is not None and now - pending.asked_at >= holder.span:
+        if pending is not None and now - pending.first_sent_at >= holder.span:
             # Danger: a grant counts from when it was first asked for; past a span its answer gives nothing.
             pending = self.pending[LEASE_SESSION] = None
-        if pending is not None or (not holder.token and now < self.ask_at):
+        if pending is not None or (not holder.token and now < self.next_request_at):
             return
-        if not holder.token and self.elsewhere:
+        if not holder.token and self.held_elsewhere:
             # it costs the agreement an entry a question to be told so
-            self._pause(now)
+            self._back_off(now)
             return
-        command = holder.ask(now)
-        if holder.token and self.wish is not None:
-            command = self.wish | {"work": self.work.name, "token": holder.token}
-            self._stop(command["do"])
-            holder.token, self.ask_at = 0, now + holder.span
+        command = holder.next_command(now)
+        if holder.token and self.pending_handover is not None:
+            command = self.pending_handover | {"work": self.work.name, "token": holder.token}
+            self._stop_work(command["do"])
+            holder.token, self.next_request_at = 0, now + holder.span
         if command is not None:
             self._propose(now, LEASE_SESSION, command)
 
     def _propose(self, now: float, session: int, command: dict[str, Any]) -> None:
-        self.serials[session] += 1
-        self.pending[session] = PendingProposal(self.serials[session], command, now)
-        self.out.append(Proposal(session, self.serials[session], command))
+        self.last_serials[session] += 1
+        self.pending[session] = PendingProposal(self.last_serials[session], command, now)
+        self.outputs.append(Proposal(session, self.last_serials[session], command))
 
-    def answer(self, now: float, session: int, serial: int, result: Any) -> None:
+    def handle_result(self, now: float, session: int, serial: int, result: Any) -> None:
         """What became of a proposal; None is not known, and it is asked again in its time."""
-        command = self.pending[session]
-        if command is None or command.serial != serial or result is None:
+        proposal = self.pending[session]
+        if proposal is None or proposal.serial != serial or result is None:
             return
         self.pending[session] = None
         if session == LEASE_SESSION:
-            self._leased(now, command, result)
+            self._handle_lease_result(now, proposal, result)
         elif "no" in result:
             # Danger: the state did not stand; acts that rest on it would be another owner's to make.
-            self._lose(result["no"])
-        elif self.token == command.command["token"]:
-            self.work.kept(now)
+            self._lose_lease(result["no"])
+        elif self.token == proposal.command["token"]:
+            self.work.state_committed(now)
 
-    def _leased(self, now: float, command: PendingProposal, result: dict[str, Any]) -> None:
-        if command.command["do"] in ("acquire", "renew"):
-            self.holder.answered(now, command.asked_at, result)
+    def _handle_lease_result(self, now: float, proposal: PendingProposal, result: dict[str, Any]) -> None:
+        if proposal.command["do"] in ("acquire", "renew"):
+            self.holder.handle_answer(now, proposal.first_sent_at, result)
         if not self.holder.token:
-            self._pause(now)
-        elif command.command["do"] == "renew" and self.token == self.holder.token and "no" not in result:
-            self.out.append(RunnerEvent("renewed", self.token))
+            self._back_off(now)
+        elif proposal.command["do"] == "renew" and self.token == self.holder.token and "no" not in result:
+            self.outputs.append(RunnerEvent("renewed", self.token))
         if self.token != self.holder.token:
-            self._stop(self.holder.lost or "granted-anew")
+            self._stop_work(self.holder.loss_reason or "granted-anew")
             if self.holder.may_act(now):
                 self.token = self.holder.token
-                self._begin(now)
+                self._start_work(now)
 
-    def _begin(self, now: float) -> None:
+    def _start_work(self, now: float) -> None:
         try:
             self.work.begin(now, self.holder.state)
         except StateError as error:
             # Danger: work begun without what the last owner kept would deal out anew what is held already.
             self._count_refused(f"state-{error}")
-            self._lose(f"state-{error}")
-            self.ask_at = now + UNREADABLE_STATE_BACKOFF * self.holder.span
+            self._lose_lease(f"state-{error}")
+            self.next_request_at = now + UNREADABLE_STATE_BACKOFF * self.holder.span
         else:
-            self.out.append(RunnerEvent("held", self.token))
+            self.outputs.append(RunnerEvent("held", self.token))
 
     def _count_refused(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
-    def _pause(self, now: float) -> None:
+    def _back_off(self, now: float) -> None:
         low, high = REQUEST_BACKOFF
         self.draws += 1
         wait = self.holder.span * (low + (high - low) * chance(self.seed, self.draws))
-        self.ask_at = max(self.ask_at, now + wait)
+        self.next_request_at = max(self.next_request_at, now + wait)
 
-    def _stop(self, reason: str) -> None:
+    def _stop_work(self, reason: str) -> None:
         """Nothing more is done under the token; answers to what is under way are not taken."""
         if self.token:
-            self.out.append(RunnerEvent("lost", self.token, reason=reason))
+            self.outputs.append(RunnerEvent("lost", self.token, reason=reason))
             # what an operator wished of this lease is no wish for a later one
-            self.token, self.pending[STATE_SESSION], self.wish = 0, None, None
+            self.token, self.pending[STATE_SESSION], self.pending_handover = 0, None, None
 
-    def _lose(self, reason: str) -> None:
-        self.holder.token, self.holder.lost = 0, reason
-        self._stop(reason)
+    def _lose_lease(self, reason: str) -> None:
+        self.holder.token, self.holder.loss_reason = 0, reason
+        self._stop_work(reason)
 
-    def leave(self, to: str | None) -> str | None:
+    def give_up(self, to: str | None) -> str | None:
         """Gives the work back, or hands it over; the reason if it is not held."""
         if not self.token:
             return "not-held"
-        self.wish = {"do": "give"} if to is None else {"do": "hand", "to": to}
+        self.pending_handover = {"do": "give"} if to is None else {"do": "hand", "to": to}
         return None
 
     # ---- the work
 
-    def _turn(self, now: float) -> None:
-        got = self.work.turn(now)
-        if isinstance(got, SaveState):
-            command = {"do": "save", "work": self.work.name, "token": self.token, "state": got.state}
+    def _run_work(self, now: float) -> None:
+        step = self.work.next_step(now)
+        if isinstance(step, SaveState):
+            command = {"do": "save", "work": self.work.name, "token": self.token, "state": step.state}
             self._propose(now, STATE_SESSION, command)
             return
-        for act in got:
-            self.out.append(act._replace(token=self.token))
+        for action in step:
+            self.outputs.append(action._replace(token=self.token))
 
-    def acted(self, now: float, act: Action, reply: Any) -> None:
+    def handle_reply(self, now: float, action: Action, reply: Any) -> None:
         """The target's answer; None if none came, a dict with `no` if it was refused."""
-        if act.token != self.token:
+        if action.token != self.token:
             return
         if isinstance(reply, dict) and "no" in reply:
             reason = str(reply["no"])
             self._count_refused(reason)
-            self.out.append(RunnerEvent("refused", self.token, act.target, reason))
+            self.outputs.append(RunnerEvent("refused", self.token, action.target, reason))
             if reason == "older-token":
-                self._lose(reason)
+                self._lose_lease(reason)
                 return
             reply = None
-        self.work.answered(now, act.target, reply)
+        self.work.handle_reply(now, action.target, reply)
--- a/caperdeck/leases/target.py
+++ b/caperdeck/leases/target.py
@@ -27,33 +27,39 @@
     """
 
     def __init__(
-        self, life: int, nodes: int, listed: Callable[[], list[str]], ill: Callable[[], list[str] | None],
-        well: Callable[[str], bool], tries: Callable[[], int],
+        self, life: int, nodes: int, listed_hosts: Callable[[], list[str]],
+        failing_hosts: Callable[[], list[str] | None], is_healthy: Callable[[str], bool],
+        session_count: Callable[[], int],
     ) -> None:  # fmt: skip
         self.fence = Fence()
         self.life, self.nodes = life, nodes
-        self.listed, self.ill, self.well, self.tries = listed, ill, well, tries
-        self.out: dict[str, float] = {}  # by uid, until when
-        self.number = NO_ACTION  # of the last act on hosts: token, its number
+        self.listed_hosts, self.failing_hosts, self.is_healthy, self.session_count = (
+            listed_hosts,
+            failing_hosts,
+            is_healthy,
+            session_count,
+        )
+        self.ejected_until: dict[str, float] = {}  # by uid, until when
+        self.last_ejection = NO_ACTION  # of the last act on hosts: token, its number
         self.epoch, self.share, self.living = 0, FLOOR_SHARE / nodes, 0
         self.refused: dict[str, int] = {}
-        self.taken = 0
+        self.accepted = 0
 
-    def act(self, now: float, work: str, token: int, body: Any) -> dict[str, Any]:
+    def execute(self, now: float, work: str, token: int, body: Any) -> dict[str, Any]:
         """What the act came to; `no` with the reason if it was not carried out."""
-        do = {HOSTS: self._hosts, CENSUS: self._census}.get(work)
-        if do is None or not isinstance(body, dict):
-            return self._refuse("no-such-work" if do is None else "bad-act")
+        prepare = {HOSTS: self._prepare_ejection, CENSUS: self._prepare_share}.get(work)
+        if prepare is None or not isinstance(body, dict):
+            return self._refuse("no-such-work" if prepare is None else "bad-act")
         if (reason := self.fence.check(work, token)) is not None:
             return self._refuse(reason)
         try:
-            prepared = do(now, token, body)
+            outcome = prepare(now, token, body)
         except (KeyError, TypeError, ValueError):
             return self._refuse("bad-act")
-        if isinstance(prepared, str):
-            return self._refuse(prepared)
-        self.taken += 1
-        return prepared()
+        if isinstance(outcome, str):
+            return self._refuse(outcome)
+        self.accepted += 1
+        return outcome()
 
     def _refuse(self, reason: str) -> dict[str, Any]:
         self.refused[reason] = self.refused.get(reason, 0) + 1
@@ -61,48 +67,49 @@
 
     # ---- hosts turned out and back
 
-    def _hosts(self, now: float, token: int, body: dict[str, Any]) -> Any:
+    def _prepare_ejection(self, now: float, token: int, body: dict[str, Any]) -> Any:
         """These hosts are out for so long from now, and no others are by the fleet's word."""
-        number, uids, span = (token, body["number"]), list(dict.fromkeys(body["out"])), body["ms"]
-        if not all(isinstance(x, str) for x in [*uids, *body["ask"]]) or not isinstance(number[1], int):
+        sequence, uids, duration = (token, body["number"]), list(dict.fromkeys(body["out"])), body["ms"]
+        if not all(isinstance(x, str) for x in [*uids, *body["ask"]]) or not isinstance(sequence[1], int):
             return "bad-act"
-        if isinstance(span, bool) or not math.isfinite(span) or not 0 < span <= MAX_ACTION_MS:
+        if isinstance(duration, bool) or not math.isfinite(duration) or not 0 < duration <= MAX_ACTION_MS:
             return "bad-span"
-        if len(uids) > math.floor(MAX_EJECTED_SHARE * len(self.listed())):
+        if len(uids) > math.floor(MAX_EJECTED_SHARE * len(self.listed_hosts())):
             return "too-many-hosts"
-        if number < self.number and token == self.number[0]:
+        if sequence < self.last_ejection and token == self.last_ejection[0]:
             # Danger: an act that was long under way would bring back what a later one decided otherwise.
             return "older-act"
 
-        def carry_out() -> dict[str, Any]:
-            self.number = number
-            self.out = dict.fromkeys(uids, now + span)
-            ill = self.ill()
+        def apply() -> dict[str, Any]:
+            self.last_ejection = sequence
+            self.ejected_until = dict.fromkeys(uids, now + duration)
+            failing = self.failing_hosts()
             return {
-                "life": self.life, "sound": ill is not None, "ill": (ill or [])[:MAX_REPORTED_HOSTS],
-                "well": [uid for uid in body["ask"][:MAX_REPORTED_HOSTS] if self.well(uid)],
-                "hosts": len(self.listed()),
+                "life": self.life, "sound": failing is not None,
+                "ill": (failing or [])[:MAX_REPORTED_HOSTS],
+                "well": [uid for uid in body["ask"][:MAX_REPORTED_HOSTS] if self.is_healthy(uid)],
+                "hosts": len(self.listed_hosts()),
             }  # fmt: skip
 
-        return carry_out
+        return apply
 
     def is_out(self, now: float, uid: str) -> bool:
-        return self.out.get(uid, -math.inf) > now
+        return self.ejected_until.get(uid, -math.inf) > now
 
     @property
     def due(self) -> float:
-        return min(self.out.values(), default=math.inf)
+        return min(self.ejected_until.values(), default=math.inf)
 
     def tick(self, now: float) -> list[str]:
         """Hosts whose time is over: nobody has renewed it."""
-        back = [uid for uid, until in self.out.items() if until <= now]
-        for uid in back:
-            del self.out[uid]
-        return back
+        expired = [uid for uid, until in self.ejected_until.items() if until <= now]
+        for uid in expired:
+            del self.ejected_until[uid]
+        return expired
 
     # ---- the census
 
-    def _census(self, now: float, token: int, body: dict[str, Any]) -> Any:
+    def _prepare_share(self, now: float, token: int, body: dict[str, Any]) -> Any:
         """A new epoch, whole, or with epoch 0 only the question."""
         epoch, share, living = body["epoch"], body["share"], body["living"]
         if not all(isinstance(x, int) and not isinstance(x, bool) and x >= 0 for x in (epoch, living)):
@@ -118,19 +125,25 @@
             # Danger: an old epoch's larger share, long under way, would reach a node that has just forgotten.
             return "other-life"
 
-        def carry_out() -> dict[str, Any]:
+        def apply() -> dict[str, Any]:
             if epoch:
                 self.epoch, self.share, self.living = epoch, share, living
-            return {"life": self.life, "epoch": self.epoch, "share": self.share, "tries": self.tries()}
+            return {
+                "life": self.life,
+                "epoch": self.epoch,
+                "share": self.share,
+                "tries": self.session_count(),
+            }
 
-        return carry_out
+        return apply
 
     # ---- what is shown
 
     def lines(self, now: float) -> list[str]:
         rows = {
             "epoch": self.epoch, "share": round(self.share, 6), "living": self.living,
-            "hosts_out": sum(until > now for until in self.out.values()), "acts_taken": self.taken,
+            "hosts_out": sum(until > now for until in self.ejected_until.values()),
+            "acts_taken": self.accepted,
         }  # fmt: skip
         lines = [f"app_owner_{name} {value}" for name, value in rows.items()]
         lines += [f'app_owner_token{{work="{w}"}} {t}' for w, t in sorted(self.fence.highest.items())]
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -46,7 +46,7 @@
         # Danger: by a clock that went back a new life could be taken for an old one, and be told its word.
         life = int.from_bytes(os.urandom(6), "big") + 1
         self.target = Target(life, max(nodes, 1), self._listed, self._ill, self._well, desk.figures.tries)
-        self.asking = TokenRecovery(reactor, owners, self.target.fence.learned)
+        self.asking = TokenRecovery(reactor, owners, self.target.fence.record_token)
         self.timer: Any = None
         self.in_force: set[str] = set()  # uids that are out here by the fleet's word
 
@@ -60,7 +60,7 @@
             return
         # Danger: what lay here while the node slept was meant for another time; whoever still wants it asks
         # again.
-        answer = {"no": "was-away"} if self.desk.age() else self.target.act(now, work, number, what)
+        answer = {"no": "was-away"} if self.desk.age() else self.target.execute(now, work, number, what)
         values = {"work": work, "token": number, "at": now, "target": self.name}
         if "no" in answer:
             reason = answer["no"]
@@ -73,7 +73,8 @@
             return
         logger.bind(event={
             "ev": "acted", "number": what.get("number", what.get("epoch")), "share": self.target.share,
-            "epoch": self.target.epoch, "living": self.target.living, "out": list(self.target.out), **values,
+            "epoch": self.target.epoch, "living": self.target.living, "out": list(self.target.ejected_until),
+            **values,
         }).debug("owner act work={} token={}", work, number)  # fmt: skip
         self._take_out(now)
         then(yes(orjson.dumps(answer).decode()))
@@ -94,14 +95,14 @@
         """Puts into force what the target holds: out by the fleet's word, or by an operator's here."""
         self.target.tick(now)
         hosts, by_hand = self.desk.hosts, set(self.bans())
-        wanted = {uid for uid in self.target.out if uid in hosts.index}
+        wanted = {uid for uid in self.target.ejected_until if uid in hosts.index}
         for uid in sorted(wanted ^ self.in_force):
             if uid not in by_hand:
                 self.desk.ban(uid, uid in wanted)
         self.in_force = wanted
         cancel(self.timer)
         self.timer = None
-        if self.target.out:
+        if self.target.ejected_until:
             wait = max(self.target.due - now, 0.0) / 1000.0 + BEHIND
             self.timer = self.reactor.callLater(wait, self._timer_fired)
 
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -70,7 +70,7 @@
             self.driver, self.net, self.agreed.versions, f"o{config.me}", self._at_leader,
             wrap_versions_command,
         )  # fmt: skip
-        self.warden: LeaseExpiryMonitor | None = None
+        self.expiry_monitor: LeaseExpiryMonitor | None = None
         self.expiring: dict[str, float] = {}
         self.nodes = NodeLinks(reactor, config.nodes)
         names = list(config.nodes)
@@ -153,16 +153,19 @@
             self.timer.reset(0)
 
     def _watch(self, now: float) -> None:
-        if self.warden is None or self.raft.role is not Role.LEADER:
+        if self.expiry_monitor is None or self.raft.role is not Role.LEADER:
             return
-        for command in self.warden.look(now):
+        for command in self.expiry_monitor.check(now):
             if now >= self.expiring.get(command["work"], 0.0):
                 self.expiring[command["work"]] = now + EXPIRE_RETRY_MS
                 self.driver.propose(orjson.dumps(command), 0, 0, lambda _: None)
 
     def _run(self, work: str) -> None:
         runner, row = self.runners[work], self.table.row(work)
-        runner.elsewhere = row is not None and not {row["holder"], row["heir"]} <= {None, runner.holder.name}
+        runner.held_elsewhere = row is not None and not {row["holder"], row["heir"]} <= {
+            None,
+            runner.holder.name,
+        }
         for out in runner.tick(self.clock()):
             match out:
                 case Proposal(session, serial, command):
@@ -175,7 +178,7 @@
 
     def _told(self, work: str, session: int, serial: int, result: Any) -> None:
         if result is not None:
-            self.runners[work].answer(self.clock(), session, serial, result)
+            self.runners[work].handle_result(self.clock(), session, serial, result)
             self._soon()
 
     def _act(self, work: str, act: Action) -> None:
@@ -189,7 +192,7 @@
 
     def _acted(self, work: str, act: Action, reply: Any) -> None:
         if not self.closed:
-            self.runners[work].acted(self.clock(), act, reply)
+            self.runners[work].handle_reply(self.clock(), act, reply)
             self._soon()
 
     def _note(self, work: str, note: RunnerEvent) -> None:
@@ -282,7 +285,9 @@
             "commit": raft.commit, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
             "events": self.counted, "watches": self.distribution.watches.figures(),
             # its own copy of the table below may lag behind what it was told
-            "holds": {w: {"token": r.token, "left": round(r.holder.until - now)} for w, r in held.items()},
+            "holds": {
+                w: {"token": r.token, "left": round(r.holder.expires_at - now)} for w, r in held.items()
+            },
             "refused": {w: r.refused for w, r in self.runners.items() if r.refused},
             "works": {
                 w: {"holder": row["holder"], "heir": row["heir"], "token": row["token"]}
@@ -312,7 +317,7 @@
         to = body.get("to")
         if runner is None or not (to is None or isinstance(to, str)):
             raise ValueError
-        reason = runner.leave(to)
+        reason = runner.give_up(to)
         then({"no": reason} if reason else {"ok": True})
 
     def _on_release(self, body: dict[str, Any], then: Then) -> None:
@@ -369,7 +374,7 @@
         self.net.send(to, message)
 
     def _became(self, role: Role, term: int, leader: int | None) -> None:
-        self.warden = LeaseExpiryMonitor(self.table, self.clock()) if role is Role.LEADER else None
+        self.expiry_monitor = LeaseExpiryMonitor(self.table, self.clock()) if role is Role.LEADER else None
         self.expiring = {}
         if role in (Role.LEADER, Role.FOLLOWER):
             name = "-" if leader is None else f"o{leader}"
@@ -377,8 +382,8 @@
 
     def _applied(self, index: int, entry: Entry, result: Any) -> None:
         now = self.clock()
-        if self.warden is not None:
-            self.warden.look(now)
+        if self.expiry_monitor is not None:
+            self.expiry_monitor.check(now)
         if isinstance(result, dict) and "state" in result and self.raft.role is Role.LEADER:
             command = orjson.loads(entry.data)
             self.event("grant", at=f"o{self.config.me}", work=command["work"], holder=command["holder"],
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -17,9 +17,8 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import OneConnection
 
-ANSWER_TIMEOUT_S = (
-    1.0  # seconds from an act until its answer, a connection that has to come up first included
-)
+# seconds from an act until its answer, a connection that has to come up first included
+ANSWER_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 8192  # bytes of an answer
 
 ReplyHandler = Callable[[Any], None]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -67,51 +67,51 @@
 
 def test_work_that_is_handed_over_is_kept_for_its_heir_until_that_one_does_not_come():
     t = LeaseTable()
-    warden = LeaseExpiryMonitor(t, 0.0)
+    monitor = LeaseExpiryMonitor(t, 0.0)
     t.apply({"do": "hand", "work": "w", "token": acquire(t)["token"], "to": "b"})
-    warden.look(0.0)
+    monitor.check(0.0)
     assert acquire(t, "c") == {"no": "held", "holder": "b"}
-    for command in warden.look(SPAN * (1 + MAX_CLOCK_DRIFT)):
+    for command in monitor.check(SPAN * (1 + MAX_CLOCK_DRIFT)):
         t.apply(command)
     assert acquire(t, "c")["ok"]
 
 
 def test_a_lease_counts_from_before_it_was_asked_for_and_ends_before_others_may_have_it():
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
-    answer = t.apply(h.ask(0.0))
-    warden = LeaseExpiryMonitor(t, 1.0)
-    h.answered(400.0, 0.0, answer)
+    answer = t.apply(h.next_command(0.0))
+    monitor = LeaseExpiryMonitor(t, 1.0)
+    h.handle_answer(400.0, 0.0, answer)
     assert h.may_act(SPAN * (1 - MAX_CLOCK_DRIFT) - 1) and not h.may_act(SPAN * (1 - MAX_CLOCK_DRIFT))
     assert (
-        warden.look(SPAN * (1 + MAX_CLOCK_DRIFT)) == []
-        and warden.look(SPAN * (1 + MAX_CLOCK_DRIFT) + 1) != []
+        monitor.check(SPAN * (1 + MAX_CLOCK_DRIFT)) == []
+        and monitor.check(SPAN * (1 + MAX_CLOCK_DRIFT) + 1) != []
     )
 
 
 def test_an_answer_that_comes_past_the_end_gives_nothing():
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
-    h.answered(SPAN, 0.0, t.apply(h.ask(0.0)))
+    h.handle_answer(SPAN, 0.0, t.apply(h.next_command(0.0)))
     assert not h.may_act(SPAN) and h.token == 0
 
 
 def test_a_holder_that_slept_past_the_end_does_not_renew():
     """Renewed in time by the table's count, it would go on with a lease that another may have had between."""
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
-    h.answered(0.0, 0.0, t.apply(h.ask(0.0)))
-    assert h.ask(100.0) is None and h.ask(400.0)["do"] == "renew"
-    assert h.ask(5000.0)["do"] == "acquire" and h.lost == "ended"
+    h.handle_answer(0.0, 0.0, t.apply(h.next_command(0.0)))
+    assert h.next_command(100.0) is None and h.next_command(400.0)["do"] == "renew"
+    assert h.next_command(5000.0)["do"] == "acquire" and h.loss_reason == "ended"
 
 
 def test_a_renewal_that_is_answered_past_the_end_gives_nothing_back():
     """On the rig it gave the census back to its owner without its state, and shares passed the whole."""
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
-    h.answered(0.0, 0.0, t.apply(h.ask(0.0)))
+    h.handle_answer(0.0, 0.0, t.apply(h.next_command(0.0)))
     t.apply({"do": "save", "work": "w", "token": 1, "state": "far"})
-    answer = t.apply(h.ask(900.0))
-    assert h.ask(SPAN)["do"] == "acquire" and h.token == 0
-    h.answered(SPAN + 1, 900.0, answer)
+    answer = t.apply(h.next_command(900.0))
+    assert h.next_command(SPAN)["do"] == "acquire" and h.token == 0
+    h.handle_answer(SPAN + 1, 900.0, answer)
     assert h.token == 0 and not h.may_act(SPAN + 1)
-    h.answered(SPAN + 2, SPAN, t.apply(h.ask(SPAN)))
+    h.handle_answer(SPAN + 2, SPAN, t.apply(h.next_command(SPAN)))
     assert h.token == 2 and h.state == "far"
 
 
@@ -129,10 +129,10 @@
 def test_a_new_leader_waits_a_whole_span_before_it_ends_a_lease():
     t = LeaseTable()
     acquire(t)
-    warden = LeaseExpiryMonitor(t, 50_000.0)
-    assert warden.look(50_000.0 + SPAN) == []
+    monitor = LeaseExpiryMonitor(t, 50_000.0)
+    assert monitor.check(50_000.0 + SPAN) == []
     t.apply({"do": "renew", "work": "w", "token": 1})
-    assert warden.look(50_000.0 + 2 * SPAN) == []  # renewed since
+    assert monitor.check(50_000.0 + 2 * SPAN) == []  # renewed since
 
 
 def test_a_fence_takes_no_older_token_and_counts_what_it_refuses():
@@ -145,7 +145,7 @@
 def test_a_target_without_memory_asks_before_it_takes_a_token():
     f = Fence()
     assert f.check("w", 7) == "asks-first"
-    f.learned("w", 8)
+    f.record_token("w", 8)
     assert f.check("w", 7) == "older-token" and f.check("w", 8) is None
     assert Fence({"w": 8}).check("w", 7) == "older-token"
 
@@ -154,8 +154,8 @@
 
 
 class CountsFromTheAnswer(LeaseHolder):
-    def answered(self, now, asked, answer):
-        super().answered(now, now, answer)
+    def handle_answer(self, now, requested_at, answer):
+        super().handle_answer(now, now, answer)
 
 
 class ChecksNothing(Fence):
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -42,16 +42,16 @@
     def begin(self, now, state):
         self.done, self.safe, self.answers = int(state or 0), True, []
 
-    def turn(self, now):
+    def next_step(self, now):
         if not self.safe:
             return SaveState(str(self.done))
         self.done, self.safe = self.done + 1, False
         return [Action("n0", {"step": self.done})]
 
-    def kept(self, now):
+    def state_committed(self, now):
         self.safe = True
 
-    def answered(self, now, target, reply):
+    def handle_reply(self, now, target, reply):
         self.answers.append(reply)
 
 
@@ -68,7 +68,7 @@
         out = runner.tick(now)
         for x in out:
             if isinstance(x, Proposal) and answers:
-                runner.answer(now, x.session, x.serial, self.table.apply(x.command))
+                runner.handle_result(now, x.session, x.serial, self.table.apply(x.command))
             elif isinstance(x, Action):
                 self.acts.append(x)
         return out
@@ -87,7 +87,7 @@
     assert fleet.acts == [Action("n0", {"step": 1}, 1)] and fleet.table.row("steps")["state"] is None
     out = fleet.turn(runner, 2.0, answers=False)  # the state is on its way, and nothing else is done
     assert [x.command["do"] for x in out] == ["save"] and fleet.turn(runner, 3.0) == []
-    runner.answer(4.0, STATE_SESSION, out[0].serial, fleet.table.apply(out[0].command))
+    runner.handle_result(4.0, STATE_SESSION, out[0].serial, fleet.table.apply(out[0].command))
     fleet.turn(runner, 5.0)
     assert [a.body["step"] for a in fleet.acts] == [1, 2]
 
@@ -108,18 +108,18 @@
     fleet, runner = held()
     fleet.turn(runner, 1.0)
     (save,) = fleet.turn(runner, 2.0, answers=False)
-    runner.answer(3.0, STATE_SESSION, save.serial, {"no": "older-token"})
+    runner.handle_result(3.0, STATE_SESSION, save.serial, {"no": "older-token"})
     assert runner.token == 0 and RunnerEvent("lost", 1, reason="older-token") in runner.tick(4.0)
 
 
 def test_a_target_that_knows_a_newer_token_ends_the_work():
     fleet, runner = held()
     fleet.turn(runner, 1.0)
-    runner.acted(2.0, fleet.acts[0], {"no": "asks-first"})
+    runner.handle_reply(2.0, fleet.acts[0], {"no": "asks-first"})
     assert runner.token == 1 and runner.work.answers == [None]
-    runner.acted(2.0, fleet.acts[0], {"no": "older-token"})
+    runner.handle_reply(2.0, fleet.acts[0], {"no": "older-token"})
     assert runner.token == 0 and runner.refused == {"asks-first": 1, "older-token": 1}
-    runner.acted(2.0, fleet.acts[0], {"life": 1})
+    runner.handle_reply(2.0, fleet.acts[0], {"life": 1})
     assert runner.work.answers == [None]
 
 
@@ -129,7 +129,7 @@
     fleet.turn(runner, 1.0)
     out = fleet.turn(runner, 5 * SPAN, answers=False)
     assert RunnerEvent("lost", 1, reason="ended") in out and not any(isinstance(x, Action) for x in out)
-    runner.acted(5 * SPAN, fleet.acts[0], {"life": 1})
+    runner.handle_reply(5 * SPAN, fleet.acts[0], {"life": 1})
     assert runner.work.answers == []
 
 
@@ -141,7 +141,7 @@
     (renew,) = [x for x in runner.tick(400.0) if isinstance(x, Proposal) and x.session == LEASE_SESSION]
     answer = fleet.table.apply(renew.command)
     runner.tick(SPAN)
-    runner.answer(SPAN + 1, LEASE_SESSION, renew.serial, answer)
+    runner.handle_result(SPAN + 1, LEASE_SESSION, renew.serial, answer)
     assert runner.token == 0
     fleet.turn(runner, runner.due)
     assert runner.token == 2 and runner.work.done == int(fleet.table.row("steps")["state"])
@@ -151,10 +151,10 @@
     runner = Fleet().runner("o0")
     first = runner.tick(0.0)
     assert runner.tick(50.0) == [] and runner.tick(100.0) == first
-    runner.answer(
+    runner.handle_result(
         150.0, LEASE_SESSION, first[0].serial, {"ok": True, "token": 1, "span": SPAN, "state": None}
     )
-    assert runner.holder.until < SPAN  # counted from the first time of asking
+    assert runner.holder.expires_at < SPAN  # counted from the first time of asking
     late = Fleet().runner("o0")
     (one,) = late.tick(0.0)
     (other,) = late.tick(SPAN)
@@ -163,16 +163,16 @@
 
 def test_who_sees_the_work_held_asks_nothing_and_asks_once_it_is_free():
     runner = Fleet().runner("o0")
-    runner.elsewhere = True
+    runner.held_elsewhere = True
     assert runner.tick(0.0) == [] and runner.due > 0.0
-    runner.elsewhere = False
+    runner.held_elsewhere = False
     assert runner.tick(runner.due)[0].command["do"] == "acquire"
 
 
 @pytest.mark.parametrize("to, holder, heir", [(None, None, None), ("o1", None, "o1")])
 def test_work_is_given_back_or_handed_over(to, holder, heir):
     fleet, runner = held()
-    assert fleet.runner("o1").leave(to) == "not-held" and runner.leave(to) is None
+    assert fleet.runner("o1").give_up(to) == "not-held" and runner.give_up(to) is None
     fleet.turn(runner, 1.0)
     row = fleet.table.row("steps")
     assert (row["holder"], row["heir"], runner.token) == (holder, heir, 0)
@@ -186,8 +186,8 @@
     listed = [f"h{i}" for i in range(hosts)]
     t = Target(life, nodes, lambda: listed, lambda: None if ill is None else list(ill),
                lambda uid: uid in well, lambda: 0)  # fmt: skip
-    t.fence.learned(HOSTS, 0)
-    t.fence.learned(CENSUS, 0)
+    t.fence.record_token(HOSTS, 0)
+    t.fence.record_token(CENSUS, 0)
     return t
 
 
@@ -222,33 +222,35 @@
 ])  # fmt: skip
 def test_an_act_that_is_refused_changes_nothing_and_has_its_reason(work, token, body, reason):
     t = target()
-    assert "no" not in t.act(0.0, HOSTS, 5, out("h0", number=2))
-    assert "no" not in t.act(0.0, CENSUS, 5, share(2, 0.2))
-    before = dict(t.out), t.share, t.epoch, t.number
-    assert t.act(0.0, work, token, body) == {"no": reason}
-    assert (t.out, t.share, t.epoch, t.number) == before and t.refused == {reason: 1}
+    assert "no" not in t.execute(0.0, HOSTS, 5, out("h0", number=2))
+    assert "no" not in t.execute(0.0, CENSUS, 5, share(2, 0.2))
+    before = dict(t.ejected_until), t.share, t.epoch, t.last_ejection
+    assert t.execute(0.0, work, token, body) == {"no": reason}
+    assert (t.ejected_until, t.share, t.epoch, t.last_ejection) == before and t.refused == {reason: 1}
 
 
 def test_a_node_that_starts_takes_nothing_before_it_has_asked():
     t = Target(1, 4, list, list, bool, int)
-    assert t.act(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "asks-first"} and t.share == FLOOR_SHARE / 4
-    t.fence.learned(CENSUS, 10)
-    assert t.act(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "older-token"}
-    assert "no" not in t.act(0.0, CENSUS, 10, share(0, 0.0, 0))
+    assert t.execute(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "asks-first"} and t.share == FLOOR_SHARE / 4
+    t.fence.record_token(CENSUS, 10)
+    assert t.execute(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "older-token"}
+    assert "no" not in t.execute(0.0, CENSUS, 10, share(0, 0.0, 0))
 
 
 def test_a_host_is_back_by_itself_when_nobody_renews_it():
     t = target()
-    t.act(0.0, HOSTS, 1, out("h0", "h1"))
-    t.act(EJECTION_LEASE_MS / 2, HOSTS, 1, out("h1"))
+    t.execute(0.0, HOSTS, 1, out("h0", "h1"))
+    t.execute(EJECTION_LEASE_MS / 2, HOSTS, 1, out("h1"))
     assert [t.is_out(EJECTION_LEASE_MS, uid) for uid in ("h0", "h1")] == [False, True]
-    assert t.tick(EJECTION_LEASE_MS) == [] and t.tick(1.5 * EJECTION_LEASE_MS) == ["h1"] and not t.out
+    assert (
+        t.tick(EJECTION_LEASE_MS) == [] and t.tick(1.5 * EJECTION_LEASE_MS) == ["h1"] and not t.ejected_until
+    )
 
 
 def test_a_node_says_what_it_sees_of_hosts():
-    said = target(ill=["h3"], well=["h2"]).act(0.0, HOSTS, 1, out(ask=["h2", "h4"]))
+    said = target(ill=["h3"], well=["h2"]).execute(0.0, HOSTS, 1, out(ask=["h2", "h4"]))
     assert (said["ill"], said["well"], said["sound"], said["hosts"]) == (["h3"], ["h2"], True, 8)
-    assert target(ill=None).act(0.0, HOSTS, 1, out())["sound"] is False
+    assert target(ill=None).execute(0.0, HOSTS, 1, out())["sound"] is False
 
 
 # ---- hosts turned out and back
@@ -268,10 +270,10 @@
 
     def run(self, now, until):
         while now < until:
-            got = self.work.turn(now)
+            got = self.work.next_step(now)
             if isinstance(got, SaveState):
                 self.state = got.state
-                self.work.kept(now)
+                self.work.state_committed(now)
                 continue
             for act in got:
                 reply = None
@@ -280,9 +282,9 @@
                     sound = self.ill[act.target] is not Hosts.everything
                     well = [u for u in act.body["ask"] if u in self.well[act.target]]
                     reply = {"life": 1, "sound": sound, "ill": seen, "well": well, "hosts": 8}
-                self.work.answered(now, act.target, reply)
+                self.work.handle_reply(now, act.target, reply)
             now += 50.0
-        return sorted(self.work.out)
+        return sorted(self.work.ejected_until)
 
     everything = ("h0", "h1", "h2", "h3", "h4", "h5")
 
@@ -307,21 +309,24 @@
     f = Hosts()
     f.ill |= {"n0": ["h5"], "n1": ["h5"]}
     assert f.run(0.0, 3000) == ["h5"]
-    first = f.work.out["h5"]
+    first = f.work.ejected_until["h5"]
     f.run(3000.0, first + 3000)
-    assert f.work.out["h5"] - first > 1.9 * FIRST_EJECTION_MS
+    assert f.work.ejected_until["h5"] - first > 1.9 * FIRST_EJECTION_MS
 
 
 def test_so_many_go_out_in_a_minute_whoever_owns_the_work():
     f = Hosts(nodes=3)
     f.ill |= {n: [f"h{i}" for i in range(8)] for n in ("n0", "n1", "n2")}
     f.run(0.0, FIRST_EJECTION_MS + 4000)
-    assert len(f.work.recent) == MAX_EJECTIONS_PER_MINUTE
+    assert len(f.work.recent_ejections) == MAX_EJECTIONS_PER_MINUTE
     other = Hosts(nodes=3, state=f.state, now=FIRST_EJECTION_MS + 4000)
     other.ill |= f.ill
-    assert sorted(other.work.out) == sorted(f.work.out) and other.work.number == f.work.number
+    assert (
+        sorted(other.work.ejected_until) == sorted(f.work.ejected_until)
+        and other.work.sequence == f.work.sequence
+    )
     other.run(FIRST_EJECTION_MS + 4000, MINUTE_MS)
-    assert sum(at > 0 for at in other.work.recent) == MAX_EJECTIONS_PER_MINUTE
+    assert sum(at > 0 for at in other.work.recent_ejections) == MAX_EJECTIONS_PER_MINUTE
 
 
 # ---- the census
@@ -362,25 +367,25 @@
 
 
 class GivesAwayWhatTheSilentHold(Census):
-    def _grow(self):
+    def _grow_shares(self):
         for node in self.nodes:
-            if self.want.get(node, 0.0) > self.held[node]:
-                self.held[node], self.dirty = self.want[node], True
+            if self.wanted_shares.get(node, 0.0) > self.held_shares[node]:
+                self.held_shares[node], self.dirty = self.wanted_shares[node], True
 
 
 class TakesAnyWordForTheLast(Census):
-    def answered(self, now, target, reply):
-        super().answered(now, target, reply)
+    def handle_reply(self, now, target, reply):
+        super().handle_reply(now, target, reply)
         if reply is not None:
-            self.held[target] = reply["share"]
+            self.held_shares[target] = reply["share"]
 
 
 class TellsWhatIsNotKept(Census):
-    def turn(self, now):
-        got = super().turn(now)
+    def next_step(self, now):
+        got = super().next_step(now)
         if isinstance(got, SaveState):
             self.dirty = False
-            return super().turn(now)
+            return super().next_step(now)
         return got
 
 
@@ -393,18 +398,26 @@
 
 def test_a_state_that_was_kept_is_read_back_whole():
     c = Census(["a", "b"], 1)
-    c.epoch, c.want, c.held["a"], c.living = 4, {"a": 0.5}, 0.5, 1
+    c.epoch, c.wanted_shares, c.held_shares["a"], c.living = 4, {"a": 0.5}, 0.5, 1
     d = Census(["a", "b", "c"], 1)
     d.begin(0.0, orjson.dumps(orjson.loads(c.dump())).decode())
-    assert (d.epoch, d.want, d.living, d.held["a"]) == (4, {"a": 0.5}, 1, 0.5)
+    assert (d.epoch, d.wanted_shares, d.living, d.held_shares["a"]) == (4, {"a": 0.5}, 1, 0.5)
 
 
 def test_a_node_that_the_file_names_no_more_is_gone_and_its_share_free():
     c = Census(["a", "b", "c", "d"], 1)
-    c.epoch, c.want, c.held = 4, {"a": 0.55, "d": 0.2}, {"a": 0.55, "b": 0.125, "c": 0.125, "d": 0.2}
+    c.epoch, c.wanted_shares, c.held_shares = (
+        4,
+        {"a": 0.55, "d": 0.2},
+        {"a": 0.55, "b": 0.125, "c": 0.125, "d": 0.2},
+    )
     fewer = Census(["a", "b", "c"], 1)
     fewer.begin(0.0, c.dump())
-    assert fewer.held == {"a": 0.55, "b": FLOOR_SHARE / 3, "c": FLOOR_SHARE / 3} and fewer.want == {"a": 0.55}
+    assert fewer.held_shares == {
+        "a": 0.55,
+        "b": FLOOR_SHARE / 3,
+        "c": FLOOR_SHARE / 3,
+    } and fewer.wanted_shares == {"a": 0.55}
 
 
 shares = st.floats(0, 1)
@@ -415,9 +428,9 @@
 def test_rows_read_back_no_share_held_as_less_and_none_wanted_as_more(nodes, epoch):
     want, held = ({n: pair[i] for n, pair in nodes.items()} for i in (0, 1))
     told = decode(_encode_rows(CensusState(epoch, 7, want, held)), nodes)
-    assert (told.epoch, told.living, set(told.held)) == (epoch, 7, set(nodes))
-    assert all(-1e-15 <= told.held[n] - held[n] < 1e-9 for n in nodes)
-    assert all(-1e-15 <= want[n] - told.want.get(n, 0.0) < 1e-9 for n in nodes)
+    assert (told.epoch, told.living, set(told.held_shares)) == (epoch, 7, set(nodes))
+    assert all(-1e-15 <= told.held_shares[n] - held[n] < 1e-9 for n in nodes)
+    assert all(-1e-15 <= want[n] - told.wanted_shares.get(n, 0.0) < 1e-9 for n in nodes)
     assert decode(encode(CensusState(epoch, 7, want, held)), nodes) == (epoch, 7, want, held)  # by name
 
 
@@ -450,7 +463,7 @@
     table.apply({"do": "save", "work": CENSUS, "token": 1, "state": text})
     table.apply({"do": "give", "work": CENSUS, "token": 1})
     for out in runner.tick(0.0):
-        runner.answer(0.0, out.session, out.serial, table.apply(out.command))
+        runner.handle_result(0.0, out.session, out.serial, table.apply(out.command))
     assert runner.tick(1.0) == [RunnerEvent("lost", 2, reason=f"state-{reason}")]
     assert not runner.token and runner.refused == {f"state-{reason}": 1}
     assert not runner.tick(3 * SPAN) and runner.tick(5 * SPAN)  # asks again, once others had the time to
@@ -459,28 +472,28 @@
 def test_many_nodes_are_dealt_the_whole_with_a_bounded_number_of_looks_at_all(monkeypatch):
     size, seconds, looks = 1200, 8, 0
     names = [f"n{i}" for i in range(size)]
-    census, heard = Census(names, 1), RoundScheduler.heard
+    census, heard = Census(names, 1), RoundScheduler.recent_replies
 
     def counted(rounds, now, within):
         nonlocal looks
         looks += 1
         return heard(rounds, now, within)
 
-    monkeypatch.setattr(RoundScheduler, "heard", counted)
+    monkeypatch.setattr(RoundScheduler, "recent_replies", counted)
     nodes = {n: Target(i + 1, size, list, list, lambda uid: False, lambda: 0) for i, n in enumerate(names)}
     for node in nodes.values():
-        node.fence.learned(CENSUS, 1)
+        node.fence.record_token(CENSUS, 1)
     acts = kept = 0
     for now in range(0, seconds * 1000, 2):
-        got = census.turn(float(now))
+        got = census.next_step(float(now))
         if isinstance(got, SaveState):
             assert len(got.state) <= MAX_STATE_LENGTH
             kept += 1
-            census.kept(float(now))
+            census.state_committed(float(now))
             continue
         acts += len(got)
         for act in got:
-            census.answered(float(now), act.target, nodes[act.target].act(now, CENSUS, 1, act.body))
+            census.handle_reply(float(now), act.target, nodes[act.target].execute(now, CENSUS, 1, act.body))
     assert sum(n.share for n in nodes.values()) == pytest.approx(1.0, abs=1e-6)
     assert {n.living for n in nodes.values()} == {size} and acts > size * (seconds - 2)
     assert looks + kept < (REVIEWS_PER_ROUND + 10) * seconds * 1.3
@@ -488,7 +501,7 @@
 
 def test_a_wish_ends_with_its_lease():
     fleet, runner = held()
-    runner.leave(None)
+    runner.give_up(None)
     runner.tick(5 * SPAN)
     fleet.turn(runner, runner.due)
     fleet.turn(runner, runner.due)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -276,7 +276,7 @@
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
     owned = service.owned = Owned(d.reactor, d, owners, "n0", 4, service.bans_of)
     for work in ("hosts", "census"):
-        owned.target.fence.learned(work, 0)
+        owned.target.fence.record_token(work, 0)
     return d, service, owned
 
 
