--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -18,8 +18,9 @@
 STOPPED = 10.0  # seconds that an instance is stopped
 SETTLE = 3.0  # seconds from an instance's start or waking to the next fault
 CUT = 60.0  # seconds that the regions are cut off from each other
-# seconds of a cut after which nodes are stale, and their words of before do not count any more
-SEEN_BY = 13.0
+SEEN_BY = (
+    13.0  # seconds of a cut after which nodes are stale, and their words of before do not count any more
+)
 LOOKS_IN_CUT = 2
 CROWD = 0.7  # of the processes of nodes
 REFUSED_FOR = "settings.listeners: "  # how the reason of a refusal begins
--- a/caperdeck/leases/__init__.py
+++ b/caperdeck/leases/__init__.py
@@ -1,1 +1,3 @@
-"""Ownership of work on behalf of the fleet: leases, fencing tokens, who checks them. No I/O, no clock."""
+"""Ownership of work that is done on behalf of the fleet: leases, fencing tokens and the works themselves. No
+I/O, no clock.
+"""
--- a/caperdeck/leases/census.py
+++ b/caperdeck/leases/census.py
@@ -1,9 +1,10 @@
-"""The census: how many nodes live and what share of the whole each holds, in numbered epochs.
+"""The census: the number of live nodes and each node's share of the fleet's total, in numbered epochs.
 
-A node that has been told nothing holds a floor, a half of an equal share. The rest is dealt out by traffic.
-The sum of all shares never passes 1, and no clock is in that: `held` is the most that a node may hold, it is
-committed before a share grows, and falls only when the node itself has said that it holds less. A node
-that does not answer keeps its share unused by others, until its next life says that it begins at the floor.
+A node without instructions holds a floor, half of an equal share. The rest is divided by traffic. The sum of
+all shares never exceeds 1, and this does not depend on clocks: `held_shares` is an upper bound of what each
+node may hold. It is committed before a share grows, and it is lowered only after the node itself has
+confirmed a smaller share. A node that does not answer keeps its share, which nobody else uses, until a new
+life of the node reports that it is back at the floor.
 """
 
 from __future__ import annotations
@@ -15,15 +16,17 @@
 from .runner import Action, SaveState
 from .target import CENSUS, FLOOR_SHARE
 
-ROUND_MS = 1000.0  # a round
-ALIVE_WITHIN_MS = 3000.0  # a node that was asked so long ago at the most and answered
-REBALANCE_THRESHOLD = 0.2  # of a share: a smaller change of traffic makes no new epoch
-MIN_EPOCH_MS = 2000.0  # between epochs
-RATE_SMOOTHING = 0.3  # weight of the newest rate
+ROUND_MS = 1000.0
+ALIVE_WITHIN_MS = 3000.0  # a node counts as alive if a request sent within this time was answered
+REBALANCE_THRESHOLD = 0.2  # relative change of a share below which traffic causes no new epoch
+MIN_EPOCH_MS = 2000.0  # minimum duration of an epoch
+RATE_SMOOTHING = 0.3  # weight of the newest rate in the moving average
 EPSILON = 1e-9
 
 
 class Census:
+    """Divides the fleet's total into shares of the nodes; implements OwnedWork."""
+
     name = CENSUS
 
     def __init__(self, nodes: list[str], seed: int) -> None:
@@ -31,20 +34,20 @@
         self.begin(0.0, None)
 
     def begin(self, now: float, state: str | None) -> None:
-        """Raises StateError."""
+        """Restores the state of the previous owner; raises StateError if it cannot be read."""
         saved = decode(state, self.nodes)
         self.epoch: int = saved.epoch
         floor = FLOOR_SHARE / len(self.nodes)
-        # shares of this epoch, by node; one that the file does not name any more has been declared gone
+        # shares of this epoch by node; a node that is no longer configured counts as gone
         self.wanted_shares = dict(saved.wanted_shares)
         self.living: int = saved.living
-        # Danger: a node that the file names anew was at its floor all along, whoever owned the work.
+        # A newly configured node has been at its floor all along, whoever owned the work.
         self.held_shares = {n: max(saved.held_shares.get(n, floor), floor) for n in self.nodes}
         self.lives: dict[str, int] = {}
         self.scheduler = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
-        self.rates: dict[str, tuple[int, int, float, float]] = {}  # life, tries, when, a second
+        self.rates: dict[str, tuple[int, int, float, float]] = {}  # life, attempts, time, attempts per second
         self.epoch_started_at = now
-        self.dirty = False  # held has grown, or there is a new epoch: to be committed before it is told
+        self.dirty = False  # uncommitted change of held shares or epoch
 
     @property
     def due(self) -> float:
@@ -53,10 +56,10 @@
     def dump(self) -> str:
         return encode(CensusState(self.epoch, self.living, self.wanted_shares, self.held_shares))
 
-    # ---- the runner's calls
+    # ---- calls of the runner
 
     def next_step(self, now: float) -> SaveState | list[Action]:
-        # Danger: a look at all nodes after each answer costs the square of their number.
+        # A review of all nodes after each reply would cost quadratic time in their number.
         if self.scheduler.review_is_due(now):
             self._review_epoch(now)
             self._grow_shares()
@@ -76,7 +79,7 @@
         want = self.wanted_shares.get(node)
         life = self.lives.get(node)
         if want is None or life is None or want > self.held_shares[node] + EPSILON:
-            # nothing of this epoch may be told yet; the question alone
+            # the share of this epoch cannot be assigned yet, so the request only asks for a report
             return {"epoch": 0, "share": 0.0, "living": 0, "life": 0, "nodes": len(self.nodes)}
         saved = {"epoch": self.epoch, "share": want, "living": self.living}
         return saved | {"life": life, "nodes": len(self.nodes)}
@@ -84,13 +87,14 @@
     def handle_reply(self, now: float, target: str, reply: Any) -> None:
         body = self.scheduler.record_reply(target, reply)
         if reply is None:
-            # Danger: a node that has started anew refuses what is meant for its old life, for ever.
+            # A restarted node refuses requests for its previous life for ever, so the life must be learned
+            # again.
             self.lives.pop(target, None)
             return
         self._update_rate(now, target, reply)
         self.lives[target] = reply["life"]
-        # Danger: a share that was told under this epoch may be under way to the node still, and grow there;
-        # only what the node says after the epoch's own word is its last.
+        # A share of this epoch may still be in flight to the node and increase its share there. Only a report
+        # made under the current epoch is final.
         if body["epoch"] == self.epoch and reply["epoch"] == self.epoch:
             self.held_shares[target] = reply["share"]
         wanted = self.wanted_shares.get(target)
@@ -112,7 +116,7 @@
     # ---- epochs
 
     def _review_epoch(self, now: float) -> None:
-        """A new epoch where other nodes live, or traffic has moved."""
+        """Starts a new epoch if the set of live nodes or the traffic has changed."""
         if now - self.epoch_started_at < MIN_EPOCH_MS:
             return
         replies = self.scheduler.recent_replies(now, ALIVE_WITHIN_MS)
@@ -134,7 +138,7 @@
 
     def _divide(self, living: list[str]) -> dict[str, float]:
         floor = FLOOR_SHARE / len(self.nodes)
-        # what a silent node may hold over its floor is nobody else's
+        # what a silent node may hold above its floor is not available to others
         lives = set(living)
         silent = sum(max(self.held_shares[n] - floor, 0.0) for n in self.nodes if n not in lives)
         rest = max(1.0 - FLOOR_SHARE - silent, 0.0)
@@ -144,7 +148,7 @@
         return {n: floor + rest * weight[n] / total for n in living}
 
     def _grow_shares(self) -> None:
-        """Lets shares grow as far as others have given theirs back."""
+        """Raises bounds to the wanted shares as far as other nodes have released theirs."""
         free = 1.0 - sum(self.held_shares.values())
         for node in self.nodes:
             more = self.wanted_shares.get(node, 0.0) - self.held_shares[node]
--- a/caperdeck/leases/census_state.py
+++ b/caperdeck/leases/census_state.py
@@ -1,12 +1,14 @@
-"""What an owner of the census keeps: an epoch with its shares, as the text that the instances agree on.
+"""Serialized state of the census: an epoch with its shares, as the text that the instances replicate.
 
-Two forms, and a reader tells them apart by their keys:
+There are two formats, which a reader distinguishes by their keys:
 
 - names: JSON objects of shares by name. Written wherever it fits, as older instances read no other.
-- rows: for fleets whose names do not fit. A row a node, ROW bytes: a digest of its name, the share that it is
-  to have (0 for none) and the most that it may hold, in parts of the whole. Rows are base85, as one string.
+- rows: for fleets whose names do not fit. One row of ROW bytes per node: a digest of its name, the wanted
+  share (0 for none) and the upper bound of the held share, in units of 1 / SHARE_UNITS. The rows are one
+  base85 string.
 
-The number of nodes follows from the table's limit on a state: a row costs the same whatever a name's length.
+The maximum number of nodes follows from the limit on a state in the lease table: a row has the same size
+whatever the length of the name.
 """
 
 from __future__ import annotations
@@ -23,21 +25,21 @@
 
 from .table import MAX_STATE_LENGTH
 
-# bytes of a name's digest; two names of one file that share theirs are refused with the file
+# size of the digest of a name; a configuration in which two names have the same digest is rejected
 DIGEST_BYTES = 5
-SHARE_UNITS = (1 << 32) - 1  # parts of the whole
-ROW = struct.Struct(f">{DIGEST_BYTES}sII")  # digest, share wanted rounded down, share held rounded up
-MAX_HEADER_LENGTH = 128  # characters beside the rows, at the most
-BASE85_EXPANSION = 5 / 4  # characters a byte
+SHARE_UNITS = (1 << 32) - 1  # value of a whole share
+ROW = struct.Struct(f">{DIGEST_BYTES}sII")  # digest, wanted share rounded down, held share rounded up
+MAX_HEADER_LENGTH = 128  # characters besides the rows
+BASE85_EXPANSION = 5 / 4  # characters per byte
 MAX_NODES = math.floor((MAX_STATE_LENGTH - MAX_HEADER_LENGTH) / (ROW.size * BASE85_EXPANSION))
 
 
 class StateError(ValueError):
-    """A state that cannot be read; the text is the reason, one of a few words."""
+    """The saved state cannot be read; the text is the reason, as one keyword."""
 
 
 class CensusState(NamedTuple):
-    """Shares are parts of the whole, by name of a node; nodes without a row hold their floor."""
+    """Shares are fractions of the whole, by node name; a node without a row holds its floor."""
 
     epoch: int = 0
     living: int = 0
@@ -50,7 +52,7 @@
 
 
 def digest_collision(names: Iterable[str]) -> tuple[str, str] | None:
-    """Two of the names that rows could not tell apart, if there are any."""
+    """Returns two of the names that have the same digest, if there are any."""
     seen: dict[bytes, str] = {}
     for name in names:
         other = seen.setdefault(digest(name), name)
@@ -69,7 +71,7 @@
 
 def _encode_rows(state: CensusState) -> str:
     rows = b"".join(
-        # Danger: a share that is held must never be read back as less, nor a wanted one as more.
+        # Rounding must never lower a held share, nor raise a wanted one: the sum could exceed the whole.
         ROW.pack(
             digest(name),
             math.floor(state.wanted_shares.get(name, 0.0) * SHARE_UNITS),
@@ -77,13 +79,14 @@
         )
         for name, held in state.held_shares.items()
     )
-    # Danger: an older reader takes what lacks names for a fleet at its floors; `want` of no object stops it.
+    # An older reader takes missing names for nodes at their floor. A `want` that is not an object makes it
+    # fail.
     head = {"epoch": state.epoch, "living": state.living, "want": None}
     return orjson.dumps(head | {"rows": base64.b85encode(rows).decode()}).decode()
 
 
 def decode(text: str | None, nodes: Iterable[str]) -> CensusState:
-    """Of the nodes named only; raises StateError, and nothing of a text with any fault is taken."""
+    """Decodes the state of the given nodes; raises StateError and uses nothing of a text with any fault."""
     if not text:
         return CensusState()
     try:
--- a/caperdeck/leases/expiry.py
+++ b/caperdeck/leases/expiry.py
@@ -1,7 +1,9 @@
-"""Both sides of a lease's time. Clocks never step; a millisecond of one is within DRIFT of a true one.
+"""Expiry of leases as seen by the holder and by the leader.
 
-The holder counts from before it asked and stops early; the leader's warden counts from after it applied and
-waits long. Past that drift two may hold a lease for a time; the token at the target keeps the older out.
+Clocks never step, and their rates are within MAX_CLOCK_DRIFT of true time. The holder counts from before its
+request and stops early; the leader counts from after it applied the command and waits longer. If clocks drift
+more than that, two holders may coexist for a time, and the fencing token keeps the older one out at the
+target.
 """
 
 from __future__ import annotations
@@ -11,23 +13,25 @@
 from .table import LeaseTable
 
 MAX_CLOCK_DRIFT = 0.05
-RENEW_AT_SHARE = 1 / 3  # of the span
-RETRY_SHARE = 0.1  # of the span, while an answer does not come
+RENEW_AT_SHARE = 1 / 3  # share of the span after which the lease is renewed
+RETRY_SHARE = 0.1  # share of the span between attempts while there is no answer
 
 
 class LeaseHolder:
-    """One would-be owner of one work. `ask` gives the command to propose, `answered` takes its answer."""
+    """A candidate for one work: `next_command` returns the command to propose, `handle_answer` takes its
+    result.
+    """
 
     def __init__(self, work: str, name: str, span: float) -> None:
         self.work, self.name, self.span = work, name, span
         self.token = 0
-        self.expires_at = 0.0  # on the own clock; nothing may be done from then on
+        self.expires_at = 0.0  # by this node's clock; no action is allowed from then on
         self.requested_at = 0.0
-        self.state: Any = None  # what the owner before left
+        self.state: Any = None  # saved by the previous owner
         self.loss_reason = ""
 
     def may_act(self, now: float) -> bool:
-        """Checked just before each act, and by the act's target again, by its token."""
+        """Must be checked just before each action; the target checks the token again."""
         return self.token > 0 and now < self.expires_at
 
     @property
@@ -35,9 +39,9 @@
         return self.expires_at - self.span * (1 - MAX_CLOCK_DRIFT) * (1 - RENEW_AT_SHARE)
 
     def next_command(self, now: float) -> dict[str, Any] | None:
-        """Acquires where nothing is held, renews in time; None where there is nothing to ask yet."""
+        """Returns an acquire command without a lease, a renewal when it is time, and None otherwise."""
         if self.token and now >= self.expires_at:
-            # Danger: a holder that slept past the end must not go on as if it renewed in time.
+            # A holder that was suspended past the expiry must not continue as if it had renewed in time.
             self.token, self.loss_reason = 0, "ended"
         if not self.token:
             self.requested_at = now
@@ -47,35 +51,35 @@
         return {"do": "renew", "work": self.work, "token": self.token}
 
     def handle_answer(self, now: float, requested_at: float, answer: dict[str, Any]) -> None:
-        """The answer to what was asked then."""
+        """Handles the answer to a command that was proposed at `requested_at`."""
         if "no" in answer:
             if self.token and answer["no"] == "not-held":
                 self.token, self.loss_reason = 0, "not-held"
             return
         if answer["token"] < self.token:
-            return  # to a grant before this one
+            return  # answer to an earlier grant
         if answer["token"] != self.token:
             if "state" not in answer:
-                # Danger: a renewal's answer that comes after the end would give the lease back without what
-                # the work has come to; it would begin anew from nothing, under a token that is in force.
+                # The answer to a renewal arrived after the expiry. It has no saved state, so accepting it
+                # would restart the work from nothing under a valid token.
                 return
             self.state = answer["state"]
-        # Danger: counted from the answer, a grant long under way lasts past the time that others wait.
+        # If the lease counted from the answer, a slow grant would outlast the time that others wait for.
         end = requested_at + answer["span"] * (1 - MAX_CLOCK_DRIFT)
         if now < end:
             self.token, self.expires_at, self.loss_reason = answer["token"], max(end, self.expires_at), ""
 
 
 class LeaseExpiryMonitor:
-    """At the leader: which leases nobody has renewed for long enough. Begins when leadership does."""
+    """Finds leases that were not renewed in time; created when this instance becomes leader."""
 
     def __init__(self, table: LeaseTable, now: float) -> None:
         self.table = table
-        self.observed: dict[str, tuple[int, int, float]] = {}  # by work: token, renewals, first seen so
+        self.observed: dict[str, tuple[int, int, float]] = {}  # by work: token, renewals, first observed at
         self.check(now)
 
     def check(self, now: float) -> list[dict[str, Any]]:
-        """After each command that was applied, and now and then; the commands to propose."""
+        """Returns commands that expire leases; called after each applied command and periodically."""
         expired = []
         for work, row in self.table.works.items():
             if row["holder"] is None and row["heir"] is None:
--- a/caperdeck/leases/fence.py
+++ b/caperdeck/leases/fence.py
@@ -1,4 +1,4 @@
-"""At the target of acts: the highest token seen for each work, and what is older refused."""
+"""Fencing at the target of actions: remembers the highest token of each work and refuses lower ones."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class Fence:
-    """`known` is what a disk held; without one the target has forgotten, and asks before it takes a token."""
+    """Highest tokens by work.
+
+    `known` holds the tokens that were stored on disk. Without it the target has lost its memory, and must
+    look up the current token of a work before it accepts any.
+    """
 
     def __init__(self, known: dict[str, int] | None = None) -> None:
         self.highest: dict[str, int] = dict(known or {})
@@ -14,7 +18,10 @@
         self.refused: dict[str, int] = {}
 
     def check(self, work: str, token: int) -> str | None:
-        """Takes the act's token, or says why not. An act is carried out whole, in the turn that asks this."""
+        """Accepts the token of an action or returns the reason for the refusal.
+
+        The action must be executed completely within the same event loop iteration.
+        """
         reason = self._check(work, token)
         if reason is not None:
             self.refused[reason] = self.refused.get(reason, 0) + 1
@@ -29,13 +36,16 @@
             return "bad-name"
         if work not in self.highest:
             if not self.remembers:
-                # Danger: after a restart the first token seen, an old owner's, would count as the highest.
+                # After a restart the first token seen might be that of an old owner and would count as the
+                # highest.
                 return "asks-first"
             if len(self.highest) >= MAX_WORKS:
                 return "too-many-works"
         return "older-token" if token < self.highest.get(work, 0) else None
 
     def record_token(self, work: str, token: int) -> None:
-        """The instances' answer to a linearizable read: the token in force, or the last one given."""
+        """Records the result of a linearizable read from the instances: the highest token granted for the
+        work.
+        """
         if work in self.highest or len(self.highest) < MAX_WORKS:
             self.highest[work] = max(self.highest.get(work, 0), token)
--- a/caperdeck/leases/outlier_ejection.py
+++ b/caperdeck/leases/outlier_ejection.py
@@ -1,8 +1,9 @@
-"""Turning ill hosts out and back for the whole fleet, from what all nodes say of them.
+"""Outlier ejection for the whole fleet, based on the reports of all nodes.
 
-A host goes out by enough nodes that see it ill, more than see it well, while most of the fleet is heard; at
-most so many a minute and so large a part of the hosts. Nodes hold it out for a short time from each word on,
-so it is back by itself when no owner renews it. Every host comes back after a while that doubles, as a trial.
+A host is ejected if enough nodes see it fail, and more than see it healthy, while most of the fleet has
+reported. The rate of ejections and the share of ejected hosts are limited. Nodes apply each ejection for a
+short time only, so a host is readmitted if no owner renews it. Every host is readmitted on trial after a
+duration that doubles each time.
 """
 
 from __future__ import annotations
@@ -17,24 +18,27 @@
 from .runner import Action, SaveState
 from .target import HOSTS, MAX_EJECTED_SHARE
 
-ROUND_MS = 700.0  # a round
-EJECTION_LEASE_MS = 5000.0  # a node holds hosts out for so long from a word on
-REPORT_VALIDITY_MS = 2500.0  # what nodes said counts for so long
+ROUND_MS = 700.0
+EJECTION_LEASE_MS = 5000.0  # a node applies an ejection for this long after each request
+REPORT_VALIDITY_MS = 2500.0  # age up to which reports of nodes count
 MAX_EJECTIONS_PER_MINUTE = 4
 MINUTE_MS = 60_000.0
-FIRST_EJECTION_MS, MAX_EJECTION_MS = 10_000.0, 120_000.0  # the first time out, and the longest
-RESET_AFTER_MS = 60_000.0  # a host back for so long begins anew
+# duration of the first ejection of a host, and the limit of the doubling
+FIRST_EJECTION_MS, MAX_EJECTION_MS = 10_000.0, 120_000.0
+RESET_AFTER_MS = 60_000.0  # a host that stayed in service this long starts over at the first duration
 MAX_EJECTED = 8
-MAX_UID_CHARACTERS = 150  # characters of the uids of a list in one act
+MAX_UID_CHARACTERS = 150  # total length of the host ids in one request
 
 
 def truncate_uids(uids: list[str]) -> list[str]:
-    """As many of the first as one act has room for."""
+    """Returns as many of the first uids as fit into one request."""
     sizes = accumulate(map(len, uids[:MAX_EJECTED]))
     return [uid for uid, size in zip(uids, sizes, strict=False) if size <= MAX_UID_CHARACTERS]
 
 
 class OutlierEjection:
+    """Decides which hosts are ejected; implements OwnedWork."""
+
     name = HOSTS
 
     def __init__(self, nodes: list[str], seed: int) -> None:
@@ -45,12 +49,13 @@
     def begin(self, now: float, state: str | None) -> None:
         saved = orjson.loads(state) if state else {}
         self.sequence: int = saved.get("number", 0)
-        # Danger: no clock is shared with the owner before; what it did counts as done just now.
+        # There is no common clock with the previous owner, so its ejections count as made just now.
         self.ejected_until: dict[str, float] = {uid: now + left for uid, left in saved.get("out", {}).items()}
-        self.next_durations: dict[str, float] = saved.get("spans", {})  # of the next time out
+        # by uid: duration of the next ejection
+        self.next_durations: dict[str, float] = saved.get("spans", {})
         self.readmitted_at: dict[str, float] = dict.fromkeys(self.next_durations, now)
         self.recent_ejections: list[float] = [now] * saved.get("recent", 0)
-        self.hosts_in_question: list[str] = []  # hosts that nodes are asked about
+        self.hosts_in_question: list[str] = []  # hosts that nodes are asked to confirm as healthy
         self.scheduler = RoundScheduler(self.nodes, ROUND_MS, self.seed, now)
         self.dirty = False
 
@@ -65,7 +70,7 @@
         }).decode()  # fmt: skip
 
     def next_step(self, now: float) -> SaveState | list[Action]:
-        # Danger: a look at all nodes after each answer costs the square of their number.
+        # A review of all nodes after each reply would cost quadratic time in their number.
         if self.scheduler.review_is_due(now) or min(self.ejected_until.values(), default=math.inf) <= now:
             self._review_hosts(now)
             replies = self.scheduler.recent_replies(now, REPORT_VALIDITY_MS).values()
@@ -116,9 +121,11 @@
             self.scheduler.expedite(now, node)
 
     def _host_to_eject(self, now: float) -> str | None:
-        """The host that most nodes see ill, if enough do and one more may go out."""
+        """Returns the host that most nodes see failing, if there are enough votes and limits allow an
+        ejection.
+        """
         replies = self.scheduler.recent_replies(now, REPORT_VALIDITY_MS)
-        # Danger: an owner cut off with a few nodes sees what they see; that is no word of the fleet.
+        # An owner that is cut off with a few nodes sees only their view, which is no majority of the fleet.
         if 2 * len(replies) <= len(self.nodes):
             return None
         if sum(now - at < MINUTE_MS for at in self.recent_ejections) >= MAX_EJECTIONS_PER_MINUTE:
--- a/caperdeck/leases/rounds.py
+++ b/caperdeck/leases/rounds.py
@@ -1,4 +1,4 @@
-"""Whom an owner speaks to next: each target once a round, at its own drawn moment, one act at a time."""
+"""Schedules the requests of an owner: each target once per round at a random time, one request in flight."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 from caperdeck.core.seeded_random import chance
 
-REVIEWS_PER_ROUND = 16  # at all that was said, in as many answers as there are targets
-MAX_REVIEW_INTERVAL_MS = 100.0  # milliseconds; so often at least, where there are fewer answers
+REVIEWS_PER_ROUND = 16  # reviews of all replies in the time of one reply per target
+MAX_REVIEW_INTERVAL_MS = 100.0  # limit if fewer replies arrive
 
 
 class RoundScheduler:
-    """`every` is a round's length, milliseconds; a target that gives no answer is asked again next round."""
+    """`interval` is the length of a round in milliseconds; a target that does not answer is retried next
+    round.
+    """
 
     def __init__(self, targets: Iterable[str], interval: float, seed: int, now: float) -> None:
         self.targets, self.interval, self.seed, self.draws = list(targets), interval, seed, 0
         self.positions = {t: i for i, t in enumerate(self.targets)}
         self.next_at = {t: now + interval * self._chance() for t in self.targets}
-        self.in_flight: dict[str, Any] = dict.fromkeys(self.targets)  # the body that is out, if one is
-        self.replies: dict[str, tuple[float, Any]] = {}  # the newest by target: asked at, what it said
+        self.in_flight: dict[str, Any] = dict.fromkeys(self.targets)  # the request without a reply yet
+        self.replies: dict[str, tuple[float, Any]] = {}  # newest by target: sent at, reply
         self.sent_at: dict[str, float] = {}
-        # a heap of moments and targets; an entry that `next_at` does not say any more is passed over
+        # a heap of times and targets; entries that differ from `next_at` are outdated and skipped
         self.queue = [(at, t) for t, at in self.next_at.items()]
         heapq.heapify(self.queue)
-        # answers since the last look at all of them
+        # initially enough for a review
         self.replies_since_review, self.reviewed_at = len(self.targets), now
 
     def _chance(self) -> float:
@@ -43,7 +45,9 @@
         return self.queue[0][0] if self.queue else math.inf
 
     def due_targets(self, now: float) -> list[str]:
-        """Those whose moment has come, as they were named, until `sent` says that they were sent to."""
+        """Returns the targets whose time has come, in their configured order, until `record_sent` is called
+        for them.
+        """
         due_at: dict[str, float] = {}
         while self.due <= now:
             at, target = heapq.heappop(self.queue)
@@ -53,7 +57,7 @@
         return sorted(due_at, key=self.positions.__getitem__)
 
     def expedite(self, now: float, target: str) -> None:
-        """It is wanted before the round is over."""
+        """Schedules a request to the target now instead of at its time in the round."""
         if now < self.next_at[target]:
             self.next_at[target] = now
             heapq.heappush(self.queue, (now, target))
@@ -63,7 +67,7 @@
         self.next_at[target] = now + self.interval * (0.75 + self._chance() / 2)
 
     def record_reply(self, target: str, reply: Any) -> Any:
-        """Takes the answer, None where none came; what it is an answer to."""
+        """Records the reply, or None if there was none; returns the request that it belongs to."""
         body, self.in_flight[target] = self.in_flight[target], None
         heapq.heappush(self.queue, (self.next_at[target], target))
         self.replies_since_review += 1
@@ -72,7 +76,7 @@
         return body
 
     def review_is_due(self, now: float) -> bool:
-        """Whether enough was said since the last look at what all said, which this begins anew."""
+        """Tells whether a review of all replies is due; if so, starts the next review period."""
         too_few = (
             self.replies_since_review < len(self.targets) // REVIEWS_PER_ROUND
             and now - self.reviewed_at < MAX_REVIEW_INTERVAL_MS
@@ -82,5 +86,5 @@
         return not too_few
 
     def recent_replies(self, now: float, within: float) -> dict[str, Any]:
-        """What targets said that were asked so lately."""
+        """Returns the replies to requests that were sent within that time."""
         return {t: reply for t, (at, reply) in self.replies.items() if now - at <= within}
--- a/caperdeck/leases/runner.py
+++ b/caperdeck/leases/runner.py
@@ -1,8 +1,9 @@
-"""Owned work, whatever it is: take the lease, go on from what the last owner committed, act under the token.
+"""Runs any owned work: takes the lease, resumes from the state that the last owner committed, acts under the
+token.
 
-A pure state machine: time and answers in; commands to propose, acts to send and what to note out. Nothing is
-done under a state that is not committed, and nothing is sent without a look at the lease just before; what is
-late all the same is refused where it acts, by its token.
+A pure state machine: time and results in; proposals, actions and events out. Nothing is done before the state
+that it is based on is committed, and nothing is sent without checking the lease just before. An action that
+is late nevertheless is refused by its target because of the token.
 """
 
 from __future__ import annotations
@@ -15,33 +16,37 @@
 from .census_state import StateError
 from .expiry import RETRY_SHARE, LeaseHolder
 
-# a runner's two client sessions: one command of each is under way at a time
+# the two client sessions of a runner; each has one command in flight
 LEASE_SESSION, STATE_SESSION = 0, 1
-REQUEST_BACKOFF = (0.1, 0.3)  # of a span, while somebody else holds the work
-# spans in which one that cannot read the last owner's state leaves the work to others
+REQUEST_BACKOFF = (0.1, 0.3)  # shares of the span, while another instance holds the work
+# spans; an instance that cannot read the saved state leaves the work to others for this long
 UNREADABLE_STATE_BACKOFF = 4.0
 
 
 class SaveState(NamedTuple):
-    """A work's state, to be committed before anything else is done."""
+    """The state of a work, to be committed before the work continues."""
 
     state: str
 
 
 class Action(NamedTuple):
+    """A request to a target, executed under the token."""
+
     target: str
     body: dict[str, Any]
     token: int = 0
 
 
 class Proposal(NamedTuple):
+    """A command to propose to the replicated state machine."""
+
     session: int
     serial: int
     command: dict[str, Any]
 
 
 class RunnerEvent(NamedTuple):
-    """Something that operators and histories are told."""
+    """An event for the log and for recorded histories."""
 
     name: str  # held, renewed, lost, refused
     token: int
@@ -51,7 +56,9 @@
 
 
 class OwnedWork(Protocol):
-    """Steps that may be repeated; an act that got no answer may have been carried out, or be so later."""
+    """Work that can be owned. Its actions must be repeatable: one without a reply may have been executed, or
+    may be later.
+    """
 
     name: str
 
@@ -68,7 +75,7 @@
 
 
 class PendingProposal:
-    """A proposal under way, sent again under its own number until its answer is known."""
+    """A command without a known result; it is resent under the same serial number."""
 
     __slots__ = ("serial", "command", "first_sent_at", "sent_at")
 
@@ -77,20 +84,22 @@
 
 
 class Runner:
+    """Holds the lease of one work as long as possible and runs the work meanwhile."""
+
     def __init__(self, work: OwnedWork, name: str, span: float, seed: int) -> None:
         self.work, self.holder, self.seed, self.draws = work, LeaseHolder(work.name, name, span), seed, 0
-        self.token = 0  # under which the work runs
+        self.token = 0  # the token that the work runs under; 0 if it does not run
         self.pending: list[PendingProposal | None] = [None, None]
         self.last_serials = [0, 0]
         self.next_request_at = 0.0
-        self.held_elsewhere = False  # as far as this instance knows, somebody else holds the work
-        self.pending_handover: dict[str, Any] | None = None  # to give the work back or hand it over
+        self.held_elsewhere = False  # according to this instance's copy of the table
+        self.pending_handover: dict[str, Any] | None = None  # the command to release the lease or pass it on
         self.outputs: list[Proposal | Action | RunnerEvent] = []
         self.refused: dict[str, int] = {}
 
     @property
     def due(self) -> float:
-        """When to be called next, with nothing coming in."""
+        """Time of the next call if nothing arrives before."""
         span = self.holder.span
         times = [proposal.sent_at + span * RETRY_SHARE for proposal in self.pending if proposal is not None]
         if self.pending[LEASE_SESSION] is None:
@@ -114,22 +123,22 @@
         outputs, self.outputs = self.outputs, []
         return outputs
 
-    # ---- the lease
+    # ---- lease
 
     def _maintain_lease(self, now: float) -> None:
         holder = self.holder
         if self.token and not holder.may_act(now):
-            # Danger: a renewal still under way would give the lease back, and with it the state as of the
-            # grant, which the work has long gone on from.
+            # A renewal in flight would revive the lease with the state of its grant, although the work has
+            # progressed since.
             self._lose_lease("ended")
         pending = self.pending[LEASE_SESSION]
         if pending is not None and now - pending.first_sent_at >= holder.span:
-            # Danger: a grant counts from when it was first asked for; past a span its answer gives nothing.
+            # A grant counts from its first request; an answer after a whole span would grant nothing.
             pending = self.pending[LEASE_SESSION] = None
         if pending is not None or (not holder.token and now < self.next_request_at):
             return
         if not holder.token and self.held_elsewhere:
-            # it costs the agreement an entry a question to be told so
+            # a request that is certain to be refused would cost a log entry
             self._back_off(now)
             return
         command = holder.next_command(now)
@@ -146,7 +155,7 @@
         self.outputs.append(Proposal(session, self.last_serials[session], command))
 
     def handle_result(self, now: float, session: int, serial: int, result: Any) -> None:
-        """What became of a proposal; None is not known, and it is asked again in its time."""
+        """Handles the result of a proposal; None means unknown, so the proposal is resent later."""
         proposal = self.pending[session]
         if proposal is None or proposal.serial != serial or result is None:
             return
@@ -154,7 +163,7 @@
         if session == LEASE_SESSION:
             self._handle_lease_result(now, proposal, result)
         elif "no" in result:
-            # Danger: the state did not stand; acts that rest on it would be another owner's to make.
+            # The state was not committed, so actions based on it would belong to another owner.
             self._lose_lease(result["no"])
         elif self.token == proposal.command["token"]:
             self.work.state_committed(now)
@@ -176,7 +185,7 @@
         try:
             self.work.begin(now, self.holder.state)
         except StateError as error:
-            # Danger: work begun without what the last owner kept would deal out anew what is held already.
+            # Without the saved state the work would assign again what is already held.
             self._count_refused(f"state-{error}")
             self._lose_lease(f"state-{error}")
             self.next_request_at = now + UNREADABLE_STATE_BACKOFF * self.holder.span
@@ -193,10 +202,10 @@
         self.next_request_at = max(self.next_request_at, now + wait)
 
     def _stop_work(self, reason: str) -> None:
-        """Nothing more is done under the token; answers to what is under way are not taken."""
+        """Stops the work under its token; results that arrive later are ignored."""
         if self.token:
             self.outputs.append(RunnerEvent("lost", self.token, reason=reason))
-            # what an operator wished of this lease is no wish for a later one
+            # a requested handover applies to this lease only
             self.token, self.pending[STATE_SESSION], self.pending_handover = 0, None, None
 
     def _lose_lease(self, reason: str) -> None:
@@ -204,13 +213,13 @@
         self._stop_work(reason)
 
     def give_up(self, to: str | None) -> str | None:
-        """Gives the work back, or hands it over; the reason if it is not held."""
+        """Releases the lease or passes it on to an heir; returns the reason if it is not held."""
         if not self.token:
             return "not-held"
         self.pending_handover = {"do": "give"} if to is None else {"do": "hand", "to": to}
         return None
 
-    # ---- the work
+    # ---- work
 
     def _run_work(self, now: float) -> None:
         step = self.work.next_step(now)
@@ -222,7 +231,7 @@
             self.outputs.append(action._replace(token=self.token))
 
     def handle_reply(self, now: float, action: Action, reply: Any) -> None:
-        """The target's answer; None if none came, a dict with `no` if it was refused."""
+        """Handles the reply of a target: None if there was none, a dict with `no` if it refused."""
         if action.token != self.token:
             return
         if isinstance(reply, dict) and "no" in reply:
--- a/caperdeck/leases/table.py
+++ b/caperdeck/leases/table.py
@@ -1,5 +1,6 @@
-"""Who holds which work, as a state machine that the instances agree on. It has no clock: that a lease has
-ended is a command too, proposed by the leader's warden.
+"""The lease table: a replicated state machine that records the holder of each work.
+
+It has no clock: the expiry of a lease is a command too, proposed by the leader's LeaseExpiryMonitor.
 
 Source of the tokens: Burrows, "The Chubby lock service" (OSDI 2006), 2.4: sequencers.
 """
@@ -10,15 +11,15 @@
 
 MAX_WORKS = 64
 MAX_NAME_LENGTH = 64  # characters
-MAX_STATE_LENGTH = 64 << 10  # characters of what an owner keeps
-MIN_SPAN_MS, MAX_SPAN_MS = 200.0, 600_000.0  # milliseconds of a lease
+MAX_STATE_LENGTH = 64 << 10  # characters of an owner's saved state
+MIN_SPAN_MS, MAX_SPAN_MS = 200.0, 600_000.0
 
 
 class LeaseTable:
-    """Commands and answers are JSON objects; an answer has `ok`, or `no` with its reason."""
+    """Commands and answers are JSON objects; an answer has `ok`, or `no` with the reason."""
 
     def __init__(self) -> None:
-        self.token = 0  # the highest ever given; grows with every grant and is never given again
+        self.token = 0  # the highest token granted so far; increases with each grant and is never reused
         self.works: dict[str, dict[str, Any]] = {}
 
     def apply(self, command: Any) -> dict[str, Any]:
@@ -38,7 +39,7 @@
         return {"token": self.token, "works": self.works}
 
     def load(self, state: Any) -> None:
-        # Danger: tokens that begin anew after a snapshot would let an old owner's acts pass as a new one's.
+        # If tokens restarted after a snapshot, actions of an old owner would pass as those of a new one.
         self.token = state["token"] if state else 0
         self.works = {name: dict(row) for name, row in state["works"].items()} if state else {}
 
@@ -63,7 +64,7 @@
                 return {"no": "too-many-works"}
             row = {"holder": None, "heir": None, "token": 0, "span": 0.0, "renewed": 0, "state": None}
             self.works[work] = row
-        # whoever holds it may ask anew, as after an answer that was lost; its older token is out then
+        # the holder may acquire again, e.g. after a lost answer; this invalidates its older token
         if row["holder"] not in (None, holder) or row["heir"] not in (None, holder):
             return {"no": "held", "holder": row["holder"] or row["heir"]}
         return self._grant(row, holder, float(span))
@@ -74,7 +75,7 @@
         return {"ok": True, "token": self.token, "span": span, "state": row["state"]}
 
     def _held(self, work: str, c: dict[str, Any]) -> dict[str, Any] | None:
-        """The row, where the command's token is the one in force."""
+        """Returns the row if the command has the current token."""
         row = self.works.get(work)
         held = row is not None and row["holder"] is not None and row["token"] == c.get("token")
         return row if held else None
@@ -92,7 +93,7 @@
         return {"ok": True}
 
     def _hand(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """Given back, for one other to take; open to all once that one has not come for a lease's span."""
+        """Releases the lease to an heir; others may acquire it once the heir did not come for a span."""
         if (row := self._held(work, c)) is None:
             return {"no": "not-held"}
         if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= MAX_NAME_LENGTH:
@@ -102,14 +103,16 @@
 
     def _expire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
         row = self.works.get(work)
-        # Danger: proposed before a renewal and committed after it, it would end a lease that is held.
+        # A command proposed before a renewal and committed after it must not expire the renewed lease.
         if row is None or row["token"] != c.get("token") or row["renewed"] != c.get("renewed"):
             return {"no": "renewed-since"}
         row.update(holder=None, heir=None)
         return {"ok": True}
 
     def _release(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """An operator's: ended though it is renewed. The owner may still try; its token is refused."""
+        """Ends a lease although it is renewed; for operators. The old owner may still send actions, which are
+        refused.
+        """
         row = self.works.get(work)
         if row is None or row["token"] != c.get("token"):
             return {"no": "not-held"}
@@ -117,7 +120,7 @@
         return {"ok": True}
 
     def _save(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """What the next owner goes on from; only the owner in force may write it."""
+        """Stores the state that the next owner resumes from; only the current owner may."""
         if (row := self._held(work, c)) is None:
             return {"no": "older-token"}
         state = c.get("state")
--- a/caperdeck/leases/target.py
+++ b/caperdeck/leases/target.py
@@ -1,8 +1,8 @@
-"""A node as the target of acts on behalf of the fleet: the fence, and what the two works do here. No I/O.
+"""A node as the target of owners' requests: the fence, and the local side of both works. No I/O.
 
-An act is carried out whole in the call that checks its token, or not at all. What it does here is bounded by
-this node alone, whoever sends it: at most a part of the hosts is out, each for a stated time, and a share
-changes with a later epoch only.
+An action is executed completely in the call that checks its token, or not at all. This node limits what an
+action can do, whoever sends it: only a share of the hosts can be ejected, each for a limited time, and the
+node's share changes only with a later epoch.
 """
 
 from __future__ import annotations
@@ -14,16 +14,19 @@
 from .fence import Fence
 
 HOSTS, CENSUS = "hosts", "census"
-MAX_EJECTED_SHARE = 0.25  # of the listed hosts that may be out by the fleet's word at once
-MAX_ACTION_MS = 30_000.0  # milliseconds that one act may take a host out for
-FLOOR_SHARE = 0.5  # of an equal share, which a node holds with nothing told
-MAX_REPORTED_HOSTS = 16  # hosts named in an answer
+MAX_EJECTED_SHARE = 0.25  # of the listed hosts, by fleet-wide ejections
+MAX_ACTION_MS = 30_000.0  # limit of one ejection request
+FLOOR_SHARE = 0.5  # share of an equal share that a node holds without instructions
+MAX_REPORTED_HOSTS = 16  # hosts per category in a reply
 NO_ACTION = (0, 0)
 
 
 class Target:
-    """`listed` gives the uids of the hosts on this node's list, `ill` those that do not answer it, or None
-    where it sees ill everywhere; `well` whether a host has answered it lately; `tries` the clients so far.
+    """Executes requests of owners.
+
+    `listed_hosts` returns the uids of the hosts on this node's list; `failing_hosts` those that do not answer
+    it, or None if it sees most hosts failing; `is_healthy` tells whether a host has answered recently;
+    `session_count` returns the session attempts so far.
     """
 
     def __init__(
@@ -39,14 +42,14 @@
             is_healthy,
             session_count,
         )
-        self.ejected_until: dict[str, float] = {}  # by uid, until when
-        self.last_ejection = NO_ACTION  # of the last act on hosts: token, its number
+        self.ejected_until: dict[str, float] = {}  # by uid
+        self.last_ejection = NO_ACTION  # token and sequence number
         self.epoch, self.share, self.living = 0, FLOOR_SHARE / nodes, 0
         self.refused: dict[str, int] = {}
         self.accepted = 0
 
     def execute(self, now: float, work: str, token: int, body: Any) -> dict[str, Any]:
-        """What the act came to; `no` with the reason if it was not carried out."""
+        """Executes a request; returns its result, or `no` with the reason if it was refused."""
         prepare = {HOSTS: self._prepare_ejection, CENSUS: self._prepare_share}.get(work)
         if prepare is None or not isinstance(body, dict):
             return self._refuse("no-such-work" if prepare is None else "bad-act")
@@ -65,10 +68,10 @@
         self.refused[reason] = self.refused.get(reason, 0) + 1
         return {"no": reason}
 
-    # ---- hosts turned out and back
+    # ---- outlier ejection
 
     def _prepare_ejection(self, now: float, token: int, body: dict[str, Any]) -> Any:
-        """These hosts are out for so long from now, and no others are by the fleet's word."""
+        """Prepares an ejection: exactly these hosts are ejected for the duration from now on."""
         sequence, uids, duration = (token, body["number"]), list(dict.fromkeys(body["out"])), body["ms"]
         if not all(isinstance(x, str) for x in [*uids, *body["ask"]]) or not isinstance(sequence[1], int):
             return "bad-act"
@@ -77,7 +80,7 @@
         if len(uids) > math.floor(MAX_EJECTED_SHARE * len(self.listed_hosts())):
             return "too-many-hosts"
         if sequence < self.last_ejection and token == self.last_ejection[0]:
-            # Danger: an act that was long under way would bring back what a later one decided otherwise.
+            # A delayed request must not undo a later decision.
             return "older-act"
 
         def apply() -> dict[str, Any]:
@@ -101,28 +104,28 @@
         return min(self.ejected_until.values(), default=math.inf)
 
     def tick(self, now: float) -> list[str]:
-        """Hosts whose time is over: nobody has renewed it."""
+        """Readmits hosts whose ejection was not renewed and returns their uids."""
         expired = [uid for uid, until in self.ejected_until.items() if until <= now]
         for uid in expired:
             del self.ejected_until[uid]
         return expired
 
-    # ---- the census
+    # ---- census
 
     def _prepare_share(self, now: float, token: int, body: dict[str, Any]) -> Any:
-        """A new epoch, whole, or with epoch 0 only the question."""
+        """Prepares a new epoch; with epoch 0 the request only asks for a report."""
         epoch, share, living = body["epoch"], body["share"], body["living"]
         if not all(isinstance(x, int) and not isinstance(x, bool) and x >= 0 for x in (epoch, living)):
             return "bad-act"
         if isinstance(share, bool) or not math.isfinite(share) or not 0 <= share <= 1:
             return "bad-share"
         if body["nodes"] != self.nodes:
-            # Danger: its floor is a part of another number; the owner's sum would not be the fleet's.
+            # The node's floor is a share of another number of nodes, so the owner's sum would be wrong.
             return "other-count"
         if epoch and epoch < self.epoch:
             return "older-epoch"
         if epoch and body["life"] != self.life:
-            # Danger: an old epoch's larger share, long under way, would reach a node that has just forgotten.
+            # A delayed request of an old epoch could bring a larger share to a node that has restarted since.
             return "other-life"
 
         def apply() -> dict[str, Any]:
@@ -137,7 +140,7 @@
 
         return apply
 
-    # ---- what is shown
+    # ---- metrics
 
     def lines(self, now: float) -> list[str]:
         rows = {
