--- a/caperdeck/lab/launch.py
+++ b/caperdeck/lab/launch.py
@@ -67,7 +67,7 @@
     from caperdeck.owner.config import WORKS
     from caperdeck.owner.node_links import NodeLinks
 
-    act, wanted = NodeLinks.act, []
+    act, wanted = NodeLinks.send, []
 
     def send(links: NodeLinks, node: str, line: bytes, then: Any) -> None:
         asked = [after for work, after in wanted if line.startswith(f"act {work}".encode())]
@@ -82,7 +82,7 @@
             # the line goes out once the connection has come up
             links.reactor.callLater(0.01, sleep)
 
-    NodeLinks.act = send
+    NodeLinks.send = send
     for work in ("", *WORKS):
         for after in (False, True):
             number = stop_signal(work, after)
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -65,7 +65,7 @@
 
     def __init__(self, number: int, nodes: int, owners: OwnerEndpoints) -> None:
         self.target = Target(number + 1, nodes, lambda: HOSTS, list, lambda uid: False, lambda: 0)
-        self.asking = TokenRecovery(reactor, owners, self.target.fence.record_token)
+        self.token_recovery = TokenRecovery(reactor, owners, self.target.fence.record_token)
 
     @property
     def reached(self) -> bool:
@@ -79,7 +79,7 @@
             then(yes(orjson.dumps(answer).decode()))
             return
         if reason == "asks-first":
-            self.asking.ask(work)
+            self.token_recovery.recover(work)
         then(no(reason))
 
 
@@ -99,7 +99,7 @@
 
     def begin(self, count: str, instance: str, then: Then) -> None:
         for node in self.nodes:
-            node.asking.stop()
+            node.token_recovery.stop()
         owners = OwnerEndpoints(CLUSTER, (parse_address(instance),))
         self.nodes = [Node(number, int(count), owners) for number in range(int(count))]
         for front in self.fronts:
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -46,7 +46,7 @@
         # Danger: by a clock that went back a new life could be taken for an old one, and be told its word.
         life = int.from_bytes(os.urandom(6), "big") + 1
         self.target = Target(life, max(nodes, 1), self._listed, self._ill, self._well, desk.figures.tries)
-        self.asking = TokenRecovery(reactor, owners, self.target.fence.record_token)
+        self.token_recovery = TokenRecovery(reactor, owners, self.target.fence.record_token)
         self.timer: Any = None
         self.in_force: set[str] = set()  # uids that are out here by the fleet's word
 
@@ -65,7 +65,7 @@
         if "no" in answer:
             reason = answer["no"]
             if reason == "asks-first":
-                self.asking.ask(work)
+                self.token_recovery.recover(work)
             logger.bind(event={"ev": "refused-at", "reason": reason, **values}).info(
                 "owner refused work={} token={} reason={}", work, number, reason
             )
@@ -84,7 +84,7 @@
 
     def stop(self) -> None:
         cancel(self.timer)
-        self.asking.stop()
+        self.token_recovery.stop()
 
     def lines(self) -> list[str]:
         return self.target.lines(self.desk.clock())
--- a/caperdeck/owner/__init__.py
+++ b/caperdeck/owner/__init__.py
@@ -1,1 +1,3 @@
-"""Owners of work on behalf of the fleet, as processes: instances, their file, what they say to nodes."""
+"""Owner instances: replicated processes that own fleet-wide work, their configuration, and their connections
+to nodes.
+"""
--- a/caperdeck/owner/commands.py
+++ b/caperdeck/owner/commands.py
@@ -1,4 +1,4 @@
-"""What an operator asks of the instances, with their file: status, hand-over, release, who agrees."""
+"""Operator commands to the instances: status, hand-over, release, membership and leadership."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 from .config import OwnerConfig, OwnerError, load_instance
 
-TIMEOUT_S = 2.0  # seconds
+TIMEOUT_S = 2.0  # for a connection, and for most answers
 WATCH_TIMEOUT_S = 15.0  # for an answer that waits for a change
 WATCH_PAUSE_S = 0.1
 LENGTH_PREFIX = struct.Struct("!I")
 
 
 def main(arguments: dict[str, Any]) -> int:
-    """0 done, 1 refused or not known to be done, 2 bad input."""
+    """Runs a command; returns 0 if it was done, 1 if it was refused or its outcome is unknown, 2 for invalid
+    input.
+    """
     try:
         config = load_instance(arguments["--config"])
         if arguments["status"]:
@@ -50,18 +52,18 @@
 
 
 def request_for(arguments: dict[str, Any]) -> dict[str, Any]:
-    """Raises OwnerError."""
+    """Builds the call for a command; raises OwnerError if an argument is invalid."""
     if arguments["release"]:
         return {"do": "release", "work": arguments["WORK"]}
     if arguments["hand-over"]:
-        return {"do": "leave", "work": arguments["WORK"], "to": f"o{_number(arguments['TO'])}"}
-    number = _number(arguments["NUMBER"])
+        return {"do": "leave", "work": arguments["WORK"], "to": f"o{_instance_number(arguments['TO'])}"}
+    number = _instance_number(arguments["NUMBER"])
     if arguments["lead"]:
         return {"do": "transfer", "number": number}
     return {"do": "members", "number": number, "add": bool(arguments["add"])}
 
 
-def _number(text: str) -> int:
+def _instance_number(text: str) -> int:
     digits = text.removeprefix("o")
     if not (digits.isascii() and digits.isdigit()):
         raise OwnerError(f"owner: {text!r:.50} is no number of an instance")
@@ -69,58 +71,61 @@
 
 
 def status(config: OwnerConfig) -> int:
-    """All instances; 1 if no leader answered."""
-    led = False
+    """Prints the status of all instances; returns 1 if no leader answered."""
+    leader_seen = False
     for number, address in config.instances.items():
-        s = call_instance(address, config.cluster, {"do": "status"})
-        if not isinstance(s, dict):
+        answer = call_instance(address, config.cluster, {"do": "status"})
+        if not isinstance(answer, dict):
             print(f"o{number}  no answer")
             continue
-        led |= s["role"] == "leader"
-        leader = "-" if s["leader"] is None else f"o{s['leader']}"
-        print(f"o{number}  {s['role']}  term={s['term']} leader={leader} commit={s['commit']} log={s['log']} "
-              f"voters={','.join(map(str, s['voters']))}")  # fmt: skip
-        for work, row in s["holds"].items():
+        leader_seen |= answer["role"] == "leader"
+        leader = "-" if answer["leader"] is None else f"o{answer['leader']}"
+        print(f"o{number}  {answer['role']}  term={answer['term']} leader={leader} commit={answer['commit']} "
+              f"log={answer['log']} voters={','.join(map(str, answer['voters']))}")  # fmt: skip
+        for work, row in answer["holds"].items():
             print(f"    holds {work} token={row['token']}, {row['left']} ms left")
-        for work, reasons in s["refused"].items():
+        for work, reasons in answer["refused"].items():
             print(f"    refused {work} " + " ".join(f"{r}={n}" for r, n in sorted(reasons.items())))
-        if s["role"] == "leader":
-            for work, row in sorted(s["works"].items()):
+        if answer["role"] == "leader":
+            for work, row in sorted(answer["works"].items()):
                 print(f"    {work}: holder={row['holder'] or '-'} token={row['token']}")
-    return 0 if led else 1
+    return 0 if leader_seen else 1
 
 
 def watch(config: OwnerConfig, work: str) -> int:
-    """A line for each change, as one instance or the next knows it; 1 once none answers."""
+    """Prints a line for each change of the work's holder as seen by any instance; returns 1 once none
+    answers.
+    """
     token, holder, silent = 0, "", 0
     while silent < len(config.instances):
         for address in config.instances.values():
-            said = call_instance(
+            answer = call_instance(
                 address, config.cluster, {"do": "watch", "work": work, "token": token}, WATCH_TIMEOUT_S
             )
-            silent = 0 if isinstance(said, dict) and "token" in said else silent + 1
-            if silent or (said["token"], said["holder"]) == (token, holder) or said["token"] < token:
+            silent = 0 if isinstance(answer, dict) and "token" in answer else silent + 1
+            if silent or (answer["token"], answer["holder"]) == (token, holder) or answer["token"] < token:
                 continue
-            token, holder = said["token"], said["holder"]
+            token, holder = answer["token"], answer["holder"]
             print(f"{work} holder={holder or '-'} token={token}", flush=True)
         time.sleep(WATCH_PAUSE_S)
     return 1
 
 
 def holder_of(config: OwnerConfig, work: str) -> int | None:
+    """Returns the number of the instance that reports to hold the work, or None."""
     for address in config.instances.values():
-        s = call_instance(address, config.cluster, {"do": "status"})
-        if isinstance(s, dict) and work in s["holds"]:
-            return s["me"]
+        answer = call_instance(address, config.cluster, {"do": "status"})
+        if isinstance(answer, dict) and work in answer["holds"]:
+            return answer["me"]
     return None
 
 
-def call_instance(address: Address, cluster: str, body: dict[str, Any], wait: float = TIMEOUT_S) -> Any:
-    """The answer; None if none came."""
+def call_instance(address: Address, cluster: str, body: dict[str, Any], timeout: float = TIMEOUT_S) -> Any:
+    """Sends one call and returns the answer, or None if none arrived."""
     data = frame(cluster, CALL, [1, body])
     try:
         with socket.create_connection(address, TIMEOUT_S) as conn:
-            conn.settimeout(wait)
+            conn.settimeout(timeout)
             conn.sendall(LENGTH_PREFIX.pack(len(data)) + data)
             length = LENGTH_PREFIX.unpack(_receive_exactly(conn, LENGTH_PREFIX.size))[0]
             if length > LONGEST:
@@ -133,8 +138,8 @@
 def _receive_exactly(conn: socket.socket, size: int) -> bytes:
     data = bytearray()
     while len(data) < size:
-        part = conn.recv(min(size - len(data), 65536))
-        if not part:
-            raise OSError("ended")
-        data += part
+        chunk = conn.recv(min(size - len(data), 65536))
+        if not chunk:
+            raise OSError("connection closed before the answer was complete")
+        data += chunk
     return bytes(data)
--- a/caperdeck/owner/config.py
+++ b/caperdeck/owner/config.py
@@ -1,4 +1,6 @@
-"""The operator's files: an instance's own, and what a node is told of the instances; checked whole."""
+"""The operator's TOML files: the configuration of an instance, and the instances' addresses for nodes. Each
+file is validated as a whole.
+"""
 
 from __future__ import annotations
 
@@ -12,47 +14,51 @@
 from caperdeck.raft.core import ELECTION
 from caperdeck.state.addresses import Address
 
-DEFAULT_SPAN_MS = 1500.0  # milliseconds of a lease
-MIN_SPAN_MS = 2 * ELECTION  # a shorter one ends before a new leader can be found to renew it
+DEFAULT_SPAN_MS = 1500.0  # duration of a lease
+MIN_SPAN_MS = 2 * ELECTION  # a shorter lease expires before a new leader can be elected to renew it
 MAX_INSTANCES, MAX_INSTANCE_NUMBER = 9, 999
 WORKS = (HOSTS, CENSUS)
-MAX_NAME_LENGTH = 64  # characters of a name
+MAX_NAME_LENGTH = 64  # characters
 
 
 class OwnerError(Exception):
-    """The file cannot be used; the text names it, the key and the reason."""
+    """The file cannot be used; the text names the file, the key and the reason."""
 
 
 class OwnerConfig(NamedTuple):
+    """The configuration of one instance."""
+
     cluster: str
     me: int
     folder: str
     listen: Address
-    instances: dict[int, Address]  # as this one reaches them
-    first: tuple[int, ...]  # who agree when nothing is on disk yet
-    nodes: dict[str, Address]  # second addresses
+    instances: dict[int, Address]  # as reached from this instance
+    initial_voters: tuple[int, ...]  # used while nothing is stored on disk
+    nodes: dict[str, Address]  # admin addresses of the nodes
     works: tuple[str, ...]
     span: float
 
 
 class OwnerEndpoints(NamedTuple):
-    """What a node is told: whom to ask for the token in force."""
+    """Where a node looks up the current token of a work."""
 
     cluster: str
     instances: tuple[Address, ...]
 
 
 class _ConfigFault(Exception):  # noqa: N818
+    """An invalid value; the text becomes part of an OwnerError."""
+
     pass
 
 
 def load_instance(path: str) -> OwnerConfig:
-    """Raises OwnerError."""
+    """Reads the configuration of an instance; raises OwnerError."""
     return _load(path, _instance)
 
 
 def load_owners(path: str) -> OwnerEndpoints:
-    """Raises OwnerError."""
+    """Reads the instances' addresses for a node; raises OwnerError."""
     return _load(path, _owners)
 
 
@@ -95,17 +101,17 @@
     return name_of(raw.get("cluster"), "cluster", MAX_NAME_LENGTH)
 
 
-def _table(raw: dict[str, Any], key: str, most: int) -> dict[str, Any]:
+def _table(raw: dict[str, Any], key: str, max_rows: int) -> dict[str, Any]:
     table = raw.get(key, {})
-    if not isinstance(table, dict) or len(table) > most:
-        raise _ConfigFault(f"{key}: no table, or over {most} rows")
+    if not isinstance(table, dict) or len(table) > max_rows:
+        raise _ConfigFault(f"{key}: no table, or over {max_rows} rows")
     return table
 
 
 def _addresses(table: dict[str, Any], key: str) -> dict[str, Address]:
     found = {name: loopback_address(value, f"{key}.{name}") for name, value in table.items()}
     if len(set(found.values())) < len(found):
-        # Danger: one process under two names would vote, or be counted, twice.
+        # A process under two names would vote or be counted twice.
         raise _ConfigFault(f"{key}: an address twice")
     return found
 
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -1,4 +1,4 @@
-"""One instance: agreement on a disk and a network, the warden of leases, and the runners of owned work."""
+"""One owner instance: Raft with disk and network, the expiry of leases, and the runners of owned work."""
 
 from __future__ import annotations
 
@@ -35,57 +35,63 @@
 from .node_links import NodeLinks, action_line
 
 WORKS = {HOSTS: OutlierEjection, CENSUS: Census}
-MIN_WAIT_MS = 2.0  # milliseconds between two turns with nothing coming in
+MIN_WAIT_MS = 2.0  # between two runs of the main loop while nothing arrives
 EXPIRE_RETRY_MS = 200.0
-MAX_WAIT_MS = 250.0  # between two turns at the most
-SUSPENDED_AFTER_MS = 1250.0  # between two turns, the instance was asleep or starved
-MAX_WATCH_MS = 10_000.0  # milliseconds that a watch waits at the most
-MAX_PENDING_CALLS = 64  # that wait for the agreement
-MAX_COMMAND_BYTES = 1 << 20  # bytes of a command for the leases; what an owner keeps is far below that
+MAX_WAIT_MS = 250.0  # between two runs of the main loop
+SUSPENDED_AFTER_MS = 1250.0  # a longer gap means that the process was suspended or starved
+MAX_WATCH_MS = 10_000.0  # limit of the time that a watch call waits
+MAX_PENDING_CALLS = 64  # calls that wait for a result
+MAX_COMMAND_BYTES = 1 << 20  # limit of a lease command; saved states are far smaller
 
 
 class Instance:
-    """`clock` counts milliseconds, never steps, and counts on while the machine sleeps; `ended` is called
-    once if the disk fails.
+    """Runs an instance on a Twisted reactor.
+
+    `clock` returns milliseconds, never steps and counts while the machine sleeps. `on_failure` is called
+    once, with a reason, if the disk fails.
     """
 
     def __init__(
-        self, reactor: Any, config: OwnerConfig, clock: Callable[[], float], ended: Callable[[str], None],
+        self, reactor: Any, config: OwnerConfig, clock: Callable[[], float],
+        on_failure: Callable[[str], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.config, self.clock, self.ended = reactor, config, clock, ended
-        self.storage = Storage(config.folder, config.cluster, config.me, Members(config.first))
+        self.reactor, self.config, self.clock, self.on_failure = reactor, config, clock, on_failure
+        self.storage = Storage(config.folder, config.cluster, config.me, Members(config.initial_voters))
         self.seed, self.draws = zlib.crc32(f"{config.cluster}/{config.me}".encode(), os.getpid()), 0
-        self.agreed = ReplicatedState()
-        self.table = self.agreed.leases
-        self.machine = Sessions(self.agreed)
+        self.replicated_state = ReplicatedState()
+        self.table = self.replicated_state.leases
+        self.sessions = Sessions(self.replicated_state)
         log, now = self.storage.log, clock()
-        self.machine.load(log.snapshot.data)
+        self.sessions.load(log.snapshot.data)
         raft = Raft(config.me, self.storage.term, self.storage.vote, copy_log(log), self.seed, now)
         self.pool = ThreadPool(1, 1, "disk")
-        self.driver = Driver(raft, self.machine, clock, self._write, self._send, self._became, self._applied)
+        self.driver = Driver(
+            raft, self.sessions, clock, self._write, self._send, self._role_changed, self._applied
+        )
         self.net = Net(
-            reactor, config.cluster, config.me, config.instances, self._receive, self._call, self._chance,
+            reactor, config.cluster, config.me, config.instances, self._receive, self._handle_call,
+            self._random,
         )  # fmt: skip
         self.distribution = Distribution(
-            self.driver, self.net, self.agreed.versions, f"o{config.me}", self._at_leader,
+            self.driver, self.net, self.replicated_state.versions, f"o{config.me}", self._at_leader,
             wrap_versions_command,
         )  # fmt: skip
         self.expiry_monitor: LeaseExpiryMonitor | None = None
-        self.expiring: dict[str, float] = {}
+        self.expiry_proposed_at: dict[str, float] = {}
         self.nodes = NodeLinks(reactor, config.nodes)
         names = list(config.nodes)
         self.runners = {
             w: Runner(WORKS[w](names, self.seed), f"o{config.me}", config.span, self.seed + i)
             for i, w in enumerate(config.works) if names
         }  # fmt: skip
-        # a process that begins has made no proposal yet; no two have the same numbers
-        self.clients = {w: int.from_bytes(os.urandom(6), "big") * 2 + 2 for w in self.runners}
+        # random: a new process restarts its serial numbers, so it must not reuse the client ids of another
+        self.client_ids = {w: int.from_bytes(os.urandom(6), "big") * 2 + 2 for w in self.runners}
         self.timer: Any = None
-        self.calling = 0
-        self.watching: list[tuple[str, int, float, Then]] = []  # work, token known, until when, who waits
-        self.turn_at = now
+        self.pending_calls = 0
+        self.watchers: list[tuple[str, int, float, Then]] = []  # work, known token, deadline, callback
+        self.last_run_at = now
         self.closed = False
-        self.counted: dict[str, int] = {}
+        self.event_counts: dict[str, int] = {}
 
     def start(self) -> None:
         self.pool.start()
@@ -94,7 +100,7 @@
         self.net.listen(self.config.listen)
         logger.info("owner start cluster={} me=o{} members={} log={}", self.config.cluster, self.config.me,
                     ",".join(map(str, self.raft.members.all)), self.raft.log.last)  # fmt: skip
-        self._turn()
+        self._run_due()
 
     def close(self) -> None:
         if not self.closed:
@@ -104,7 +110,8 @@
             self.nodes.close()
             self.distribution.close()
             cancel(self.timer)
-            # a write under way ends first: half of it would be cut as torn, and nothing rests on it
+            # Wait for a write in progress: half of it would be cut off as torn, and nothing depends on it
+            # yet.
             self.pool.stop()
             self.storage.close()
 
@@ -112,96 +119,97 @@
     def raft(self) -> Raft:
         return self.driver.raft
 
-    def _chance(self) -> float:
+    def _random(self) -> float:
         self.draws += 1
         return chance(self.seed + 1, self.draws)
 
     def event(self, ev: str, level: str = "INFO", **values: Any) -> None:
-        """One line of the log, which whoever collects a history can take apart."""
-        self.counted[ev] = self.counted.get(ev, 0) + 1
+        """Logs an event as one line, and as structured data for collectors of histories."""
+        self.event_counts[ev] = self.event_counts.get(ev, 0) + 1
         words = " ".join(f"{key}={value}" for key, value in values.items())
         logger.bind(event={"ev": ev, **values}).log(level, "owner {} {}", ev, words)
 
-    # ---- turns
+    # ---- main loop
 
-    def _turn(self) -> None:
-        """All that is due; whatever came in has led here too."""
+    def _run_due(self) -> None:
+        """Runs all that is due and sets the timer for the next run."""
         cancel(self.timer)
         self.timer = None
         if self.closed:
             return
         now = self.clock()
-        if now - self.turn_at > SUSPENDED_AFTER_MS:
-            # leases and elections count by the clock, not by turns: nothing more is to be done about it
-            logger.warning("owner away ms={:.0f}", now - self.turn_at)
-        self.turn_at = now
+        if now - self.last_run_at > SUSPENDED_AFTER_MS:
+            # Leases and elections are based on the clock, not on runs of this loop, so nothing else needs to
+            # be done.
+            logger.warning("owner away ms={:.0f}", now - self.last_run_at)
+        self.last_run_at = now
         self.driver.tick()
-        self._watch(now)
-        self._tell_watchers()
+        self._expire_leases(now)
+        self._answer_watchers()
         self.distribution.turn()
         for work in self.runners:
-            self._run(work)
+            self._run_work(work)
         if self.closed:
             return
         now = self.clock()
         runners = (r.due for r in self.runners.values())
         due = min([self.raft.due, now + MAX_WAIT_MS, self.distribution.due, *runners])
-        self.timer = self.reactor.callLater(max(due - now, MIN_WAIT_MS) / 1000.0, self._turn)
+        self.timer = self.reactor.callLater(max(due - now, MIN_WAIT_MS) / 1000.0, self._run_due)
 
-    def _soon(self) -> None:
+    def _wake(self) -> None:
         if self.timer is not None and not self.closed:
             self.timer.reset(0)
 
-    def _watch(self, now: float) -> None:
+    def _expire_leases(self, now: float) -> None:
         if self.expiry_monitor is None or self.raft.role is not Role.LEADER:
             return
         for command in self.expiry_monitor.check(now):
-            if now >= self.expiring.get(command["work"], 0.0):
-                self.expiring[command["work"]] = now + EXPIRE_RETRY_MS
+            if now >= self.expiry_proposed_at.get(command["work"], 0.0):
+                self.expiry_proposed_at[command["work"]] = now + EXPIRE_RETRY_MS
                 self.driver.propose(orjson.dumps(command), 0, 0, lambda _: None)
 
-    def _run(self, work: str) -> None:
+    def _run_work(self, work: str) -> None:
         runner, row = self.runners[work], self.table.row(work)
         runner.held_elsewhere = row is not None and not {row["holder"], row["heir"]} <= {
             None,
             runner.holder.name,
         }
-        for out in runner.tick(self.clock()):
-            match out:
+        for output in runner.tick(self.clock()):
+            match output:
                 case Proposal(session, serial, command):
-                    told = partial(self._told, work, session, serial)
-                    self._submit(command, self.clients[work] + session, serial, told)
+                    on_answer = partial(self._proposal_answered, work, session, serial)
+                    self._submit(command, self.client_ids[work] + session, serial, on_answer)
                 case Action():
-                    self._act(work, out)
+                    self._execute(work, output)
                 case RunnerEvent():
-                    self._note(work, out)
+                    self._log_runner_event(work, output)
 
-    def _told(self, work: str, session: int, serial: int, result: Any) -> None:
+    def _proposal_answered(self, work: str, session: int, serial: int, result: Any) -> None:
         if result is not None:
             self.runners[work].handle_result(self.clock(), session, serial, result)
-            self._soon()
+            self._wake()
 
-    def _act(self, work: str, act: Action) -> None:
+    def _execute(self, work: str, action: Action) -> None:
         runner = self.runners[work]
-        # Danger: the process may have been stopped since the runner looked; and may be again just after this,
-        # which only the target's check keeps out.
-        if not runner.holder.may_act(self.clock()) or runner.holder.token != act.token:
+        # The process may have been suspended since the runner checked the lease. If it is suspended after
+        # this line, only the check at the target refuses the action.
+        if not runner.holder.may_act(self.clock()) or runner.holder.token != action.token:
             return
-        line = action_line(work, act.token, act.body)
-        self.nodes.act(act.target, line, lambda reply: self._acted(work, act, reply))
+        line = action_line(work, action.token, action.body)
+        self.nodes.send(action.target, line, lambda reply: self._action_answered(work, action, reply))
 
-    def _acted(self, work: str, act: Action, reply: Any) -> None:
+    def _action_answered(self, work: str, action: Action, reply: Any) -> None:
         if not self.closed:
-            self.runners[work].handle_reply(self.clock(), act, reply)
-            self._soon()
+            self.runners[work].handle_reply(self.clock(), action, reply)
+            self._wake()
 
-    def _note(self, work: str, note: RunnerEvent) -> None:
-        values = {"work": work, "holder": f"o{self.config.me}", "token": note.token}
-        if note.target:
-            values["target"] = note.target
-        if note.reason:
-            values["reason"] = note.reason
-        self.event(note.what, "DEBUG" if note.what == "renewed" else "INFO", **values)
+    def _log_runner_event(self, work: str, runner_event: RunnerEvent) -> None:
+        values = {"work": work, "holder": f"o{self.config.me}", "token": runner_event.token}
+        if runner_event.target:
+            values["target"] = runner_event.target
+        if runner_event.reason:
+            values["reason"] = runner_event.reason
+        self.event(runner_event.name, "DEBUG" if runner_event.name == "renewed" else "INFO", **values)
 
     # ---- proposals and reads, here or at the leader
 
@@ -214,8 +222,8 @@
         else:
             then(None)
 
-    def _call(self, body: Any, then: Then) -> None:
-        """A call from another instance, a node or an operator; None is the answer where nobody knows."""
+    def _handle_call(self, body: Any, then: Then) -> None:
+        """Handles a call from an instance, a node or an operator; the answer is None if it is unknown."""
         do = body.get("do") if isinstance(body, dict) else None
         handler = {
             "propose": self._on_propose, "token": self._on_token, "status": self._on_status,
@@ -225,17 +233,17 @@
         if handler is None or self.closed:
             then({"no": "unknown-call"})
             return
-        if self.calling >= MAX_PENDING_CALLS:
+        if self.pending_calls >= MAX_PENDING_CALLS:
             then({"no": "too-many-calls"})
             return
-        self.calling += 1
-        waits = [then]
+        self.pending_calls += 1
+        handlers = [then]
 
         def answer(value: Any) -> None:
-            if waits:
-                self.calling -= 1
-                waits.pop()(value)
-                self._soon()
+            if handlers:
+                self.pending_calls -= 1
+                handlers.pop()(value)
+                self._wake()
 
         try:
             handler(body, answer)
@@ -243,7 +251,7 @@
             answer({"no": "bad-call"})
 
     def _at_leader(self, body: dict[str, Any], then: Then) -> bool:
-        """Whether this one leads; otherwise the call has gone on to the one that does, once."""
+        """Tells whether this instance is the leader; otherwise forwards the call to the leader, once."""
         if self.raft.role is Role.LEADER:
             return True
         if body.get("passed") or self.raft.leader is None:
@@ -257,7 +265,7 @@
         if not all(isinstance(x, int) and 0 <= x < 1 << 53 for x in (client, serial)):
             raise ValueError
         data = orjson.dumps(body["command"])
-        # Danger: an entry that fits into no frame would be sent to the others again for ever.
+        # An entry that fits into no frame would be resent to the other instances for ever.
         if len(data) > MAX_COMMAND_BYTES or not is_lease_command(body["command"]):
             raise ValueError
         if self.raft.role is Role.LEADER:
@@ -266,27 +274,27 @@
             then(None)
 
     def _on_token(self, body: dict[str, Any], then: Then) -> None:
-        """The highest token given for a work, as of after the call."""
+        """Answers with the highest token granted for a work, read linearizably."""
         work = body["work"]
         if not isinstance(work, str):
             raise ValueError
         if self._at_leader(body, then):
             self.driver.read(
-                lambda agreed: then(None if agreed is None else {"token": last_token(agreed.leases, work)})
+                lambda state: then(None if state is None else {"token": last_token(state.leases, work)})
             )
 
     def _on_status(self, body: dict[str, Any], then: Then) -> None:
         raft, now = self.raft, self.clock()
-        # one that has been kept from running may have a lease that ended and have yet to see it
-        held = {w: r for w, r in self.runners.items() if r.token and r.holder.may_act(now)}
+        # after a suspension a lease may have expired without the runner having noticed it yet
+        active = {w: r for w, r in self.runners.items() if r.token and r.holder.may_act(now)}
         then({
             "me": self.config.me, "role": raft.role.name.lower(), "term": raft.term, "leader": raft.leader,
             "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last,
             "commit": raft.commit, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
-            "events": self.counted, "watches": self.distribution.watches.figures(),
-            # its own copy of the table below may lag behind what it was told
+            "events": self.event_counts, "watches": self.distribution.watches.figures(),
+            # this copy of the table may be older than the answers to the runner
             "holds": {
-                w: {"token": r.token, "left": round(r.holder.expires_at - now)} for w, r in held.items()
+                w: {"token": r.token, "left": round(r.holder.expires_at - now)} for w, r in active.items()
             },
             "refused": {w: r.refused for w, r in self.runners.items() if r.refused},
             "works": {
@@ -296,19 +304,19 @@
         })  # fmt: skip
 
     def _on_watch(self, body: dict[str, Any], then: Then) -> None:
-        """Answered once the work is another's than the one said, as this instance knows, or in a while."""
+        """Answers once the holder differs from the known one in the local copy, or after a time limit."""
         work, known = body["work"], body.get("token", 0)
         if not isinstance(work, str) or isinstance(known, bool) or not isinstance(known, int):
             raise ValueError
-        self.watching.append((work, known, self.clock() + MAX_WATCH_MS, then))
-        self._tell_watchers()
+        self.watchers.append((work, known, self.clock() + MAX_WATCH_MS, then))
+        self._answer_watchers()
 
-    def _tell_watchers(self) -> None:
-        now, waiting, self.watching = self.clock(), self.watching, []
+    def _answer_watchers(self) -> None:
+        now, waiting, self.watchers = self.clock(), self.watchers, []
         for work, known, until, then in waiting:
             row = self.table.row(work) or {"holder": None, "token": 0}
             if row["token"] == known and row["holder"] is not None and now < until:
-                self.watching.append((work, known, until, then))
+                self.watchers.append((work, known, until, then))
             else:
                 then({"holder": row["holder"], "token": row["token"]})
 
@@ -321,17 +329,20 @@
         then({"no": reason} if reason else {"ok": True})
 
     def _on_release(self, body: dict[str, Any], then: Then) -> None:
-        """Ends a lease whatever its owner does; the owner's acts are refused once another has the work."""
+        """Ends a lease whatever its holder does; actions of the holder are refused once another instance is
+        granted it.
+        """
         row = self.table.row(body["work"])
         if row is None:
             then({"no": "unknown-work"})
         elif self._at_leader(body, then):
-            # Danger: by its count of renewals an owner that goes on renewing could not be ended.
+            # An expire command names the count of renewals, so it could not end a lease that is still
+            # renewed.
             command = {"do": "release", "work": body["work"], "token": row["token"]}
             self.driver.propose(orjson.dumps(command), 0, 0, then)
 
     def _on_members(self, body: dict[str, Any], then: Then) -> None:
-        """One instance more as a learner, a learner to a voter, or one less."""
+        """Adds an instance as a learner, promotes a learner to a voter, or removes an instance."""
         number, add = body["number"], body["add"]
         if isinstance(number, bool) or not isinstance(number, int) or number not in self.config.instances:
             then({"no": "unknown-instance"})
@@ -349,33 +360,33 @@
             reason = self.raft.transfer(self.clock(), body["number"])
             then({"no": reason} if reason else {"ok": True})
 
-    # ---- the driver's hands
+    # ---- callbacks of the driver
 
     def _write(self, save: Save, done: Callable[[], None]) -> None:
         deferred = deferToThreadPool(self.reactor, self.pool, self.storage.write, save)
-        deferred.addCallback(lambda _: self._written(done)).addErrback(self._failed)
+        deferred.addCallback(lambda _: self._written(done)).addErrback(self._write_failed)
 
     def _written(self, done: Callable[[], None]) -> None:
         if not self.closed:
             done()
-            self._soon()
+            self._wake()
 
-    def _failed(self, failure: Any) -> None:
-        # Danger: whatever rests on a write that may not be there must never be said.
+    def _write_failed(self, failure: Any) -> None:
+        # Nothing may be answered or sent that depends on a write which may not be on disk.
         self.driver.end()
         known = failure.check(StorageError) is not None
-        self.ended(str(failure.value) if known else one_line(failure))
+        self.on_failure(str(failure.value) if known else one_line(failure))
 
     def _receive(self, message: Any) -> None:
         self.driver.receive(message)
-        self._soon()
+        self._wake()
 
     def _send(self, to: int, message: Any) -> None:
         self.net.send(to, message)
 
-    def _became(self, role: Role, term: int, leader: int | None) -> None:
+    def _role_changed(self, role: Role, term: int, leader: int | None) -> None:
         self.expiry_monitor = LeaseExpiryMonitor(self.table, self.clock()) if role is Role.LEADER else None
-        self.expiring = {}
+        self.expiry_proposed_at = {}
         if role in (Role.LEADER, Role.FOLLOWER):
             name = "-" if leader is None else f"o{leader}"
             self.event("leader", at=f"o{self.config.me}", leader=name, term=term)
@@ -391,11 +402,11 @@
 
 
 def copy_log(log: Any) -> Any:
-    """Raft's own; the storage's is what is on disk."""
+    """Returns a separate log for Raft; the storage's log reflects what is on disk."""
     return type(log)(log.snapshot, log.entries)
 
 
 def last_token(table: LeaseTable, work: str) -> int:
-    """The highest that was given for the work; the one that nobody has yet where none was."""
+    """Returns the highest token granted for the work; 0, which is never granted, if there was none."""
     row = table.row(work)
     return row["token"] if row is not None else 0
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -1,7 +1,8 @@
-"""Acts at nodes: one connection to each node's second address, kept from act to act, and the answers.
+"""Connections from an instance to the admin addresses of the nodes, over which actions are sent.
 
-An act is a line, and so is its answer; answers come in the order of the acts. The token of the owner's term
-is in each line. A node of an older program ends the connection after an answer: the next act opens another.
+An action is one line, and so is its answer; answers arrive in the order of the actions. Each line carries the
+fencing token of the owner. A node of an older version closes the connection after an answer; the next action
+opens another one.
 """
 
 from __future__ import annotations
@@ -17,43 +18,47 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import OneConnection
 
-# seconds from an act until its answer, a connection that has to come up first included
+# from the action to its answer, including the time to connect
 ANSWER_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 8192  # bytes of an answer
+MAX_ANSWER_BYTES = 8192
 
 ReplyHandler = Callable[[Any], None]
-"""Takes the answer's object, one with `no` where the act was refused, None where nobody knows."""
+"""Called with the answer's object, which has `no` if the action was refused, or with None if the outcome is
+unknown.
+"""
 
 
 class PendingAction(NamedTuple):
-    """An act without its answer yet."""
+    """An action that waits for its answer."""
 
-    then: ReplyHandler
+    on_reply: ReplyHandler
     timer: Any
 
 
 class NodeLink(LineOnlyReceiver):
-    """One connection to one node, from the first act until either side ends it; it is not opened again."""
+    """One connection to a node, from its first action until either side closes it; it is not reopened."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_ANSWER_BYTES
 
     def __init__(self, reactor: Any, address: Address) -> None:
         self.reactor = reactor
-        self.waiting: deque[PendingAction] = deque()  # the oldest first
-        self.unsent: list[bytes] = []  # acts that wait for the connection to come up
-        self.over = False
+        self.pending: deque[PendingAction] = deque()  # oldest first
+        self.unsent: list[bytes] = []  # actions that wait for the connection
+        self.closed = False
         self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
 
-    def act(self, line: bytes, then: ReplyHandler) -> None:
-        self.waiting.append(PendingAction(then, self.reactor.callLater(ANSWER_TIMEOUT_S, self._late)))
+    def send(self, line: bytes, on_reply: ReplyHandler) -> None:
+        self.pending.append(
+            PendingAction(on_reply, self.reactor.callLater(ANSWER_TIMEOUT_S, self._timed_out))
+        )
         if self.connected:
             self.transport.write(line)
         else:
             self.unsent.append(line)
 
     def connectionMade(self) -> None:
-        if self.over:
+        if self.closed:
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
@@ -61,60 +66,61 @@
         self.unsent.clear()
 
     def lineReceived(self, line: bytes) -> None:
-        if not self.waiting:
-            self.close()  # an answer to nothing that was asked
+        if not self.pending:
+            self.close()  # an answer without an action
             return
-        waiting = self.waiting.popleft()
-        cancel(waiting.timer)
-        waiting.then(parse_answer(line.strip()))
+        action = self.pending.popleft()
+        cancel(action.timer)
+        action.on_reply(parse_answer(line.strip()))
 
     def lineLengthExceeded(self, line: bytes) -> None:
         self.close()
 
     def failed(self) -> None:
-        self._end()
+        self._close_pending()
 
     def connectionLost(self, reason: Any) -> None:
-        self._end()
+        self._close_pending()
 
-    def _late(self) -> None:
-        # Danger: an answer after its time would be taken for the one to the next act.
+    def _timed_out(self) -> None:
+        # A late answer would be taken for the answer to the next action.
         self.close()
 
     def close(self) -> None:
-        """Ends it once what was written has gone out; acts without an answer get none."""
-        self._end()
+        """Closes the connection after pending output was sent; pending actions get no answer."""
+        self._close_pending()
         self.connector.disconnect()
 
-    def _end(self) -> None:
-        self.over = True
+    def _close_pending(self) -> None:
+        self.closed = True
         self.unsent.clear()
-        while self.waiting:
-            waiting = self.waiting.popleft()
-            cancel(waiting.timer)
-            waiting.then(None)
+        while self.pending:
+            action = self.pending.popleft()
+            cancel(action.timer)
+            action.on_reply(None)
 
 
 class NodeLinks:
-    """The connections of one instance to its nodes, by name of the node."""
+    """The connections of one instance to its nodes, by node name."""
 
     def __init__(self, reactor: Any, addresses: Mapping[str, Address]) -> None:
         self.reactor, self.addresses = reactor, addresses
         self.links: dict[str, NodeLink] = {}
 
-    def act(self, node: str, line: bytes, then: ReplyHandler) -> None:
+    def send(self, node: str, line: bytes, on_reply: ReplyHandler) -> None:
         link = self.links.get(node)
-        if link is None or link.over:
+        if link is None or link.closed:
             link = self.links[node] = NodeLink(self.reactor, self.addresses[node])
-        link.act(line, then)
+        link.send(line, on_reply)
 
     def close(self, node: str | None = None) -> None:
-        """The connection to that node, or to all; the next act opens another."""
+        """Closes the connection to a node, or to all nodes; the next action opens another one."""
         for name in list(self.links) if node is None else [node] if node in self.links else []:
             self.links.pop(name).close()
 
 
 def parse_answer(line: bytes) -> Any:
+    """Parses an answer line; returns None for one that is malformed."""
     word, _, rest = line.partition(b" ")
     if word == b"NAK":
         return {"no": rest.decode("utf-8", "replace")}
@@ -126,4 +132,5 @@
 
 
 def action_line(work: str, token: int, body: dict[str, Any]) -> bytes:
+    """Formats an action as a line of the admin protocol."""
     return b"act %s %d %s\n" % (work.encode(), token, orjson.dumps(body))
--- a/caperdeck/owner/process.py
+++ b/caperdeck/owner/process.py
@@ -1,4 +1,4 @@
-"""`caperdeck owner serve`: one instance as a process, until SIGTERM or until its disk fails."""
+"""`caperdeck owner serve`: runs one instance until SIGTERM or until its disk fails."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 def boottime_ms() -> float:
-    """Milliseconds; never steps, and counts on while the machine sleeps."""
+    """Returns milliseconds of a clock that never steps and counts while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 def serve(path: str, level: str) -> int:
+    """Runs an instance with the given configuration file and log level; returns the exit code."""
     from twisted.internet.error import CannotListenError
 
     from caperdeck.lifecycle.logs import start_logging
@@ -37,7 +38,7 @@
 
     try:
         config = load_instance(path)
-        raise_descriptor_limit()  # each watch of a node takes one
+        raise_descriptor_limit()  # each watch of a node takes a descriptor
         sink = start_logging(level)
         from loguru import logger
 
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -1,4 +1,4 @@
-"""All that the instances agree on, as one state machine: who holds which work, and the configuration."""
+"""The replicated state machine of the instances: the lease table and the configuration versions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from caperdeck.distribution.table import Versions
 from caperdeck.leases.table import LeaseTable
 
-VERSIONS = "versions"  # key of a command for the versions; the command is its value
+VERSIONS = "versions"  # key of a command for the versions, whose value is the command itself
 
 
 def wrap_versions_command(command: dict[str, Any]) -> dict[str, Any]:
@@ -19,7 +19,7 @@
 
 
 class ReplicatedState:
-    """Each command goes to one of the two tables, by its key, and never to the other."""
+    """Applies each command to one of the two tables, chosen by its key."""
 
     def __init__(self) -> None:
         self.leases = LeaseTable()
@@ -34,7 +34,8 @@
 
     def dump(self) -> Any:
         leases = self.leases.dump()
-        # Danger: an instance of before could not load the other form, and has nothing to lose by this one.
+        # An instance of an older version cannot load the other format. Without versions the old one is
+        # complete.
         if not self.versions.newest.revision:
             return leases
         return {"leases": leases, VERSIONS: self.versions.dump()}
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -1,4 +1,4 @@
-"""What a node that has forgotten asks: the highest token of a work, of one instance after another."""
+"""Looks up the highest token of a work after a restart of the node, at one instance after another."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 
 from .config import OwnerEndpoints
 
-ANSWER_TIMEOUT_S = 1.0  # seconds
-RETRY_DELAY_S = (0.1, 0.4)  # seconds until the next instance is asked, drawn
+ANSWER_TIMEOUT_S = 1.0
+RETRY_DELAY_S = (0.1, 0.4)  # random delay before the next instance is asked
 
 
 class TokenRequest(Int32StringReceiver):
+    """One call to an instance over a connection of its own; `on_answer` gets None if it fails."""
+
     MAX_LENGTH = LONGEST
 
     def __init__(
-        self, reactor: Any, owners: OwnerEndpoints, address: Address, body: Any, then: Callable
+        self, reactor: Any, owners: OwnerEndpoints, address: Address, body: Any, on_answer: Callable
     ) -> None:
-        self.cluster, self.body, self.then = owners.cluster, body, then
-        self.timer = reactor.callLater(ANSWER_TIMEOUT_S, self.end, None)
+        self.cluster, self.body, self.on_answer = owners.cluster, body, on_answer
+        self.timer = reactor.callLater(ANSWER_TIMEOUT_S, self.finish, None)
         self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
 
     def connectionMade(self) -> None:
@@ -39,53 +41,55 @@
             name, fields = unwrap(data, self.cluster)
         except FrameError:
             name, fields = "", None
-        self.end(fields[1] if name == REPLY and isinstance(fields, list) and len(fields) == 2 else None)
+        self.finish(fields[1] if name == REPLY and isinstance(fields, list) and len(fields) == 2 else None)
 
     def failed(self) -> None:
-        self.end(None)
+        self.finish(None)
 
     def connectionLost(self, reason: Any) -> None:
-        self.end(None)
+        self.finish(None)
 
-    def end(self, answer: Any) -> None:
+    def finish(self, answer: Any) -> None:
         cancel(self.timer)
-        then, self.then = self.then, None
-        if then is not None:
-            then(answer)
+        on_answer, self.on_answer = self.on_answer, None
+        if on_answer is not None:
+            on_answer(answer)
             self.connector.disconnect()
 
 
 class TokenRecovery:
-    """Asks until it is told; `learned` takes work and token."""
+    """Retries until an answer arrives, then calls `on_token` with the work and its token."""
 
-    def __init__(self, reactor: Any, owners: OwnerEndpoints, learned: Callable[[str, int], None]) -> None:
-        self.reactor, self.owners, self.learned = reactor, owners, learned
+    def __init__(self, reactor: Any, owners: OwnerEndpoints, on_token: Callable[[str, int], None]) -> None:
+        self.reactor, self.owners, self.on_token = reactor, owners, on_token
         self.seed, self.draws = os.getpid(), 0
-        self.under_way: dict[str, Any] = {}  # by work: the question, or the wait for the next
+        self.pending: dict[str, Any] = {}  # by work: None during a request, or the timer of the next attempt
         self.stopped = False
 
-    def ask(self, work: str) -> None:
-        if work not in self.under_way and not self.stopped:
-            self._ask(work)
+    def recover(self, work: str) -> None:
+        if work not in self.pending and not self.stopped:
+            self._send_request(work)
 
-    def _ask(self, work: str) -> None:
+    def _send_request(self, work: str) -> None:
         self.draws += 1
         address = self.owners.instances[(self.seed + self.draws) % len(self.owners.instances)]
         body = {"do": "token", "work": work}
-        self.under_way[work] = None
-        TokenRequest(self.reactor, self.owners, address, body, lambda answer: self._told(work, answer))
+        self.pending[work] = None
+        TokenRequest(
+            self.reactor, self.owners, address, body, lambda answer: self._handle_answer(work, answer)
+        )
 
-    def _told(self, work: str, answer: Any) -> None:
+    def _handle_answer(self, work: str, answer: Any) -> None:
         token = answer.get("token") if isinstance(answer, dict) else None
         if isinstance(token, int) and not isinstance(token, bool) and token >= 0:
-            self.under_way.pop(work, None)
-            self.learned(work, token)
+            self.pending.pop(work, None)
+            self.on_token(work, token)
         elif not self.stopped:
             low, high = RETRY_DELAY_S
             wait = low + (high - low) * chance(self.seed, self.draws)
-            self.under_way[work] = self.reactor.callLater(wait, self._ask, work)
+            self.pending[work] = self.reactor.callLater(wait, self._send_request, work)
 
     def stop(self) -> None:
         self.stopped = True
-        for timer in self.under_way.values():
+        for timer in self.pending.values():
             cancel(timer)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -176,31 +176,31 @@
 def test_acts_at_a_node_go_over_one_connection_and_each_has_the_answer_in_its_turn():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1), "n1": ("127.0.0.1", 2)})
-    links.act("n0", b"act census 7 {}\n", said.append)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     conn, wire = link_up(reactor)
     conn.dataReceived(b'ACK {"life":1}\r\nNAK older')
     conn.dataReceived(b"-token\r\n")
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     assert wire.value() == b"act census 7 {}\nact hosts 9 {}\nact census 7 {}\n"
     assert said == [{"life": 1}, {"no": "older-token"}] and len(reactor.tcpClients) == 1
     conn.connectionLost(Failure(ConnectionDone()))  # as by a node that was idle, or of an older program
     assert said[2:] == [None]
-    links.act("n0", b"act census 7 {}\n", said.append)
-    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.over
+    links.send("n0", b"act census 7 {}\n", said.append)
+    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.closed
 
 
 def test_after_an_answer_that_did_not_come_in_time_no_later_one_is_taken_for_another():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1)})
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     conn, wire = link_up(reactor)
     reactor.advance(ANSWER_TIMEOUT_S / 2)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     reactor.advance(ANSWER_TIMEOUT_S)
-    assert said == [None, None] and conn.over
+    assert said == [None, None] and conn.closed
     conn.dataReceived(b'ACK {"life":1}\r\n')
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     assert said == [None, None] and len(reactor.tcpClients) == 2
 
 
@@ -245,7 +245,7 @@
     made.driver.tick()
     assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
     answers = []
-    made._call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
+    made._handle_call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
     assert answers in ([], [None])
     made.closed = True
     made.storage.close()
@@ -254,7 +254,7 @@
 def config_members(config):
     from caperdeck.raft.log import Members
 
-    return Members(config.first)
+    return Members(config.initial_voters)
 
 
 def at_once(reactor, pool, do, *args):
