--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -22,7 +22,7 @@
 from caperdeck.core.model import HostState, Outcome, Settings
 from caperdeck.core.settings import MS, Names
 from caperdeck.state.budget import SocketBudget
-from caperdeck.state.figures import Figures, Status
+from caperdeck.state.figures import Metrics, Status
 from caperdeck.state.hosts import Hosts
 from caperdeck.state.limits import Limits
 from caperdeck.state.sessions import ClientSide, HostSide, Prober, Session, Sessions
@@ -63,8 +63,8 @@
         self.budget = budget
         self.sessions = Sessions()
         self.resumption = Resumption(self)
-        self.figures = Figures()
-        self.figures.know(names.listeners)
+        self.metrics = Metrics()
+        self.metrics.add_classes(names.listeners)
         self.idle: dict[ClientSide, None] = {}  # without a first line, the oldest first
         self.told_at = clock()  # when discovery last said anything
         self.subsets: Subsets | None = None  # None: all hosts are drawn alike
@@ -99,7 +99,7 @@
     # ---- stalls
 
     def _stalled(self, span: float) -> None:
-        logger.warning("away ms={:.0f} sessions={}", span, len(self.sessions.table))
+        logger.warning("away ms={:.0f} sessions={}", span, len(self.sessions.by_index))
 
     def _forget_figures(self, now: float) -> None:
         self.balancer.forget(now)
@@ -149,16 +149,16 @@
 
     def _carry_out(self, order: Order) -> None:
         if isinstance(order, Look):
-            self.probes.probe(order.host, self.hosts.address[order.host])
+            self.probes.probe(order.host, self.hosts.addresses[order.host])
             return
-        s = self.sessions.table.get(order.session)
+        s = self.sessions.by_index.get(order.session)
         if s is None:
             return
         match order:
             case Connect(_, dial, host, until):
                 # Danger: a timer of this turn runs before the client's end is read, which lies there.
-                if s.client.unread() != b"":
-                    self.dial(s, dial, host, until, self.limits.connect_time_out)
+                if s.client.peek() != b"":
+                    self.dial(s, dial, host, until, self.limits.connect_timeout)
                     return
                 self._end(s, "client-left")
                 self.report(Left(s.index))
@@ -175,7 +175,7 @@
     # ---- clients
 
     def client_came(self, client: ClientSide) -> None:
-        self.budget.clients += 1
+        self.budget.client_connections += 1
         self.idle[client] = None
         if not self.budget.may_accept():
             self.clients_wait()
@@ -195,26 +195,26 @@
 
     def client_closed(self, client: ClientSide) -> None:
         """Its descriptor is free again."""
-        self.budget.clients -= 1
+        self.budget.client_connections -= 1
         if client in self.idle:
             del self.idle[client]
-            logger.info("end reason=no-line ms={:.0f}", self.clock() - client.opened)
+            logger.info("end reason=no-line ms={:.0f}", self.clock() - client.opened_at)
         if self.budget.may_accept():
             self.accepting(True)
 
     def client_gone(self, client: ClientSide, reset: bool) -> None:
         """The client has ended its connection."""
         s = client.session
-        if s is not None and not s.over:
+        if s is not None and not s.finished:
             how = "client-reset" if reset else "client-closed"
-            self._lose_client(s, how if s.up_at else "client-left", reset)
+            self._lose_client(s, how if s.established_at else "client-left", reset)
 
     def _lose_client(self, s: Session, reason: str, reset: bool) -> None:
         """Nobody waits for the session any more: ends it, and its host's side in the same way."""
-        up, dialing = bool(s.up_at), s.conn is not None
+        up, dialing = bool(s.established_at), s.host_connection is not None
         self._end(s, reason)
         self._hang_up(s, reset and up)
-        if s.request.at is not None and not up:
+        if s.request.resume_host is not None and not up:
             return  # the balancer has not heard of it yet
         if not up:
             self.report(Left(s.index))
@@ -227,8 +227,8 @@
         """Dials the host for the session, and gives the dial up at `until`."""
         s.host, s.dial, s.dialed_at = host, dial, self.clock()
         wait = max(until - self.clock(), 0.0)
-        s.conn = self.open_host(s, until, min(connect_time_out, wait + 1))
-        s.timer = self.reactor.callLater(wait / MS, self._late, s.conn)
+        s.host_connection = self.open_host(s, until, min(connect_time_out, wait + 1))
+        s.dial_timer = self.reactor.callLater(wait / MS, self._late, s.host_connection)
 
     def dial_open(self, conn: HostSide) -> None:
         """The connection is up; the one place where a request line goes out."""
@@ -239,7 +239,7 @@
             # discovery's socket is read before this runs again
             self.reactor.callLater(0, self.dial_open, conn)
             return
-        unread = s.client.unread()
+        unread = s.client.peek()
         if unread is None:
             self._send(s, conn)
         elif not unread:
@@ -251,12 +251,12 @@
     def _send(self, s: Session, conn: HostSide) -> None:
         self.look_for_bans()
         # Danger: what held when the host was chosen may have lapsed while its connection came up.
-        if s.request.at is None and not self.balancer.still_allowed(self.clock(), s.index):
+        if s.request.resume_host is None and not self.balancer.still_allowed(self.clock(), s.index):
             self._end_dial(s, Outcome.NEVER_SENT)
         elif not self.send_request(conn):
             self._end_dial(s, Outcome.UNREACHED)
         else:
-            self.figures.relayed += 1
+            self.metrics.relayed_requests += 1
 
     def dial_failed(self, conn: HostSide) -> None:
         self.clock()
@@ -265,28 +265,28 @@
 
     def _late(self, conn: HostSide) -> None:
         if not self.later(partial(self._late, conn)) and not conn.ended:
-            self._end_dial(conn.session, Outcome.LATE if conn.sent else Outcome.UNREACHED)
+            self._end_dial(conn.session, Outcome.LATE if conn.request_sent else Outcome.UNREACHED)
 
     def _end_dial(self, s: Session, outcome: Outcome) -> None:
         """A dial that has not come to stand is over."""
-        if s.conn is None or s.up_at:
+        if s.host_connection is None or s.established_at:
             return
         name = outcome.name.lower().replace("_", "-")
-        self.figures.dials[name] += 1
+        self.metrics.failed_dials[name] += 1
         logger.info(
             "dial id={} dial={} host={} outcome={} sent={} ms={:.0f}", s.request.id, s.dial,
-            self.hosts.uid[s.host], name, s.conn.sent, self.clock() - s.dialed_at,
+            self.hosts.uids[s.host], name, s.host_connection.request_sent, self.clock() - s.dialed_at,
         )  # fmt: skip
         self._hang_up(s, reset=False)
-        if s.request.at is None:
+        if s.request.resume_host is None:
             self.report(Over(s.index, s.dial, outcome, False))
         else:
             self.resumption.dial_failed(s, name)
 
     def _hang_up(self, s: Session, reset: bool) -> None:
         """Ends the host's side of a session."""
-        conn, s.conn = s.conn, None
-        cancel(s.timer)
+        conn, s.host_connection = s.host_connection, None
+        cancel(s.dial_timer)
         if conn is not None and not conn.ended:
             conn.close(reset)
 
@@ -302,30 +302,30 @@
 
     def remember(self, memory: dict[str, Any], able: dict[str, float]) -> None:
         """What another process of this node has learned, and the load that fills each host."""
-        index = self.hosts.index
+        index = self.hosts.index_by_uid
         self.balancer.remember(memory, {index[uid]: load for uid, load in able.items() if uid in index})
 
     def handed_on(self, s: Session) -> None:
         """Another process of this node has the session now; it has not ended."""
-        s.client.closing = s.conn.ended = True
-        s.conn = None
-        self.sessions.drop(s)
-        self.budget.sessions -= 1
-        self.budget.clients -= 1
+        s.client.closing = s.host_connection.ended = True
+        s.host_connection = None
+        self.sessions.remove(s)
+        self.budget.session_count -= 1
+        self.budget.client_connections -= 1
         self.report(Over(s.index, s.dial, Outcome.WITHDRAWN, True))
 
     def host_gone(self, conn: HostSide, reset: bool) -> None:
         """The host has ended its connection."""
         s = conn.session
-        if s.over or s.conn is not conn:
+        if s.finished or s.host_connection is not conn:
             return
-        if not s.up_at:
-            self._end_dial(s, Outcome.RESET if conn.sent else Outcome.UNREACHED)
+        if not s.established_at:
+            self._end_dial(s, Outcome.RESET if conn.request_sent else Outcome.UNREACHED)
             return
-        outcome, reason = conn.farewell or (Outcome.RESET, "host-reset" if reset else "host-closed")
+        outcome, reason = conn.announced_end or (Outcome.RESET, "host-reset" if reset else "host-closed")
         self._end(s, reason)
-        s.conn = None
-        if reset and not conn.farewell:
+        s.host_connection = None
+        if reset and not conn.announced_end:
             s.client.abort()
         else:
             s.client.close()
@@ -335,16 +335,16 @@
 
     def _answer(self, s: Session, line: bytes, reason: str, status: Status = Status.FAULTED) -> None:
         """The final answer to a client whose session does not come to stand."""
-        self.figures.answered(s.request.listener, status)
+        self.metrics.count_answer(s.request.listener, status)
         self._end(s, reason)
         self._hang_up(s, reset=False)
         s.client.close(line)
 
     def give_up(self, s: Session, reason: str) -> None:
         """Answers a session that does not stand, whatever became of its dial."""
-        dialing = s.conn is not None
+        dialing = s.host_connection is not None
         self._answer(s, self.failed, reason)
-        if s.request.at is not None:
+        if s.request.resume_host is not None:
             return  # the balancer has not heard of it yet
         self.report(Left(s.index))
         if dialing:
@@ -358,7 +358,7 @@
 
     def move(self, s: Session, reason: str, outcome: Outcome = Outcome.WITHDRAWN) -> None:
         """Tells the client of a standing session to come again; lines are whole, so it is between two."""
-        if not s.up_at or s.over:
+        if not s.established_at or s.finished:
             return
         self._end(s, reason)
         self._hang_up(s, reset=outcome is Outcome.RESET)
@@ -367,16 +367,16 @@
 
     def _end(self, s: Session, reason: str) -> None:
         """The one log line of a session."""
-        self.sessions.drop(s)
-        self.budget.sessions -= 1
+        self.sessions.remove(s)
+        self.budget.session_count -= 1
         self.resumption.ended(s)
-        self.figures.ended[reason] += 1
+        self.metrics.ended_sessions[reason] += 1
         now = self.clock()
-        host = self.hosts.uid[s.host] if s.host >= 0 else "-"
+        host = self.hosts.uids[s.host] if s.host >= 0 else "-"
         logger.info(
             "end id={} reason={} class={} host={} dials={} ms={:.0f} up_ms={:.0f}",
-            s.request.id, reason, s.request.listener, host, s.dial + 1, now - s.since,
-            now - s.up_at if s.up_at else 0,
+            s.request.id, reason, s.request.listener, host, s.dial + 1, now - s.requested_at,
+            now - s.established_at if s.established_at else 0,
         )  # fmt: skip
 
     # ---- other settings, figures
@@ -384,49 +384,49 @@
     def retune(self, settings: Settings, names: Names, limits: Limits) -> None:
         """All of them in one step; sessions keep what they began under."""
         self.names, self.limits = names, limits
-        self.figures.know(names.listeners)
-        self.probes.retune(limits.reports, 2 * limits.connect_time_out)
+        self.metrics.add_classes(names.listeners)
+        self.probes.apply_settings(limits.hosts_report_load, 2 * limits.connect_timeout)
         self.report(Retuned(settings))
         self.narrow()
 
     def gauges(self) -> dict[str, int]:
         listed, now = self.hosts.listed(), self.clock()
         return {
-            "open_requests": len(self.sessions.table), "registry_entries": len(listed),
+            "open_requests": len(self.sessions.by_index), "registry_entries": len(listed),
             "out_of_rotation": sum(self.balancer.avoids(now, h) for h in listed),
         }  # fmt: skip
 
     # ---- the roster and probes
 
     def probed(self, news: Looked) -> None:
-        uid = self.hosts.uid[news.host]
+        uid = self.hosts.uids[news.host]
         report = news.told
         logger.debug(
             "look uid={} outcome={} load={} held={}", uid, news.outcome.name, report.load, report.held
         )
         alive = news.outcome in (Outcome.GOOD, Outcome.ERROR)
         if alive:
-            self.hosts.spoke_at[news.host] = self.clock()
+            self.hosts.heard_at[news.host] = self.clock()
         # Danger: an answer that lay there all the while tells an old figure as a new one.
         if self.figures_void:
             return
         self.report(news)
         # Danger: a probe that this node had no descriptor for says nothing about its host.
         if not alive and news.outcome is not Outcome.NEVER_SENT and self._suspect(news.host):
-            for s in self.sessions.standing():
+            for s in self.sessions.established():
                 if s.host == news.host:
                     self.move(s, "host-silent", Outcome.RESET)
 
     def ban(self, uid: str, out: bool) -> None:
         """An operator takes a host out, or lets it serve again."""
-        self.report(Banned(self.hosts.know(uid), out))
+        self.report(Banned(self.hosts.index_of(uid), out))
         logger.info("roster reason={} uids={}", "taken-out" if out else "called-back", uid)
 
     def listed(self, whole: bool, rows: Any) -> None:
-        entries = self.hosts.take(self.read_clock(), whole, rows, self.complain_entry)
-        self.budget.hosts = self.hosts.running()
-        for host in list(self.probes.open):
-            if self.hosts.state[host] is HostState.GONE:
+        entries = self.hosts.update(self.read_clock(), whole, rows, self.complain_entry)
+        self.budget.running_hosts = self.hosts.running_count()
+        for host in list(self.probes.connections):
+            if self.hosts.states[host] is HostState.GONE:
                 self.probes.close(host)
         self.report(Listed(whole, entries))
         self.narrow()
@@ -438,7 +438,7 @@
         sized = self.balancer.settings.sizes_stand
         reason = self.subsets.update([
             Place(e.host, e.mark, sized and e.size or 1.0, e.zone)
-            for e, state in zip(self.hosts.entry, self.hosts.state, strict=True)
+            for e, state in zip(self.hosts.entries, self.hosts.states, strict=True)
             if e is not None and state is HostState.RUNNING
         ])  # fmt: skip
         if reason is not None:
@@ -448,14 +448,14 @@
     def discovery_spoke(self) -> None:
         """Anything at all has come from discovery."""
         self.told_at = self.clock()
-        if self.hosts.held:
-            self.report(Listed(False, self.hosts.release()))
+        if self.hosts.presumed_draining:
+            self.report(Listed(False, self.hosts.end_presumption()))
 
     def _mind_silence(self, now: float) -> None:
         # Danger: what a silent discovery has to tell counts as told all the same; a host that drains
         # then shows it only by sending its clients away.
-        if now - self.told_at > SILENT_LIST and (entries := self.hosts.hold(now - MOVED_LIFE)):
-            uids = ",".join(self.hosts.uid[e.host] for e in entries)
+        if now - self.told_at > SILENT_LIST and (entries := self.hosts.presume_draining(now - MOVED_LIFE)):
+            uids = ",".join(self.hosts.uids[e.host] for e in entries)
             logger.info("roster reason=held-to-drain uids={}", uids)
             self.report(Listed(False, entries))
 
@@ -464,12 +464,12 @@
 
     def _suspect(self, host: int) -> bool:
         """Whether a line to the host has waited too long and nothing at all has come from it since."""
-        waiting = self.sessions.silent(self.clock() - SUSPECT)
+        waiting = self.sessions.unanswered_before(self.clock() - SUSPECT)
         return any(s.host == host and self._unheard(s) for s in waiting)
 
     def _unheard(self, s: Session) -> bool:
         # a host held up by a client that does not read is not silent
-        return not s.conn.paused and self.hosts.spoke_at[s.host] <= s.asked_at
+        return not s.host_connection.paused and self.hosts.heard_at[s.host] <= s.unanswered_since
 
     # ---- housekeeping
 
@@ -483,22 +483,24 @@
             self._mind_silence(now)
             # every wait has a timer of its own; should one be lost, its client is answered all the same
             for s in self.sessions.overdue(now - OVERDUE_ANSWER):
-                self.figures.overdue += 1
+                self.metrics.overdue_answers += 1
                 self.give_up(s, "overdue")
             # Danger: a machine that vanished says nothing and its connections stay open.
-            for s in self.sessions.silent(now - SILENCE):
-                if not s.conn.paused:
+            for s in self.sessions.unanswered_before(now - SILENCE):
+                if not s.host_connection.paused:
                     self.move(s, "host-silent", Outcome.RESET)
             # Danger: found out by each connection for itself, a lost zone keeps its clients waiting for
             # seconds; one line and one probe without an answer tell it for all connections of the host.
-            if self.limits.probes:
-                for host in {s.host: None for s in self.sessions.silent(now - SUSPECT) if self._unheard(s)}:
-                    self.probes.probe(host, self.hosts.address[host])
+            if self.limits.may_probe:
+                for host in {
+                    s.host: None for s in self.sessions.unanswered_before(now - SUSPECT) if self._unheard(s)
+                }:
+                    self.probes.probe(host, self.hosts.addresses[host])
         # Danger: a client's machine that vanished says nothing either, and keeps two descriptors.
-        if not self.catching_up and now - self.searched_at > self.limits.idle / 10:
+        if not self.catching_up and now - self.searched_at > self.limits.idle_timeout / 10:
             self.searched_at = now
-            for s in self.sessions.standing():
-                if now - s.heard_at > self.limits.idle:
+            for s in self.sessions.established():
+                if now - s.client_heard_at > self.limits.idle_timeout:
                     self.move(s, "client-silent")
         # Danger: clients that connect and say nothing would take every descriptor.
         if not self.catching_up:
@@ -507,9 +509,9 @@
     def close_idle(self, before: float) -> None:
         """Ends the clients that have come before that time and sent no first line."""
         for client in list(self.idle):
-            if client.opened >= before:
+            if client.opened_at >= before:
                 break
             # Danger: closed over a line that has come in this instant, the client would have no answer to it;
             # and one that crosses the close finds this one.
-            if not client.unread():
+            if not client.peek():
                 client.close(self.busy(0.0), linger=self.budget.may_serve() and not self.stopping)
--- a/caperdeck/execution/resumption.py
+++ b/caperdeck/execution/resumption.py
@@ -44,7 +44,7 @@
         self.waiting: dict[Session, str] = {}  # without a host's side, and for what they wait
 
     def begin(self, s: Session) -> None:
-        s.deadline = min(s.deadline, s.since + LONGEST)
+        s.deadline = min(s.deadline, s.requested_at + LONGEST)
         self._try(s)
 
     def ended(self, s: Session) -> None:
@@ -55,13 +55,13 @@
         self._later(s, reason)
 
     def _try(self, s: Session) -> None:
-        if s.over:
+        if s.finished:
             return
         carrier = self.carrier
-        host = carrier.hosts.index.get(s.request.at, -1)
-        if host < 0 or carrier.hosts.address[host] is None:
+        host = carrier.hosts.index_by_uid.get(s.request.resume_host, -1)
+        if host < 0 or carrier.hosts.addresses[host] is None:
             self._later(s, "unknown-host")
-        elif not carrier.budget.free:
+        elif not carrier.budget.free_descriptors:
             self._later(s, "no-sockets")
         else:
             self._waits(s, None)
@@ -83,5 +83,5 @@
         if reason is not None:
             self.waiting[s] = reason
             if reason != before:
-                logger.info("resume id={} host={} waits={}", s.request.id, s.request.at, reason)
-        self.carrier.budget.undialed = len(self.waiting)
+                logger.info("resume id={} host={} waits={}", s.request.id, s.request.resume_host, reason)
+        self.carrier.budget.undialed_sessions = len(self.waiting)
--- a/caperdeck/lab/capacity/roles/discovery.py
+++ b/caperdeck/lab/capacity/roles/discovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caperdeck.state.backoff import LOST
+from caperdeck.state.backoff import UNREACHABLE
 from caperdeck.wire.discovery import ANSWER, MOST_HOSTS, SILENT
 
 from ..figure import Figure
@@ -17,7 +17,7 @@
 def role(fleet: Fleet) -> Role:
     members, hosts, row_bytes = fleet.members, fleet.assumed("hosts"), fleet.assumed("host_row_bytes")
     changes = fleet.assumed("hosts_replaced_a_day") / DAY
-    calls = members / (LOST.longest / 2)
+    calls = members / (UNREACHABLE.max_span_s / 2)
     need = Need.HOST_LIST
     return Role(
         "Discovery",
@@ -56,7 +56,7 @@
                 Kind.TIME,
                 "until a watch that fell silent is open again",
                 "s",
-                Figure(SILENT + ANSWER + WAITS * LOST.longest),
+                Figure(SILENT + ANSWER + WAITS * UNREACHABLE.max_span_s),
                 fleet.target.configuration.within,
             ),
         ),
--- a/caperdeck/lifecycle/config.py
+++ b/caperdeck/lifecycle/config.py
@@ -168,14 +168,14 @@
     rows, limits = setup["listeners"], setup["limits"]
     max_back_off = figure(limits, "maxRetryAfter", "limits.", 0.0, least=0.0) * MS
     return Limits(
-        connect_time_out=figure(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
-        probes=bool(limits.get("mayProbe", False)),
-        reports=(setup.get("report") or {}).get("how") != "silent",
+        connect_timeout=figure(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
+        may_probe=bool(limits.get("mayProbe", False)),
+        hosts_report_load=(setup.get("report") or {}).get("how") != "silent",
         max_back_off=max_back_off if limits.get("retryAfter") else 0.0,
-        longest_wait=MS
+        max_client_wait=MS
         * max(figure(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
-        idle=max(figure(limits, "connIdle", "limits.", LEAST_IDLE), LEAST_IDLE) * MS,
-        list_life=_list_life(setup),
+        idle_timeout=max(figure(limits, "connIdle", "limits.", LEAST_IDLE), LEAST_IDLE) * MS,
+        list_lifetime=_list_life(setup),
     )
 
 
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -45,7 +45,9 @@
         # the second process of an upgrade is another target, which has yet to be told
         # Danger: by a clock that went back a new life could be taken for an old one, and be told its word.
         life = int.from_bytes(os.urandom(6), "big") + 1
-        self.target = Target(life, max(nodes, 1), self._listed, self._ill, self._well, desk.figures.tries)
+        self.target = Target(
+            life, max(nodes, 1), self._listed, self._ill, self._well, desk.metrics.total_answers
+        )
         self.asking = Asking(reactor, owners, self.target.fence.learned)
         self.timer: Any = None
         self.in_force: set[str] = set()  # uids that are out here by the fleet's word
@@ -94,7 +96,7 @@
         """Puts into force what the target holds: out by the fleet's word, or by an operator's here."""
         self.target.tick(now)
         hosts, by_hand = self.desk.hosts, set(self.bans())
-        wanted = {uid for uid in self.target.out if uid in hosts.index}
+        wanted = {uid for uid in self.target.out if uid in hosts.index_by_uid}
         for uid in sorted(wanted ^ self.in_force):
             if uid not in by_hand:
                 self.desk.ban(uid, uid in wanted)
@@ -113,7 +115,7 @@
 
     def _listed(self) -> list[str]:
         hosts = self.desk.hosts
-        return [u for u, state in zip(hosts.uid, hosts.state, strict=True) if state is HostState.RUNNING]
+        return [u for u, state in zip(hosts.uids, hosts.states, strict=True) if state is HostState.RUNNING]
 
     def _words(self) -> list:
         return self.desk.balancer.shares.words(self.desk.clock())
@@ -121,9 +123,9 @@
     def _ill(self) -> list[str] | None:
         if self.desk.balancer.shares.ill_everywhere(ILL_EVERYWHERE):
             return None
-        uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.well]
+        uids = [self.desk.hosts.uids[w.host] for w in self._words() if not w.well]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
 
     def _well(self, uid: str) -> bool:
-        h = self.desk.hosts.index.get(uid)
+        h = self.desk.hosts.index_by_uid.get(uid)
         return any(w.well and w.host == h for w in self._words())
--- a/caperdeck/lifecycle/reactor.py
+++ b/caperdeck/lifecycle/reactor.py
@@ -13,7 +13,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 
 INSTALLED = "twisted.internet.reactor"  # where the library keeps the one of the process
 
@@ -34,7 +34,7 @@
     """The reactor of this process, installed now if there is none; raises WallClockReactorError."""
     installed = sys.modules.get(INSTALLED)
     if installed is None:
-        installed = call_again(MonotonicReactor)
+        installed = call_with_retries(MonotonicReactor)
         installReactor(installed)
     if not isinstance(installed, MonotonicReactor):
         raise WallClockReactorError(f"{type(installed).__name__} is installed already")
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -21,11 +21,11 @@
 from caperdeck.ops.admin_calls import CallError, Calls, Then, yes
 from caperdeck.ops.admin_server import RESERVED, Front
 from caperdeck.ops.upgrade import State, Upgrade
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 from caperdeck.state.budget import SocketBudget, open_descriptors
 from caperdeck.state.hosts import Hosts
 from caperdeck.state.backoff import BackOff
-from caperdeck.state.clocks import DateWatch, node_clock, unix_time
+from caperdeck.state.clocks import WallClockMonitor, node_clock, unix_time
 from caperdeck.coordination.subset import SubsetError, Subsets
 from caperdeck.wire.client import ClientFactory, ClientPort
 from caperdeck.wire.session_handler import Desk
@@ -68,18 +68,18 @@
         self.reread = reread
         self.sink = sink
         self.clock = clock
-        self.date_watch = DateWatch(clock, date)
+        self.date_watch = WallClockMonitor(clock, date)
         balancer = Balancer(config.settings, self.clock())
         budget = SocketBudget(config.sockets, 0)
         self.desk = Desk(
             reactor, self.clock, balancer, config.names, config.limits, Hosts(config.names.zones), budget,
         )  # fmt: skip
         self.desk.accepting = self.accept
-        self.desk.hosts.start_times.go_by(self.date_watch.ahead)
+        self.desk.hosts.start_times.set_wall_clock_offset(self.date_watch.offset)
         self.discovery = Discovery(
             reactor, config.discovery, config.rev, self.desk.listed, self.discovery_spoke,
             self.complain, BackOff(config.settings.seed, config.settings.nodes), self.excused,
-            config.limits.list_life / MS,
+            config.limits.list_lifetime / MS,
         )  # fmt: skip
         self.desk.source = self.discovery
         self.narrows = subsets
@@ -139,7 +139,7 @@
     def know_saved(self) -> None:
         """Takes in the hosts of the configuration, a list that was saved some time ago, and the bans."""
         self.know(self.config.known)
-        self.desk.hosts.start_times.heard_in_saved_list()
+        self.desk.hosts.start_times.mark_as_saved()
 
     def know(self, rows: list, bans: State | None = None) -> None:
         """Takes in the hosts, and the bans, those of the file if none are given, before anything is sent."""
@@ -159,7 +159,7 @@
         address, factory = self.config.listen, ClientFactory(self.desk)
         if fd < 0:
             self.port = ClientPort(address.port, factory, BACKLOG, address.host, self.reactor)
-            call_again(self.port.startListening)
+            call_with_retries(self.port.startListening)
         else:
             self.port = ClientPort._fromListeningDescriptor(self.reactor, fd, socket.AF_INET, factory)
             os.close(fd)
@@ -173,7 +173,7 @@
         self.join()
         self.upgrade.ring()
         logger.info("start node={} listen={}:{} hosts={} sockets={} {}", config.name, *config.listen,
-                    self.desk.hosts.running(), config.sockets, self.desk.budget.spoken_for)  # fmt: skip
+                    self.desk.hosts.running_count(), config.sockets, self.desk.budget.summary)  # fmt: skip
 
     def join(self) -> None:
         """Speaks to its peers from now on, where the operator wants it and the settings allow it."""
@@ -238,10 +238,10 @@
         loop.start(SWEEP / MS, now=False).addErrback(self.keep_sweeping)
 
     def sweep(self) -> None:
-        if (step := self.date_watch.step()) is not None:
+        if (step := self.date_watch.detect_step()) is not None:
             # nothing is timed by the date, but the lines before and after this one carry it
             logger.warning("clock reason=date-stepped ms={:.0f}", step)
-            self.desk.figures.date_steps += 1
+            self.desk.metrics.date_steps += 1
         self.desk.sweep()
         self.ban_calls.look()
         self.ban_calls.save()
@@ -257,7 +257,9 @@
             if not on and self.clock() - self.short_at > SHORT_EVERY:
                 self.short_at = self.clock()
                 budget = self.desk.budget
-                logger.warning("accept reason=no-sockets open={} {}", budget.clients, budget.spoken_for)
+                logger.warning(
+                    "accept reason=no-sockets open={} {}", budget.client_connections, budget.summary
+                )
 
     # ---- calls to the second address
 
@@ -267,7 +269,7 @@
         then(yes())
 
     def knows_host(self, uid: str) -> bool:
-        return uid in self.desk.hosts.index
+        return uid in self.desk.hosts.index_by_uid
 
     def put_in_force(self, ban: Ban) -> None:
         """Takes a host out, or lets it serve again, at this process."""
@@ -285,7 +287,7 @@
         shared = self.peers.sharing.lines(self.desk.clock()) if self.peers is not None else []
         owned = self.owned.lines() if self.owned is not None else []
         published = self.published.lines() if self.published is not None else []
-        then([*self.desk.figures.lines(self.desk.gauges()), *shared, *owned, *published, "--"])
+        then([*self.desk.metrics.lines(self.desk.gauges()), *shared, *owned, *published, "--"])
 
     # ---- a new configuration
 
@@ -304,7 +306,7 @@
             check_kept(self.config, new)
         except ConfigError as error:
             # Danger: half a file, or one for another program, must not end a node that serves.
-            self.desk.figures.invalid += 1
+            self.desk.metrics.rejected_configs += 1
             logger.error("reload reason=unusable {}", error)
             return
         self.take(new)
@@ -312,7 +314,7 @@
     def take(self, new: Config) -> None:
         """Serves under it from now on; it was checked whole."""
         old = self.config
-        self.desk.figures.accepted += 1
+        self.desk.metrics.accepted_configs += 1
         kept = [key for key in ("name", "listen", "admin") if getattr(new, key) != getattr(old, key)]
         kept += ["dcs"] * (new.names.zones != old.names.zones)
         self.config = new = replace(
@@ -327,7 +329,7 @@
             # Danger: the numbers of members mean others in another list.
             self.part()
             self.join()
-        self.discovery.list_life = new.limits.list_life / MS
+        self.discovery.list_life = new.limits.list_lifetime / MS
         if new.discovery != old.discovery:
             self.discovery.move_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
@@ -350,12 +352,12 @@
         if self.upgrade.waits:
             self.exit()
             return
-        logger.info("stop sessions={}", len(self.desk.sessions.table))
+        logger.info("stop sessions={}", len(self.desk.sessions.by_index))
         # Danger: in a rolling restart the node before may not be back; who is moved early has nowhere to go.
         self.reactor.callLater(max(self.stop_span - MOVING, SERVE_ON) / MS, self.move_some)
 
     def _longest_wait(self) -> float:
-        return min(self.config.limits.longest_wait, LONGEST_STOP)
+        return min(self.config.limits.max_client_wait, LONGEST_STOP)
 
     def _stop_span(self) -> float:
         return max(self._longest_wait(), SERVE_ON) + STOP_AFTER
@@ -369,7 +371,7 @@
 
     def _move_share(self) -> None:
         """The sessions whose turn it is, so that all are moved evenly by the end of the span."""
-        standing = self.desk.sessions.standing()
+        standing = self.desk.sessions.established()
         left = self.stopped_at + self.stop_span - self.clock()
         steps = max(int(left / 50.0), 1)
         for s in standing[: -(-len(standing) // steps)]:
@@ -377,7 +379,7 @@
         self.desk.close_idle(self.clock() - SERVE_ON)
 
     def _go_on_stopping(self) -> None:
-        if self.desk.budget.clients or self.clock() < self.stopped_at + 2 * SERVE_ON:
+        if self.desk.budget.client_connections or self.clock() < self.stopped_at + 2 * SERVE_ON:
             self.reactor.callLater(0.05, self.move_some)
         elif self.accepts_more:
             self.accepts_more = not self.shut_port()
--- a/caperdeck/ops/admin_server.py
+++ b/caperdeck/ops/admin_server.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from caperdeck.state.addresses import Address
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort, LineConnection
 
@@ -106,7 +106,7 @@
 
     def listen(self, address: Address) -> BoundedPort:
         port = BoundedPort(address.port, self, BACKLOG, address.host, self.reactor)
-        call_again(port.startListening)
+        call_with_retries(port.startListening)
         return port
 
     @property
--- a/caperdeck/ops/bans.py
+++ b/caperdeck/ops/bans.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 
 LARGEST = 1 << 20  # bytes of the file
 FILE = "caperdeck-bans.json"
@@ -55,7 +55,7 @@
         if self.path is None:
             return
         try:
-            self.uids = dict.fromkeys(call_again(self._read, passes=_is_disk_error))
+            self.uids = dict.fromkeys(call_with_retries(self._read, is_retryable=_is_disk_error))
         except FileNotFoundError:
             return
         except OSError as error:
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -29,8 +29,15 @@
 
 def may_go(s: Session) -> bool:
     """Stands whole: both sides are open and nothing of its end is on the way."""
-    client, conn = s.client, s.conn
-    if not s.up_at or s.over or client.closing or conn is None or conn.ended or conn.farewell:
+    client, conn = s.client, s.host_connection
+    if (
+        not s.established_at
+        or s.finished
+        or client.closing
+        or conn is None
+        or conn.ended
+        or conn.announced_end
+    ):
         return False
     if not client.connected or not conn.connected:
         return False
@@ -39,11 +46,11 @@
 
 
 def packet(desk: Desk, s: Session) -> tuple[dict[str, Any], list[int]]:
-    client, conn = s.client, s.conn
+    client, conn = s.client, s.host_connection
     message = {
-        "say": "session", "line": text(s.request.line), "host": desk.hosts.uid[s.host], "dial": s.dial,
-        "since": s.since, "deadline": s.deadline, "up_at": s.up_at, "heard_at": s.heard_at,
-        "asked": bool(s.asked_at),
+        "say": "session", "line": text(s.request.line), "host": desk.hosts.uids[s.host], "dial": s.dial,
+        "since": s.requested_at, "deadline": s.deadline, "up_at": s.established_at,
+        "heard_at": s.client_heard_at, "asked": bool(s.unanswered_since),
         "read": [text(client._buffer), text(conn._buffer)],
         "unsent": [text(unsent(client.transport)), text(unsent(conn.transport))],
     }  # fmt: skip
@@ -79,13 +86,13 @@
             return False
         client = ClientConnection(desk)
         adopt(desk, fds[0], client)
-        s = desk.sessions.new(parse_request(message["line"].encode("latin-1")), client, message["since"])
+        s = desk.sessions.create(parse_request(message["line"].encode("latin-1")), client, message["since"])
         conn = HostConnection(desk, s, message["deadline"])
         conn.taken_up = True
         adopt(desk, fds[1], conn)
-        s.host, s.dial, s.conn = desk.hosts.know(message["host"]), message["dial"], conn
-        desk.sessions.stands(s, message["up_at"])
-        s.deadline, s.heard_at = message["deadline"], message["heard_at"]
+        s.host, s.dial, s.host_connection = desk.hosts.index_of(message["host"]), message["dial"], conn
+        desk.sessions.mark_established(s, message["up_at"])
+        s.deadline, s.client_heard_at = message["deadline"], message["heard_at"]
         desk.took_up(s, message["asked"])
     finally:
         for fd in fds:
--- a/caperdeck/ops/link.py
+++ b/caperdeck/ops/link.py
@@ -17,7 +17,7 @@
 from twisted.internet.interfaces import IReadWriteDescriptor
 from zope.interface import implementer
 
-from caperdeck.state.errors import TRY_AGAIN_AFTER, call_again, is_momentary
+from caperdeck.state.errors import RETRY_DELAY_S, call_with_retries, is_transient
 from caperdeck.state.timers import cancel
 
 FILE = "caperdeck.sock"
@@ -93,7 +93,7 @@
     for address in addresses:
         try:
             # Danger: taken for gone, the process that serves would go on beside this one, each for itself.
-            return call_again(lambda address=address: _connected(address), passes=_is_passing)
+            return call_with_retries(lambda address=address: _connected(address), is_retryable=_is_passing)
         except OSError as error:
             # a start with nobody before it is the usual one
             level = "DEBUG" if error.errno in NOBODY else "WARNING"
@@ -126,7 +126,7 @@
 
 def _is_passing(error: BaseException) -> bool:
     """Whether the machine, or room in a queue, was lacking for a moment."""
-    return is_momentary(error) or getattr(error, "errno", 0) in (errno.EAGAIN, errno.ETOOMANYREFS)
+    return is_transient(error) or getattr(error, "errno", 0) in (errno.EAGAIN, errno.ETOOMANYREFS)
 
 
 @implementer(IReadWriteDescriptor)
@@ -156,7 +156,7 @@
             return
         except OSError:
             self.reactor.removeReader(self)
-            self.resuming = self.reactor.callLater(TRY_AGAIN_AFTER, self.reactor.addReader, self)
+            self.resuming = self.reactor.callLater(RETRY_DELAY_S, self.reactor.addReader, self)
             return
         sock.setblocking(False)
         if _is_own(sock):
@@ -243,7 +243,7 @@
 
     def _write_later(self) -> None:
         if not self._pauses:
-            self.resuming = self.reactor.callLater(TRY_AGAIN_AFTER, self.doWrite)
+            self.resuming = self.reactor.callLater(RETRY_DELAY_S, self.doWrite)
 
     def doWrite(self) -> None:
         while self.open and self.waiting and not self._pauses:
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -146,31 +146,31 @@
         node = self.node
         memory = node.desk.balancer.memory()
         # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
-        able, rows = memory.pop("able"), node.desk.hosts.rows()
+        able, rows = memory.pop("able"), node.desk.hosts.export_rows()
         for row in rows:
-            h = node.desk.hosts.index[row["uid"]]
+            h = node.desk.hosts.index_by_uid[row["uid"]]
             row["able"] = able[h] if h < len(able) else 0.0
         called_back = node.desk.balancer.called_back
         state = {
             "rev": node.discovery.rev,
             "bans": list(node.bans.uids),
             "unsaved_bans": node.bans.unsaved,
-            "called_back": {node.desk.hosts.uid[h]: at for h, at in called_back.items()},
+            "called_back": {node.desk.hosts.uids[h]: at for h, at in called_back.items()},
             "told_at": node.desk.told_at,
             "memory": memory | {"able": []},  # which an older program takes with the names beside it
             "uids": [],
-            "starts": (node.desk.hosts.start_times.ahead, {}),
+            "starts": (node.desk.hosts.start_times.offset, {}),
         }
         return rows, state, [node.port.fileno()]
 
     def stop_taking(self) -> None:
-        logger.info("upgrade reason=given sessions={}", len(self.node.desk.sessions.table))
+        logger.info("upgrade reason=given sessions={}", len(self.node.desk.sessions.by_index))
         self.node.stop_taking()
         self.shut()
 
     def take_again(self) -> None:
         node = self.node
-        logger.error("upgrade reason=successor-lost sessions={}", len(node.desk.sessions.table))
+        logger.error("upgrade reason=successor-lost sessions={}", len(node.desk.sessions.by_index))
         node.desk.balancer.take_slots_back()
         node.take_clients()
         node.join()
@@ -179,24 +179,28 @@
     def hand_on(self, most: int) -> bool:
         """Hands some of what stands on; True once nothing is left here."""
         desk = self.node.desk
-        for s in islice(filter(may_go, desk.sessions.standing()), most):
+        for s in islice(filter(may_go, desk.sessions.established()), most):
             message, fds = packet(desk, s)
             if not self.side.link.offer(message, fds):
                 break
-            client, conn = s.client, s.conn
+            client, conn = s.client, s.host_connection
             desk.handed_on(s)
             let_go(client)
             let_go(conn)
-        return not desk.sessions.table and not desk.budget.clients
+        return not desk.sessions.by_index and not desk.budget.client_connections
 
     def hand_over_slots(self) -> dict[str, float]:
         desk = self.node.desk
         slots = desk.balancer.hand_over_slots(desk.clock())
-        return {desk.hosts.uid[h]: saved for h, saved in slots.items()}
+        return {desk.hosts.uids[h]: saved for h, saved in slots.items()}
 
     def take_over_slots(self, slots: dict[str, float]) -> None:
         desk = self.node.desk
-        known = {desk.hosts.index[uid]: saved for uid, saved in slots.items() if uid in desk.hosts.index}
+        known = {
+            desk.hosts.index_by_uid[uid]: saved
+            for uid, saved in slots.items()
+            if uid in desk.hosts.index_by_uid
+        }
         desk.balancer.take_over_slots(desk.clock(), known)
 
     def held(self) -> int:
@@ -227,13 +231,13 @@
         hosts = node.desk.hosts
         ahead, starts = state["starts"]
         in_rows = {row["uid"]: row["start"] for row in rows if row.get("start") is not None}
-        hosts.take_starts(ahead, starts | in_rows)
+        hosts.import_starts(ahead, starts | in_rows)
         # Danger: a host that was called back counts as cold though discovery may not have told its start yet.
-        called_back = {hosts.know(uid): at for uid, at in state.get("called_back", {}).items()}
+        called_back = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
         node.desk.balancer.called_back.update(called_back)
         node.know(rows, state)
         for row in rows:
-            hosts.sent_away[hosts.know(row["uid"])] = row["sent_away"]
+            hosts.redirected_at[hosts.index_of(row["uid"])] = row["sent_away"]
         # Danger: a process that knows no host's measure yet takes the cold ones' for all, and starves them.
         able = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # of an older program
         able |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
@@ -252,7 +256,7 @@
             logger.info("upgrade reason=side-gone line={!r}", message["line"][:40])
 
     def others_hold(self, descriptors: int) -> None:
-        self.node.desk.budget.elsewhere = descriptors
+        self.node.desk.budget.used_by_other_process = descriptors
 
     def begin(self) -> None:
         self.node.begin()
--- a/caperdeck/state/__init__.py
+++ b/caperdeck/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a node keeps in memory: sessions, hosts and their addresses, the socket budget."""
+"""In-memory state of a node: sessions, hosts and their addresses, metrics and the descriptor budget."""
--- a/caperdeck/state/addresses.py
+++ b/caperdeck/state/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as text, HOST:PORT."""
+"""Network addresses in the text form HOST:PORT."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class AddressError(ValueError):
-    """Text that is no address; the message says what was wrong."""
+    """Raised for text that is not a valid address; the message says what is wrong."""
 
 
 def parse_address(text: object) -> Address:
+    """Parses HOST:PORT, where HOST may be in square brackets; raises AddressError."""
     if not isinstance(text, str):
         raise AddressError(f"an address is text, got {text!r}")
     host, colon, port = text.rpartition(":")
--- a/caperdeck/state/backoff.py
+++ b/caperdeck/state/backoff.py
@@ -1,4 +1,7 @@
-"""How long to wait before discovery, one service for the whole fleet, is asked again. No I/O, no clock."""
+"""Exponential back-off with jitter for calls to discovery, which all nodes of a fleet share.
+
+Pure: no I/O and no clock. Durations are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -6,47 +9,52 @@
 
 from caperdeck.core.seeded_random import chance
 
-LEAST = 0.2  # seconds; the span of the first wait is at least this
+MIN_FIRST_SPAN_S = 0.2
 
 
-class Spans(NamedTuple):
-    """How the spans grow, in seconds."""
+class BackOffPolicy(NamedTuple):
+    """How the span out of which a delay is drawn grows with each failure."""
 
-    call: float  # in which discovery should be able to take one node's call
-    longest: float  # no span, doubled with each failure, is more than this
-    least: float  # the part of a span that is waited in any case
+    call_s: float  # time in which discovery can answer one node's call; the first span is this for each node
+    max_span_s: float
+    min_fraction: float  # part of the span that is always waited; the rest is drawn at random
 
 
-LOST = Spans(0.003, 0.6, 0.0)  # discovery cannot be reached, or says nothing: a call costs it next to nothing
-# Danger: a discovery that turns calls away works on each of them. Asked by all nodes each second it turns all
-# away for good; asked later than this it would be back for too long before a node hears of it.
-REFUSED = Spans(0.1, 4.8, 0.5)
+# Discovery cannot be reached or does not answer: such a call costs it next to nothing.
+UNREACHABLE = BackOffPolicy(0.003, 0.6, 0.0)
+# Discovery refuses calls, and each refusal costs it work: called by all nodes every second, it would go on
+# refusing all of them. With a longer maximum, nodes would hear of its recovery too late.
+REFUSED = BackOffPolicy(0.1, 4.8, 0.5)
 
 
 class BackOff:
-    """Exponential back-off with jitter: the span grows, and where in it to ask each node draws."""
+    """Draws the delay before the next call; the span doubles with each failure up to the policy's maximum."""
 
-    def __init__(self, seed: int, nodes: int) -> None:
+    def __init__(self, seed: int, node_count: int) -> None:
         self.seed = seed
-        self.nodes = nodes
+        self.node_count = node_count
         self.draws = 0
-        self.heard()
-
-    def next(self, kind: Spans = LOST) -> float:
-        """Seconds to wait now; the next wait is out of twice the span, unless something is heard before."""
-        # Danger: all nodes lose discovery in one instant, and would ask again in step.
-        # Danger: with spans that grow without a near end a node has no list long after discovery is back,
-        # while what discovery has to tell counts as told.
-        if kind is not self.kind:
-            self.kind, self.span = kind, min(max(kind.call * self.nodes, LEAST), kind.longest)
-        span, self.span = self.span, min(self.span * 2, kind.longest)
+        self.reset()
+
+    def next_delay(self, policy: BackOffPolicy = UNREACHABLE) -> float:
+        """Returns the delay in seconds; the next one is drawn from twice the span, unless reset before."""
+        # Jitter: all nodes lose discovery at the same instant and would otherwise call again in step.
+        # The span is capped: without a cap a node would have no host list long after discovery is back,
+        # although the changes that discovery publishes meanwhile count as notified.
+        if policy is not self.policy:
+            self.policy, self.span = (
+                policy,
+                min(max(policy.call_s * self.node_count, MIN_FIRST_SPAN_S), policy.max_span_s),
+            )
+        span, self.span = self.span, min(self.span * 2, policy.max_span_s)
         self.draws += 1
-        return span * (kind.least + (1 - kind.least) * chance(self.seed, self.draws))
+        return span * (policy.min_fraction + (1 - policy.min_fraction) * chance(self.seed, self.draws))
 
-    def heard(self) -> None:
-        self.kind: Spans | None = None
+    def reset(self) -> None:
+        """Starts over with the first span, after discovery has answered."""
+        self.policy: BackOffPolicy | None = None
 
     @property
-    def fresh(self) -> bool:
-        """Nothing has failed since something was heard."""
-        return self.kind is None
+    def is_reset(self) -> bool:
+        """Whether no call has failed since the last reset."""
+        return self.policy is None
--- a/caperdeck/state/budget.py
+++ b/caperdeck/state/budget.py
@@ -1,14 +1,16 @@
-"""How many descriptors the node may still open, so that it never runs out of them."""
+"""Accounting of file descriptors, so that the node never runs out of them."""
 
 from __future__ import annotations
 
 import os
 
-RESERVE = 192  # for clients that come at once and are turned away, for files and what libraries open
-RESERVE_PART = 0.25  # and no more than this part of the limit
-PROBES = 128  # connections for probes that descriptors are kept for, however many hosts there are
-PROBES_PART = 0.125  # and no more than this part of the limit
-DESCRIPTORS_A_SESSION = 2  # its client's side and its host's
+# For clients that connect only to be refused, for files, and for what libraries open.
+RESERVED_DESCRIPTORS = 192
+MAX_RESERVED_FRACTION = 0.25  # of the limit
+# Kept for probe connections, however many hosts there are.
+PROBE_DESCRIPTORS = 128
+MAX_PROBE_FRACTION = 0.125  # of the limit
+DESCRIPTORS_PER_SESSION = 2  # the client's connection and the host's
 
 
 def open_descriptors() -> int:
@@ -16,57 +18,68 @@
 
 
 class SocketBudget:
-    """Counts both sides of each session; probes and discovery have a part of their own."""
+    """Counts the descriptors of sessions, clients and probes against the limit."""
 
     def __init__(self, limit: int, used: int) -> None:
         self.resize(limit)
-        self.used = used  # open before anything was counted here
-        self.hosts = 0  # that run and may be probed
-        self.probing = 0  # connections for probes that are open
-        self.clients = 0
-        self.elsewhere = 0  # held by another process of this node
-        self.sessions = 0  # each has a host's side, from its first line on, but for those
-        self.undialed = 0  # that stood before this node started and have yet to be dialed
+        self.used = used  # open for other purposes, not counted below
+        self.running_hosts = 0  # hosts that may be probed
+        self.open_probes = 0  # probe connections
+        self.client_connections = 0
+        self.used_by_other_process = 0  # held by another process of this node during an upgrade
+        self.session_count = 0  # each has a host connection, except the undialed ones
+        self.undialed_sessions = 0  # established before this node started and not dialed again yet
 
     def resize(self, limit: int) -> None:
+        """Applies a new limit of descriptors."""
         self.limit = limit
-        self.reserve = min(RESERVE, int(limit * RESERVE_PART))
-        self.for_turned_away = self.reserve // 2
-        self.most_probes = min(PROBES, int(limit * PROBES_PART))
+        self.reserve = min(RESERVED_DESCRIPTORS, int(limit * MAX_RESERVED_FRACTION))
+        self.refusal_reserve = self.reserve // 2
+        self.max_probes = min(PROBE_DESCRIPTORS, int(limit * MAX_PROBE_FRACTION))
 
     @property
-    def probes(self) -> int:
-        """Descriptors that are kept for probes: those in use, and one for each host up to a bound."""
-        # Danger: kept for each of thousands of hosts, they would leave none for clients.
-        return max(min(self.hosts, self.most_probes), self.probing)
+    def probe_descriptors(self) -> int:
+        """Descriptors kept for probes: those in use, and one for each running host up to a bound."""
+        # Without the bound, thousands of hosts would leave no descriptors for clients.
+        return max(min(self.running_hosts, self.max_probes), self.open_probes)
 
     @property
-    def room(self) -> int:
-        """How many more sessions there may be."""
-        for_sessions = self.limit - self.reserve - self.used - self.elsewhere - self.probes
-        return max(for_sessions // DESCRIPTORS_A_SESSION - self.sessions, 0)
+    def session_headroom(self) -> int:
+        """How many more sessions may be opened."""
+        for_sessions = (
+            self.limit - self.reserve - self.used - self.used_by_other_process - self.probe_descriptors
+        )
+        return max(for_sessions // DESCRIPTORS_PER_SESSION - self.session_count, 0)
 
     @property
-    def free(self) -> int:
-        """Descriptors that clients and hosts' sides may still take, with half of the reserve."""
-        open_now = self.used + self.elsewhere + self.probes + self.clients + self.sessions - self.undialed
-        return max(self.limit - self.reserve + self.for_turned_away - open_now, 0)
+    def free_descriptors(self) -> int:
+        """Descriptors that client and host connections may still take, including half of the reserve."""
+        open_now = (
+            self.used + self.used_by_other_process + self.probe_descriptors
+            + self.client_connections + self.session_count - self.undialed_sessions
+        )  # fmt: skip
+        return max(self.limit - self.reserve + self.refusal_reserve - open_now, 0)
 
     @property
-    def spoken_for(self) -> str:
-        """What descriptors are used and kept for, and the sessions there is room for, as the log says it."""
-        used = self.used + self.elsewhere
-        return f"used={used} reserve={self.reserve} probes={self.probes} room={self.room}"
+    def summary(self) -> str:
+        """The use of descriptors and the headroom for sessions, as log fields."""
+        used = self.used + self.used_by_other_process
+        return (
+            f"used={used} reserve={self.reserve} probes={self.probe_descriptors} room={self.session_headroom}"
+        )
 
     def may_serve(self) -> bool:
-        return self.room > 0 and self.free > 0
+        """Whether one more session may be opened."""
+        return self.session_headroom > 0 and self.free_descriptors > 0
 
     def may_accept(self) -> bool:
-        """Whether one more client can be taken in, if only to be answered from the reserve."""
-        return self.acceptable > 0
+        """Whether one more client connection may be accepted, if only to be refused from the reserve."""
+        return self.acceptable_clients > 0
 
     @property
-    def acceptable(self) -> int:
-        """How many clients may be taken in before their first lines are read."""
-        # Danger: let in together up to the last descriptor, they would leave none for their own hosts' sides.
-        return min((self.free + self.for_turned_away) // DESCRIPTORS_A_SESSION, self.free)
+    def acceptable_clients(self) -> int:
+        """How many client connections may be accepted before their first lines are read."""
+        # Clients accepted up to the last descriptor would leave none for the connections to their hosts.
+        return min(
+            (self.free_descriptors + self.refusal_reserve) // DESCRIPTORS_PER_SESSION, self.free_descriptors
+        )
--- a/caperdeck/state/clocks.py
+++ b/caperdeck/state/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that a node reads: one for all spans, which never steps, and the date. Milliseconds."""
+"""The clocks of a node, in milliseconds: a monotonic one for all durations, and the wall clock."""
 
 from __future__ import annotations
 
@@ -7,34 +7,35 @@
 
 from caperdeck.core.settings import MS
 
-# Where the node's clock begins: a constant, so that two processes of one node read the same time whatever
-# became of the date between their starts, and so large that times before the machine's own start are over 0.
-ORIGIN = 1_767_225_600_000.0
-LEAST_STEP = 500.0  # a smaller change of the date against the monotonic clock is taken for a slow reading
+# Added to the monotonic clock. It is a constant, so that two processes of one node read the same time even
+# if the wall clock was stepped between their starts, and large, so that times before the machine's boot are
+# positive.
+CLOCK_ORIGIN_MS = 1_767_225_600_000.0
+MIN_STEP_MS = 500.0  # smaller differences between the two clocks are taken for a delayed reading
 
 
 def node_clock() -> float:
-    """Monotonic over all processes of the machine; says nothing of the date."""
-    return time.monotonic() * MS + ORIGIN
+    """A clock that is monotonic over all processes of the machine; it is unrelated to the date."""
+    return time.monotonic() * MS + CLOCK_ORIGIN_MS
 
 
 def unix_time() -> float:
-    """The date. It may be stepped at any moment: no span may be measured by it."""
+    """The wall clock. It may be stepped at any moment, so no duration may be measured by it."""
     return time.time() * MS
 
 
-class DateWatch:
-    """Notices that the date was stepped."""
+class WallClockMonitor:
+    """Detects steps of the wall clock against the monotonic clock."""
 
-    def __init__(self, steady: Callable[[], float], date: Callable[[], float]) -> None:
-        self.steady, self.date = steady, date
-        self.ahead = date() - steady()
-        self.steps = 0
+    def __init__(self, monotonic: Callable[[], float], wall_clock: Callable[[], float]) -> None:
+        self.monotonic, self.wall_clock = monotonic, wall_clock
+        self.offset = wall_clock() - monotonic()
+        self.step_count = 0
 
-    def step(self) -> float | None:
-        """By how much it has stepped since it was last asked, forward over 0; None where it has not."""
-        before, self.ahead = self.ahead, self.date() - self.steady()
-        if abs(self.ahead - before) < LEAST_STEP:
+    def detect_step(self) -> float | None:
+        """Returns by how much the wall clock was stepped since the last call, forward positive, or None."""
+        before, self.offset = self.offset, self.wall_clock() - self.monotonic()
+        if abs(self.offset - before) < MIN_STEP_MS:
             return None
-        self.steps += 1
-        return self.ahead - before
+        self.step_count += 1
+        return self.offset - before
--- a/caperdeck/state/descriptors.py
+++ b/caperdeck/state/descriptors.py
@@ -1,4 +1,4 @@
-"""The limit of descriptors of this process."""
+"""The limit of open file descriptors of this process."""
 
 from __future__ import annotations
 
@@ -7,10 +7,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Raises the soft limit of descriptors to the hard one, which stays as it is; gives the limit.
-
-    Processes started later inherit it.
-    """
+    """Raises the soft limit to the hard limit, which child processes inherit, and returns it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = os.sysconf("SC_OPEN_MAX") if hard == resource.RLIM_INFINITY else hard
     if soft != limit:
--- a/caperdeck/state/durable.py
+++ b/caperdeck/state/durable.py
@@ -1,4 +1,4 @@
-"""Files that outlive a loss of power."""
+"""File operations that survive a loss of power."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 def replace_durably(new: str | os.PathLike[str], path: str | os.PathLike[str]) -> None:
-    """Renames the file `new`, whose bytes are on the disk, to `path` in the same folder; raises OSError.
+    """Renames the file `new`, whose contents are flushed already, to `path` in the same directory.
 
-    The folder is flushed as well: a name that is not on the disk is lost with the power.
+    The directory is flushed as well: otherwise a loss of power could undo the rename. Raises OSError.
     """
     os.replace(new, path)
-    folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
+    directory = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/caperdeck/state/errors.py
+++ b/caperdeck/state/errors.py
@@ -1,4 +1,4 @@
-"""Which errors of system calls pass by themselves."""
+"""Transient errors of system calls, and retries."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 T = TypeVar("T")
 
-# The machine lacks something for a moment: the call may be made again, and says nothing about the other side.
-# accept(2), socket(2), connect(2) and recv(2) document these.
-MOMENTARY = frozenset({
+# The machine lacks a resource for a moment: the call may be retried, and its failure says nothing about the
+# other side. accept(2), socket(2), connect(2) and recv(2) document these errors.
+TRANSIENT_ERRNOS = frozenset({
     errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETDOWN,
     errno.ENETUNREACH,
 })  # fmt: skip
-TRY_AGAIN_AFTER = 0.005  # seconds until a call that failed so is made again
+RETRY_DELAY_S = 0.005
+MAX_RETRIES = 200  # during a start; one second at RETRY_DELAY_S
 
 
-CALLS = 200  # that a start makes at the most, a second's worth
+def is_transient(error: BaseException) -> bool:
+    """Whether an OSError, or a Twisted error that wraps one, is due to a momentary lack of resources."""
+    wrapped = (getattr(error, name, None) for name in ("osError", "socketError"))
+    return any(getattr(e, "errno", e) in TRANSIENT_ERRNOS for e in (error, *wrapped))
 
 
-def is_momentary(error: BaseException) -> bool:
-    """Whether the machine lacked something for a moment; also of an error of the library's around another."""
-    inner = (getattr(error, name, None) for name in ("osError", "socketError"))
-    return any(getattr(e, "errno", e) in MOMENTARY for e in (error, *inner))
+def call_with_retries(
+    call: Callable[[], T], is_retryable: Callable[[BaseException], bool] = is_transient
+) -> T:
+    """Retries a call that fails with a retryable error, up to MAX_RETRIES times.
 
-
-def call_again(call: Callable[[], T], passes: Callable[[BaseException], bool] = is_momentary) -> T:
-    """Calls until it works or fails for good, waiting meanwhile: for a start, when nobody is served yet.
-
-    `passes` tells the errors that may pass by themselves from the others.
+    It blocks between the calls, so it is only for the start of a process, before any client is served.
     """
-    for _ in range(CALLS):
+    for _ in range(MAX_RETRIES):
         try:
             return call()
         except Exception as error:
-            if not passes(error):
+            if not is_retryable(error):
                 raise
-        time.sleep(TRY_AGAIN_AFTER)
+        time.sleep(RETRY_DELAY_S)
     return call()
--- a/caperdeck/state/hosts.py
+++ b/caperdeck/state/hosts.py
@@ -1,4 +1,7 @@
-"""The hosts of the roster, known by uid; parallel arrays under the index given out at the first sight."""
+"""The hosts that the node knows from discovery.
+
+Each uid gets an index when it is first seen; the attributes of hosts are parallel lists under that index.
+"""
 
 from __future__ import annotations
 
@@ -11,149 +14,161 @@
 from .addresses import Address, AddressError, parse_address
 from .start_times import Start, StartTimes
 
-MOST_COMPLAINTS = 5  # of one list; the rest is counted
-STATES = {"Ready": HostState.RUNNING, "Terminating": HostState.DRAINING, "Gone": HostState.GONE}
+MAX_REPORTED_ERRORS = 5  # of one message of discovery; further ones are only counted
+HOST_STATES = {"Ready": HostState.RUNNING, "Terminating": HostState.DRAINING, "Gone": HostState.GONE}
 
 
 class EntryError(ValueError):
-    """A line of the roster that cannot be used; the message says why."""
+    """Raised for an unusable row of the roster; the message says what is wrong."""
 
 
 class Hosts:
     def __init__(self, zones: dict[str, int]) -> None:
         self.zones = zones
-        self.index: dict[str, int] = {}
-        self.uid: list[str] = []
-        self.address: list[Address | None] = []
-        self.state: list[HostState] = []
-        self.entry: list[Entry | None] = []  # as last listed
-        self.sent_away: list[float] = []  # when a client was last sent away by the host itself
-        self.spoke_at: list[float] = []  # when anything last came from the host
-        self.held: dict[int, None] = {}  # hosts held to drain though the list has not said so
+        self.index_by_uid: dict[str, int] = {}
+        self.uids: list[str] = []
+        self.addresses: list[Address | None] = []
+        self.states: list[HostState] = []
+        self.entries: list[Entry | None] = []  # as last listed
+        self.redirected_at: list[float] = []  # when the host last redirected a client itself
+        self.heard_at: list[float] = []  # when anything last came from the host
+        self.presumed_draining: dict[int, None] = {}  # treated as draining, though listed as running
         self.start_times = StartTimes()
 
-    def running(self) -> int:
-        return self.state.count(HostState.RUNNING)
+    def running_count(self) -> int:
+        return self.states.count(HostState.RUNNING)
 
     def listed(self) -> list[int]:
-        return [h for h, state in enumerate(self.state) if state is not HostState.GONE]
-
-    def take(self, now: float, whole: bool, rows: object, complain: Callable[[str], None]) -> list[Entry]:
-        """The entries of one list or change; a row that is broken is complained of and left out."""
-        entries = self._read(whole, rows, complain)
-        self.start_times.hear(now, whole, {e.host: e.boot for e in entries})
-        return [self._placed(e) for e in entries]
-
-    def _placed(self, e: Entry) -> Entry:
-        """With the host's start on the node's clock."""
-        placed = self.entry[e.host] = e._replace(born=self.start_times.at(e.host, e.boot))
+        """Returns the indices of the hosts that are on the list."""
+        return [h for h, state in enumerate(self.states) if state is not HostState.GONE]
+
+    def update(
+        self, now: float, whole: bool, rows: object, report_error: Callable[[str], None]
+    ) -> list[Entry]:
+        """Applies a whole list or a change, reports unusable rows, and returns the entries."""
+        entries = self._read_rows(whole, rows, report_error)
+        self.start_times.observe(now, whole, {e.host: e.boot for e in entries})
+        return [self._with_start_time(e) for e in entries]
+
+    def _with_start_time(self, e: Entry) -> Entry:
+        """Stores and returns the entry with the host's start on the node's clock."""
+        placed = self.entries[e.host] = e._replace(born=self.start_times.node_time(e.host, e.boot))
         return placed
 
-    def _read(self, whole: bool, rows: object, complain: Callable[[str], None]) -> list[Entry]:
-        entries, broken = [], 0
+    def _read_rows(self, whole: bool, rows: object, report_error: Callable[[str], None]) -> list[Entry]:
+        entries, errors = [], 0
         for row in rows if isinstance(rows, list) else []:
             try:
-                entries.append(self._entry(row))
+                entries.append(self._read_row(row))
             except (EntryError, AddressError) as error:
-                broken += 1
-                if broken <= MOST_COMPLAINTS:
-                    complain(str(error))
-                # Danger: one row spoilt in the whole list would take its host, and all of it the fleet, away.
-                if whole and (kept := self._kept(row)) is not None:
-                    entries.append(kept)
-        if broken > MOST_COMPLAINTS:
-            complain(f"{broken - MOST_COMPLAINTS} more entries cannot be used")
+                errors += 1
+                if errors <= MAX_REPORTED_ERRORS:
+                    report_error(str(error))
+                # A whole list removes the hosts that it lacks. If unusable rows counted as missing, one would
+                # remove its host, and a list of nothing else the whole fleet.
+                if whole and (known := self._known_entry(row)) is not None:
+                    entries.append(known)
+        if errors > MAX_REPORTED_ERRORS:
+            report_error(f"{errors - MAX_REPORTED_ERRORS} more entries cannot be used")
         if whole:
             listed = {e.host for e in entries}
-            for h in range(len(self.state)):
+            for h in range(len(self.states)):
                 if h not in listed:
-                    self.state[h] = HostState.GONE
+                    self.states[h] = HostState.GONE
         return entries
 
-    def _kept(self, row: object) -> Entry | None:
-        """The entry of a known host whose row is broken, in the state that it has."""
+    def _known_entry(self, row: object) -> Entry | None:
+        """Returns the last entry of the host whose row is unusable, with its present state."""
         uid = row.get("uid") if isinstance(row, dict) else None
-        h = self.index.get(uid) if isinstance(uid, str) else None
-        # Danger: a host that has left the list since was last listed as ready, and would be so again.
-        return None if h is None else self.entry[h]._replace(state=self.state[h])
+        h = self.index_by_uid.get(uid) if isinstance(uid, str) else None
+        # Not in the listed state: a host that has left the list since would be ready again.
+        return None if h is None else self.entries[h]._replace(state=self.states[h])
 
-    def know(self, uid: str) -> int:
-        """The host's index, given out at the first sight."""
-        h = self.index.get(uid)
+    def index_of(self, uid: str) -> int:
+        """Returns the host's index, and assigns one to a uid that is new."""
+        h = self.index_by_uid.get(uid)
         if h is None:
-            h = self.index[uid] = len(self.uid)
-            self.uid.append(uid)
-            self.address.append(None)
-            self.state.append(HostState.GONE)
-            self.entry.append(None)
-            self.sent_away.append(-math.inf)
-            self.spoke_at.append(-math.inf)
+            h = self.index_by_uid[uid] = len(self.uids)
+            self.uids.append(uid)
+            self.addresses.append(None)
+            self.states.append(HostState.GONE)
+            self.entries.append(None)
+            self.redirected_at.append(-math.inf)
+            self.heard_at.append(-math.inf)
         return h
 
-    def _entry(self, row: object) -> Entry:
+    def _read_row(self, row: object) -> Entry:
         if not isinstance(row, dict) or not isinstance(row.get("uid"), str) or not row["uid"]:
             raise EntryError(f"an entry needs a uid: {row!r:.200}")
         uid, state = row["uid"], row.get("state")
-        if not isinstance(state, str) or state not in STATES:
+        if not isinstance(state, str) or state not in HOST_STATES:
             raise EntryError(f"host {uid} has the unknown state {state!r:.50}")
         size, cell, boot = (row.get(key) or 0 for key in ("capacity_hint", "pod_group", "boot_ms"))
         if not all(isinstance(x, (int, float)) for x in (size, cell, boot)) or size < 0:
             raise EntryError(f"host {uid} has a figure that is no number, or a size under 0")
-        address = self._address(uid, row)
-        h = self.know(uid)
+        address = self._read_address(uid, row)
+        h = self.index_of(uid)
         zone = row.get("az")
         zone = self.zones.get(zone, -1) if isinstance(zone, str) else -1
         mark = zlib.crc32(uid.encode())
-        entry = Entry(h, STATES[state], float(size), zone, int(cell), 0.0, mark, float(boot))
-        self.address[h], self.state[h], self.entry[h] = address, entry.state, entry
-        self.held.pop(h, None)
+        entry = Entry(h, HOST_STATES[state], float(size), zone, int(cell), 0.0, mark, float(boot))
+        self.addresses[h], self.states[h], self.entries[h] = address, entry.state, entry
+        self.presumed_draining.pop(h, None)
         return entry
 
-    def rows(self) -> list[dict]:
-        """The list as it holds now, in the form of discovery, with hosts that have left, and starts."""
-        _, starts = self.starts()
-        names, zones = {state: name for name, state in STATES.items()}, {i: z for z, i in self.zones.items()}
+    def export_rows(self) -> list[dict]:
+        """Returns all known hosts in discovery's form, including those that have left, with their starts."""
+        _, starts = self.export_starts()
+        names, zones = (
+            {state: name for name, state in HOST_STATES.items()},
+            {i: z for z, i in self.zones.items()},
+        )
         return [
-            {"uid": self.uid[e.host], "endpoint": "{}:{}".format(*self.address[e.host]),
-             "state": names[e.state if e.host in self.held else self.state[e.host]], "az": zones.get(e.zone),
+            {"uid": self.uids[e.host], "endpoint": "{}:{}".format(*self.addresses[e.host]),
+             "state": names[e.state if e.host in self.presumed_draining else self.states[e.host]],
+             "az": zones.get(e.zone),
              "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.boot,
-             "sent_away": max(self.sent_away[e.host], 0.0), "start": starts.get(self.uid[e.host])}
-            for e in self.entry if e is not None and self.address[e.host] is not None
+             "sent_away": max(self.redirected_at[e.host], 0.0), "start": starts.get(self.uids[e.host])}
+            for e in self.entries if e is not None and self.addresses[e.host] is not None
         ]  # fmt: skip
 
-    def starts(self) -> tuple[float, dict[str, tuple[float, float]]]:
-        """What is known of starts, by uid, for another process of this node."""
+    def export_starts(self) -> tuple[float, dict[str, tuple[float, float]]]:
+        """Returns the clock offset and the known starts by uid, for another process of this node."""
         times = self.start_times
-        # Danger: the encoder of packets takes plain tuples alone, and a packet that fails ends the link.
-        return times.ahead, {self.uid[h]: tuple(start) for h, start in times.starts.items()}
+        # Plain tuples: the encoder of packets takes no subclasses, and a packet that fails ends the link.
+        return times.offset, {self.uids[h]: tuple(start) for h, start in times.starts.items()}
 
-    def take_starts(self, ahead: float, starts: dict[str, tuple[float, float]]) -> None:
-        """The same at that process, before it takes the list in."""
-        known = ((self.know(uid), Start(*start)) for uid, start in starts.items())
-        self.start_times.take_over(ahead, known)
+    def import_starts(self, offset: float, starts: dict[str, tuple[float, float]]) -> None:
+        """Adopts what export_starts returned in the other process; call it before the list is taken in."""
+        known = ((self.index_of(uid), Start(*start)) for uid, start in starts.items())
+        self.start_times.take_over(offset, known)
 
-    def hold(self, since: float) -> list[Entry]:
-        """While discovery is silent: entries of the hosts that have sent clients away, as if they drained.
+    def presume_draining(self, since: float) -> list[Entry]:
+        """While discovery is silent, treats hosts that have redirected clients as draining.
 
-        Nothing if these are half of the hosts or more: clients that all come again are no drain.
+        Returns their entries. If half of the hosts or more did so, none is: clients that all reconnect are
+        not the sign of a drain.
         """
-        new = [h for h, at in enumerate(self.sent_away) if at >= since and self.state[h] is HostState.RUNNING]
-        if 2 * (len(new) + len(self.held)) >= self.running() + len(self.held):
+        new = [
+            h for h, at in enumerate(self.redirected_at)
+            if at >= since and self.states[h] is HostState.RUNNING
+        ]  # fmt: skip
+        if 2 * (len(new) + len(self.presumed_draining)) >= self.running_count() + len(self.presumed_draining):
             return []
         for h in new:
-            self.state[h] = HostState.DRAINING
-            self.held[h] = None
-        return [self.entry[h]._replace(state=HostState.DRAINING) for h in new]
-
-    def release(self) -> list[Entry]:
-        """Discovery speaks again: the list holds for the hosts that were held to drain."""
-        held, self.held = self.held, {}
-        for h in held:
-            self.state[h] = self.entry[h].state
-        return [self.entry[h] for h in held]
-
-    def _address(self, uid: str, row: dict) -> Address | None:
-        if STATES[row["state"]] is HostState.GONE:
-            h = self.index.get(uid)
-            return None if h is None else self.address[h]
+            self.states[h] = HostState.DRAINING
+            self.presumed_draining[h] = None
+        return [self.entries[h]._replace(state=HostState.DRAINING) for h in new]
+
+    def end_presumption(self) -> list[Entry]:
+        """Restores the listed state of hosts that were presumed to drain, and returns their entries."""
+        presumed, self.presumed_draining = self.presumed_draining, {}
+        for h in presumed:
+            self.states[h] = self.entries[h].state
+        return [self.entries[h] for h in presumed]
+
+    def _read_address(self, uid: str, row: dict) -> Address | None:
+        if HOST_STATES[row["state"]] is HostState.GONE:
+            h = self.index_by_uid.get(uid)
+            return None if h is None else self.addresses[h]
         return parse_address(row.get("endpoint"))
--- a/caperdeck/state/limits.py
+++ b/caperdeck/state/limits.py
@@ -1,4 +1,4 @@
-"""The few settings that the network code reads itself, in milliseconds."""
+"""The settings that the network code reads itself; durations are in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    connect_time_out: float
-    probes: bool  # hosts may be probed
-    reports: bool  # hosts answer STATS
-    max_back_off: float  # 0 where clients are told none
-    longest_wait: float  # of any client
-    idle: float  # a standing connection without a line for so long is ended
-    list_life: float  # of the list once its watch has ended; infinite where lists are not pushed
+    connect_timeout: float
+    may_probe: bool  # hosts may be probed
+    hosts_report_load: bool  # hosts answer STATS
+    max_back_off: float  # 0 if refused clients are told no back-off
+    max_client_wait: float  # the longest time that a client of any class waits for an answer
+    idle_timeout: float  # an established session without a line from its client for so long is ended
+    list_lifetime: (
+        float  # how long the host list is used once its watch has ended; inf if lists are not pushed
+    )
--- a/caperdeck/state/sessions.py
+++ b/caperdeck/state/sessions.py
@@ -1,4 +1,7 @@
-"""The sessions that a node holds, from a client's first line to the end of its connection."""
+"""The sessions of a node, from a client's first line to the end of its connection.
+
+Times are milliseconds of the node's clock.
+"""
 
 from __future__ import annotations
 
@@ -9,123 +12,127 @@
 from caperdeck.core.model import Outcome
 
 
-class Opening(Protocol):
-    """What a client said first, as its front has decoded it."""
+class OpenRequest(Protocol):
+    """A client's request for a session, as the protocol front end has decoded it."""
 
     id: str
     listener: str
-    wait: float  # how long the client waits, in milliseconds
+    wait_ms: float  # how long the client waits for an answer
     tenant: str | None
-    at: str | None  # the host at which the session stood before the node started
+    resume_host: str | None  # uid of the host on which the session was established before the node started
 
 
 class ClientSide(Protocol):
     """A session's connection to its client."""
 
-    opened: float
+    opened_at: float
 
     def pass_on(self, line: bytes) -> None: ...
 
     def close(self, last_line: bytes | None = None, linger: bool = True) -> None: ...
 
-    def unread(self) -> bytes | None:
-        """A byte of what has come and is not read yet; b"" if that is the end, None if there is nothing."""
+    def peek(self) -> bytes | None:
+        """Returns a byte of unread data without reading it, b"" at the end of the stream, else None."""
 
     def abort(self) -> None: ...
 
 
 class HostSide(Protocol):
-    """A session's connection to a host, from the attempt at one on."""
+    """A session's connection to a host, including the attempt to open it."""
 
     session: Session
-    until: float  # the dial is given up then
-    sent: bool  # the first line has gone out whole
-    ended: bool  # concluded; nothing that still comes counts
+    dial_deadline: float  # the dial fails then
+    request_sent: bool  # the request line has been handed to the transport
+    ended: bool  # concluded: whatever still arrives is ignored
     paused: bool
-    farewell: tuple[Outcome, str] | None  # what the host's last word means, if it said one
+    announced_end: tuple[Outcome, str] | None  # outcome and reason given by the host's last line, if any
 
     def close(self, reset: bool) -> None: ...
 
 
 class Prober(Protocol):
-    """Where probes go out."""
+    """Sends probes to hosts."""
 
-    open: dict[int, Any]  # by host
+    connections: dict[int, Any]  # by host
 
     def probe(self, host: int, address: Any) -> None: ...
 
     def close(self, host: int) -> None: ...
 
-    def retune(self, reports: bool, time_out: float) -> None: ...
+    def apply_settings(self, hosts_report_load: bool, timeout_ms: float) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
 class Session:
     index: int
-    request: Opening
+    request: OpenRequest
     client: ClientSide
-    since: float
-    deadline: float
+    requested_at: float
+    deadline: float  # when the client stops waiting for an answer
     host: int = -1
-    dial: int = -1
+    dial: int = -1  # number of the last dial, from 0
     dialed_at: float = 0.0  # when the last dial began
-    conn: HostSide | None = None  # the dial that is out, or the stream's host side
-    timer: Any = None  # ends the dial that is out
-    up_at: float = 0.0  # 0 until it stands
-    heard_at: float = 0.0  # the client's last line
-    asked_at: float = 0.0  # since when a client's line waits for one from the host; 0 if none does
-    over: bool = False  # answered or ended; nothing is sent for it any more
+    host_connection: HostSide | None = None  # of the dial under way, or of the established session
+    dial_timer: Any = None  # ends the dial under way
+    established_at: float = 0.0  # 0 until the session is established
+    client_heard_at: float = 0.0  # when the client's last line came
+    unanswered_since: float = 0.0  # since when a client's line waits for one from the host; 0 if none does
+    finished: bool = False  # answered or ended: nothing more is sent for it
 
 
 class Sessions:
+    """The table of sessions, with the orders in which their deadlines are checked."""
+
     def __init__(self) -> None:
-        self.table: dict[int, Session] = {}
+        self.by_index: dict[int, Session] = {}
         self.opening: dict[Session, None] = {}  # without a final answer, the oldest first
         self.unanswered: dict[Session, None] = {}  # with a line that waits, the longest wait first
-        self.made = 0
-        self.ids: set[str] = set()  # as clients gave them
+        self.created_count = 0
+        self.ids: set[str] = set()  # as given by clients
 
-    def holds(self, name: str) -> bool:
-        return name in self.ids
+    def has_id(self, session_id: str) -> bool:
+        return session_id in self.ids
 
-    def new(self, request: Opening, client: ClientSide, now: float) -> Session:
-        s = Session(self.made, request, client, now, now + request.wait)
-        self.made += 1
-        self.table[s.index] = s
+    def create(self, request: OpenRequest, client: ClientSide, now: float) -> Session:
+        s = Session(self.created_count, request, client, now, now + request.wait_ms)
+        self.created_count += 1
+        self.by_index[s.index] = s
         self.opening[s] = None
         self.ids.add(request.id)
         return s
 
-    def drop(self, s: Session) -> None:
-        s.over = True
+    def remove(self, s: Session) -> None:
+        s.finished = True
         self.opening.pop(s, None)
         self.unanswered.pop(s, None)
-        self.table.pop(s.index, None)
+        self.by_index.pop(s.index, None)
         self.ids.discard(s.request.id)
 
-    def stands(self, s: Session, now: float) -> None:
-        """The session has its final answer, and lines pass from now on."""
-        s.up_at = s.heard_at = now
+    def mark_established(self, s: Session, now: float) -> None:
+        """Records that the session has its final answer, and that lines pass from now on."""
+        s.established_at = s.client_heard_at = now
         self.opening.pop(s, None)
 
     def overdue(self, now: float) -> list[Session]:
-        """The sessions whose client has stopped waiting for an answer."""
+        """Returns the sessions whose client has stopped waiting for an answer."""
         return [s for s in self.opening if s.deadline < now]
 
     def line_from_client(self, s: Session, now: float) -> None:
-        s.heard_at = now
-        if not s.asked_at:
-            s.asked_at = now
+        """Records a line of the client, which waits for one from the host."""
+        s.client_heard_at = now
+        if not s.unanswered_since:
+            s.unanswered_since = now
             self.unanswered[s] = None
 
     def line_from_host(self, s: Session) -> None:
-        if s.asked_at:
-            s.asked_at = 0.0
+        """Records a line of the host, which answers whatever waited."""
+        if s.unanswered_since:
+            s.unanswered_since = 0.0
             del self.unanswered[s]
 
-    def silent(self, before: float) -> list[Session]:
-        """The sessions whose line has waited since before that time."""
-        return list(takewhile(lambda s: s.asked_at < before, self.unanswered))
+    def unanswered_before(self, before: float) -> list[Session]:
+        """Returns the sessions with a line that has waited since before that time."""
+        return list(takewhile(lambda s: s.unanswered_since < before, self.unanswered))
 
-    def standing(self) -> list[Session]:
-        return [s for s in self.table.values() if s.up_at]
+    def established(self) -> list[Session]:
+        return [s for s in self.by_index.values() if s.established_at]
--- a/caperdeck/state/timers.py
+++ b/caperdeck/state/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the reactor."""
+"""Helpers for timers of the reactor."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def cancel(call: Any) -> None:
-    """Takes a timer back that may have run already, or was never set."""
+    """Cancels a timer that may be None or may have fired already."""
     if call is not None and call.active():
         call.cancel()
--- a/caperdeck/wire/client.py
+++ b/caperdeck/wire/client.py
@@ -12,7 +12,7 @@
 from zope.interface import implementer
 
 from caperdeck.state.budget import SocketBudget
-from caperdeck.state.errors import is_momentary
+from caperdeck.state.errors import is_transient
 from caperdeck.state.sessions import Session
 from caperdeck.state.timers import cancel
 
@@ -52,12 +52,12 @@
     def __init__(self, desk: ClientHandler) -> None:
         self.desk = desk
         self.session: Session | None = None
-        self.opened = 0.0
+        self.opened_at = 0.0
         self.closing = False
 
     def connectionMade(self) -> None:
         self.send_at_once()
-        self.opened = self.desk.clock()
+        self.opened_at = self.desk.clock()
         self.desk.client_came(self)
 
     def lineReceived(self, line: bytes) -> None:
@@ -65,7 +65,7 @@
             return
         if self.session is None:
             self.desk.first_line(self, line)
-        elif self.session.up_at:
+        elif self.session.established_at:
             self.desk.from_client(self.session, line)
         else:
             # Danger: who does not wait for its answer sends commands by the hundred; none may reach a host.
@@ -87,14 +87,14 @@
         if self.paused:
             self.resumeProducing()
 
-    def unread(self) -> bytes | None:
+    def peek(self) -> bytes | None:
         """A byte of what has come and is not read yet; b"" if that is the end, None if there is nothing."""
         try:
             return self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return None
         except OSError as error:
-            return None if is_momentary(error) else b""
+            return None if is_transient(error) else b""
 
     def abort(self) -> None:
         self.closing = True
@@ -144,7 +144,7 @@
 
     @property
     def acceptable(self) -> int:
-        return self.desk.budget.acceptable
+        return self.desk.budget.acceptable_clients
 
     def none_acceptable(self) -> None:
         self.desk.clients_wait()
--- a/caperdeck/wire/discovery.py
+++ b/caperdeck/wire/discovery.py
@@ -15,7 +15,7 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from caperdeck.state.backoff import LOST, REFUSED, BackOff, Spans
+from caperdeck.state.backoff import REFUSED, UNREACHABLE, BackOff, BackOffPolicy
 from caperdeck.state.timers import cancel
 
 LINE_END = b"\n"
@@ -224,7 +224,7 @@
         """Watches another discovery from now on; the list last told holds until it speaks."""
         # Danger: another discovery may count its versions anew, and would be asked for none of its changes.
         self.address, self.rev = address, 0
-        self.back_off.heard()
+        self.back_off.reset()
         self.leave()
         cancel(self.retry)
         self.give_up()
@@ -247,7 +247,7 @@
         if self.asked is asked:
             self.asked = None
             self._answered_or_failed()
-            if self.back_off.fresh:  # once for each time that discovery is away
+            if self.back_off.is_reset:  # once for each time that discovery is away
                 self.complain("discovery-unreached", failure.getErrorMessage())
             self.again(None)
 
@@ -256,7 +256,7 @@
         granted = response.code == 200
         if not granted:
             self._answered_or_failed()
-        if not granted and self.back_off.fresh:
+        if not granted and self.back_off.is_reset:
             self.complain("discovery-refused", f"discovery answered {response.code}")
         response.deliverBody(WatchBody(self, granted))
 
@@ -287,7 +287,7 @@
             return
         self.in_progress.given_up(now)
         late = self._late(self.silence)
-        if self.back_off.fresh:
+        if self.back_off.is_reset:
             waited = SILENT if self.body else ANSWER
             self.complain("discovery-silent", f"nothing from discovery for {waited} s")
         self.give_up()
@@ -301,7 +301,7 @@
         # Danger: silence, a wait, a call in vain and a wait, each late by a stall, add up past the bound.
         return max(self.reactor.seconds() - timer.getTime(), 0.0)
 
-    def again(self, body: WatchBody | None, why: Spans = LOST, late: float = 0.0) -> None:
+    def again(self, body: WatchBody | None, policy: BackOffPolicy = UNREACHABLE, late: float = 0.0) -> None:
         """Opens the watch anew a little later, unless that is on the way already."""
         if body is not self.body or self.retry is not None:
             return
@@ -310,7 +310,7 @@
         self.leave()
         cancel(self.silence)
         # Danger: what was told while the node was away counts as told, whether or not it still can read it.
-        wait = BACK if self.excused() else max(self.back_off.next(why) - late, 0.0)
+        wait = BACK if self.excused() else max(self.back_off.next_delay(policy) - late, 0.0)
         self.retry = self.reactor.callLater(wait, self._due)
 
     def _due(self) -> None:
@@ -320,7 +320,7 @@
         self.listen_for(SILENT)
         self._answered_or_failed()
         self.spoke()
-        self.back_off.heard()
+        self.back_off.reset()
         if not line:
             return
         try:
--- a/caperdeck/wire/host.py
+++ b/caperdeck/wire/host.py
@@ -33,12 +33,12 @@
     def __init__(self, desk: HostHandler, session: Session, until: float) -> None:
         self.desk = desk
         self.session = session
-        self.sent = False  # the request line's last byte has been written
+        self.request_sent = False  # the request line's last byte has been written
         self.cut = False  # the system took a part of it only; the rest waits in the transport
         self.taken_up = False  # it stood at another process of this node already
-        self.until = until
+        self.dial_deadline = until
         self.ended = False  # concluded; nothing that still comes counts
-        self.farewell: tuple[Outcome, str] | None = None  # what its last word means, if it said one
+        self.announced_end: tuple[Outcome, str] | None = None  # what its last word means, if it said one
         self.connector = None
 
     def dial_to(self, address: Address, time_out: float) -> None:
@@ -66,7 +66,7 @@
         if self.cut:
             # what is left follows as the socket drains; a break after this counts as a line that may have run
             self.transport.write(b"".join(pieces)[sent:])
-        self.sent = True
+        self.request_sent = True
         return True
 
     def lineReceived(self, line: bytes) -> None:
@@ -87,7 +87,7 @@
         self.transport.unregisterProducer()
         # Danger: the rest of a request line would still go out, and a dial that was given up would run beside
         # the next one.
-        if reset or (self.cut and not self.session.up_at):
+        if reset or (self.cut and not self.session.established_at):
             self.transport.abortConnection()
         else:
             self.transport.loseConnection()
--- a/caperdeck/wire/lines.py
+++ b/caperdeck/wire/lines.py
@@ -12,7 +12,7 @@
 from twisted.internet.tcp import Port
 from twisted.protocols.basic import LineReceiver
 
-from caperdeck.state.errors import TRY_AGAIN_AFTER, is_momentary
+from caperdeck.state.errors import RETRY_DELAY_S, is_transient
 from caperdeck.state.timers import cancel
 
 CRLF = b"\r\n"
@@ -82,7 +82,7 @@
                 return True
             except OSError as error:
                 logger.warning("accept reason=failed {}", error.strerror)
-                if is_momentary(error):
+                if is_transient(error):
                     self._pause()
                     return False
                 continue  # that one connection has broken in the queue
@@ -100,7 +100,7 @@
     def _pause(self) -> None:
         # the queue stays readable: without a pause the reactor would turn on it and do nothing else
         super().stopReading()
-        self.resuming = self.reactor.callLater(TRY_AGAIN_AFTER, self.startReading)
+        self.resuming = self.reactor.callLater(RETRY_DELAY_S, self.startReading)
 
     def startReading(self) -> None:
         cancel(self.resuming)
@@ -139,8 +139,8 @@
 
     def clientConnectionFailed(self, connector, reason) -> None:
         # what this machine lacks for a moment says nothing about the other side, and must not use up dials
-        if is_momentary(reason.value) and self.reactor.seconds() + TRY_AGAIN_AFTER < self.until:
-            self.reactor.callLater(TRY_AGAIN_AFTER, self._try_again, connector)
+        if is_transient(reason.value) and self.reactor.seconds() + RETRY_DELAY_S < self.until:
+            self.reactor.callLater(RETRY_DELAY_S, self._try_again, connector)
         else:
             self.conn.failed()
 
--- a/caperdeck/wire/probe.py
+++ b/caperdeck/wire/probe.py
@@ -101,17 +101,17 @@
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.budget = budget
-        self.retune(reports, time_out)
+        self.apply_settings(reports, time_out)
         self.concluded = concluded
         self.later = later  # whether what is to be done waits until what lies in the sockets is read
-        self.open: dict[int, ProbeConnection] = {}  # by host, the one that was asked longest ago first
+        self.connections: dict[int, ProbeConnection] = {}  # by host, the one that was asked longest ago first
 
-    def retune(self, reports: bool, time_out: float) -> None:
+    def apply_settings(self, reports: bool, time_out: float) -> None:
         self.question = b"STATS" if reports else b"PING"
         self.time_out = time_out
 
     def probe(self, host: int, address: Address | None) -> None:
-        conn = self.open.get(host)
+        conn = self.connections.get(host)
         if conn is not None and conn.address != address:
             conn.end(Outcome.UNREACHED)
             conn = None
@@ -134,24 +134,24 @@
 
     def _make_room(self) -> bool:
         """Whether one more connection may be opened; the one that has rested longest is ended for it."""
-        if self.budget.probing < self.budget.most_probes:
+        if self.budget.open_probes < self.budget.max_probes:
             return True
-        resting = next((conn for conn in self.open.values() if conn.waits is None), None)
+        resting = next((conn for conn in self.connections.values() if conn.waits is None), None)
         if resting is not None:
             resting.end(Outcome.WITHDRAWN)
             return True
         return self.budget.may_serve()
 
     def _use(self, conn: ProbeConnection) -> None:
-        self.open.pop(conn.host, None)
-        self.open[conn.host] = conn
-        self.budget.probing = len(self.open)
+        self.connections.pop(conn.host, None)
+        self.connections[conn.host] = conn
+        self.budget.open_probes = len(self.connections)
 
     def forget(self, conn: ProbeConnection) -> None:
-        if self.open.get(conn.host) is conn:
-            del self.open[conn.host]
-            self.budget.probing = len(self.open)
+        if self.connections.get(conn.host) is conn:
+            del self.connections[conn.host]
+            self.budget.open_probes = len(self.connections)
 
     def close(self, host: int) -> None:
-        if host in self.open:
-            self.open[host].end(Outcome.UNREACHED)
+        if host in self.connections:
+            self.connections[host].end(Outcome.UNREACHED)
--- a/caperdeck/wire/request.py
+++ b/caperdeck/wire/request.py
@@ -23,13 +23,13 @@
     line: bytes
     id: str
     listener: str
-    wait: float  # how long the client waits, in milliseconds
+    wait_ms: float  # how long the client waits, in milliseconds
     wait_from: int  # where in the line that figure stands
     wait_to: int
     tenant: str | None = None
     group: str | None = None
     load: float | None = None
-    at: str | None = None
+    resume_host: str | None = None
 
     def pieces(self, wait: int) -> list[bytes | memoryview]:
         """The line with another wait, in pieces that are written without joining them."""
--- a/caperdeck/wire/session_handler.py
+++ b/caperdeck/wire/session_handler.py
@@ -35,7 +35,7 @@
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
-        reports, time_out = self.limits.reports, 2 * self.limits.connect_time_out
+        reports, time_out = self.limits.hosts_report_load, 2 * self.limits.connect_timeout
         self.probes = Probes(self.reactor, self.budget, reports, time_out, self.probed, self.later)
 
     def busy(self, back_off: float) -> bytes:
@@ -57,32 +57,32 @@
             if listener is None:
                 raise RequestError("unknown-class")
             # a connection that stood before the node started has all the time that the start takes
-            if request.at is None and request.wait > WAITS * max(self.limits.longest_wait, MS):
+            if request.resume_host is None and request.wait_ms > WAITS * max(self.limits.max_client_wait, MS):
                 raise RequestError("bad-wait")
             # Danger: one client's line with another's id would be told apart by nobody, hosts among them.
-            if self.sessions.holds(request.id):
+            if self.sessions.has_id(request.id):
                 raise RequestError("id-in-use")
         except RequestError as error:
             if request is not None:
-                self.figures.answered(request.listener, Status.FAULTED)
+                self.metrics.count_answer(request.listener, Status.FAULTED)
             self._turn_away(client, b"ERR", str(error), line[:80])
             return
         if self.clock() >= self.answer_by:
-            self.figures.answered(request.listener, Status.THROTTLED)
+            self.metrics.count_answer(request.listener, Status.THROTTLED)
             self._turn_away(client, self.busy(0.0), "stopping", line[:80])
             return
         # a connection that stood before has had its descriptors, and waits for them
-        if request.at is None and not self.budget.may_serve():
+        if request.resume_host is None and not self.budget.may_serve():
             back_off = min(FULL_BACK_OFF, self.limits.max_back_off)
-            self.figures.answered(request.listener, Status.THROTTLED)
+            self.metrics.count_answer(request.listener, Status.THROTTLED)
             self._turn_away(client, self.busy(back_off), "no-sockets", line[:80])
             return
-        self.budget.sessions += 1
+        self.budget.session_count += 1
         now = self.clock()
         # Danger: a line that lay there in a stall has run down its client's wait unseen.
-        s = client.session = self.sessions.new(request, client, now - self.age())
+        s = client.session = self.sessions.create(request, client, now - self.age())
         s.deadline = min(s.deadline, self.answer_by)
-        if request.at is not None:
+        if request.resume_host is not None:
             self.resumption.begin(s)
             return
         self._pick(s, listener)
@@ -92,7 +92,7 @@
             # Danger: a client with little time would go unanswered while its node waits for the list.
             self.bound_list_wait((self.clock() + s.deadline) / 2)
             return
-        if s.over:
+        if s.finished:
             return
         self.look_for_bans()
         request, now = s.request, self.clock()
@@ -111,40 +111,40 @@
 
     def from_client(self, s: Session, line: bytes) -> None:
         self.sessions.line_from_client(s, self.clock())
-        s.conn.pass_on(line)
+        s.host_connection.pass_on(line)
 
     def client_broke(self, client: ClientConnection, reason: str) -> None:
         """The client has sent what cannot be passed on."""
         s = client.session
         if s is None:
             self._turn_away(client, b"ERR", reason, b"")
-        elif not s.over:
-            if not s.up_at:
-                self.figures.answered(s.request.listener, Status.FAULTED)
+        elif not s.finished:
+            if not s.established_at:
+                self.metrics.count_answer(s.request.listener, Status.FAULTED)
             self._lose_client(s, reason, reset=False)
-            client.close(None if s.up_at else b"ERR")
+            client.close(None if s.established_at else b"ERR")
 
     # ---- hosts
 
     def open_host(self, s: Session, until: float, time_out: float) -> HostConnection:
         conn = HostConnection(self, s, until)
-        conn.dial_to(self.hosts.address[s.host], time_out)
+        conn.dial_to(self.hosts.addresses[s.host], time_out)
         return conn
 
     def send_request(self, conn: HostConnection) -> bool:
-        wait = max(int(conn.until - self.clock()), 1)
+        wait = max(int(conn.dial_deadline - self.clock()), 1)
         return conn.send_request(conn.session.request.pieces(wait))
 
     def from_host(self, conn: HostConnection, line: bytes) -> None:
         s = conn.session
-        self.hosts.spoke_at[s.host] = self.clock()
-        if s.up_at:
+        self.hosts.heard_at[s.host] = self.clock()
+        if s.established_at:
             self.sessions.line_from_host(s)
             s.client.pass_on(line)
             if line == b"MOVE" or line.startswith(b"BYE"):
-                conn.farewell = FAREWELLS[line if line == b"MOVE" else b"BYE"]
+                conn.announced_end = FAREWELLS[line if line == b"MOVE" else b"BYE"]
                 if line == b"MOVE":
-                    self.hosts.sent_away[s.host] = self.clock()
+                    self.hosts.redirected_at[s.host] = self.clock()
             elif line.startswith(b"LOAD "):
                 self._load_reported(s, line)
         elif line == b"UP" or line.startswith(b"UP "):
@@ -158,18 +158,18 @@
         if (load := parse_load(line[5:])) is not None:
             self.report(Load(s.index, load / MS))
         else:
-            logger.warning("host uid={} reason=bad-load line={!r}", self.hosts.uid[s.host], line[:80])
+            logger.warning("host uid={} reason=bad-load line={!r}", self.hosts.uids[s.host], line[:80])
 
     def _stand(self, s: Session, conn: HostConnection, line: bytes) -> None:
         now = self.clock()
-        self.sessions.stands(s, now)
-        cancel(s.timer)
+        self.sessions.mark_established(s, now)
+        cancel(s.dial_timer)
         client, request = s.client, s.request
-        logger.debug("up id={} host={} class={}", request.id, self.hosts.uid[s.host], request.listener)
+        logger.debug("up id={} host={} class={}", request.id, self.hosts.uids[s.host], request.listener)
         client.pass_on(line)
-        self.figures.answered(request.listener, Status.FULFILLED)
+        self.metrics.count_answer(request.listener, Status.FULFILLED)
         self._join(client, conn)
-        if request.at is None:
+        if request.resume_host is None:
             self.report(Up(s.index))
         else:
             self._resumed(s, now)
@@ -184,8 +184,8 @@
         now = self.clock()
         self.idle.pop(s.client, None)
         s.client.session = s
-        self.budget.sessions += 1
+        self.budget.session_count += 1
         if asked:
             self.sessions.line_from_client(s, now)
-        self._join(s.client, s.conn)
+        self._join(s.client, s.host_connection)
         self._resumed(s, now)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -192,7 +192,7 @@
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
     service.desk, service.clock = d, d.clock
     d.look_for_bans = service.ban_calls.look
-    if d.hosts.uid:
+    if d.hosts.uids:
         service.ban_calls.begin()
     return service
 
@@ -215,7 +215,7 @@
 
 def up(d):
     """A client and the host's side of its session, which stands."""
-    client = connect(d, opening(d.sessions.made))
+    client = connect(d, opening(d.sessions.created_count))
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
     client.transport.clear()
@@ -438,26 +438,26 @@
 
     def session(self):
         """The one that the node holds."""
-        (s,) = self.desk.sessions.table.values()
+        (s,) = self.desk.sessions.by_index.values()
         return s
 
     def taken(self, line=OPEN):
         """A client whose line has been read, and its session, whose dial is under way."""
         client = self.client(line)
-        self.reactor.until(lambda: self.desk.sessions.table)
+        self.reactor.until(lambda: self.desk.sessions.by_index)
         return client, self.session()
 
     def hold(self, s):
         """The dial's connection is on its way, not seen to be up yet; returns the host's end of it."""
         self.reactor.runUntilCurrent()
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.removeReader(conn)
         self.reactor.removeWriter(conn)
         self.reactor.until(lambda: any(peer.accept() for peer in self.hosts))
         return next(p for p in self.hosts if ("127.0.0.1", p.port) == tuple(conn.addr)).accepted[-1]
 
     def comes_up(self, s):
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.addReader(conn)
         self.reactor.addWriter(conn)
         self.reactor.settle()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -26,7 +26,7 @@
 from helpers import CONFIG, OPEN, START, desk, free_ports, row, serve_lines, serve_list, write
 
 from caperdeck.lab.wall_clock import WallClock
-from caperdeck.state.clocks import DateWatch, node_clock
+from caperdeck.state.clocks import WallClockMonitor, node_clock
 from caperdeck.state.start_times import StartTimes
 
 ROOT = Path(__file__).parents[1]
@@ -181,9 +181,9 @@
 def counted_as(date_ahead, true_age=1000.0, whole=False):
     """The age and the warmth of a host that started so long ago, at a node whose date is so much ahead."""
     d = desk(hosts=1)
-    d.hosts.start_times.go_by(BOOT - d.clock() + date_ahead)
+    d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() + date_ahead)
     d.listed(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
-    node, h = d.balancer._node, d.hosts.index["s-9"]
+    node, h = d.balancer._node, d.hosts.index_by_uid["s-9"]
     return d.clock() - node.born[h], node._warmth(d.clock(), h)
 
 
@@ -206,7 +206,7 @@
 
 def test_a_host_is_cold_for_as_long_as_it_warms_up_under_a_date_an_hour_behind():
     d = desk(hosts=1)
-    d.hosts.start_times.go_by(BOOT - d.clock() - HOUR * 1000)
+    d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() - HOUR * 1000)
     d.listed(False, [row("s-9", boot=BOOT)])
     d.reactor.advance(8.1)
     assert d.balancer._node._warmth(d.clock(), 1) == 1.0
@@ -214,20 +214,24 @@
 
 def test_starts_heard_of_together_are_told_apart_by_what_discovery_says():
     starts = StartTimes()
-    starts.hear(NOW, True, {0: BOOT, 1: BOOT - 5000.0, 2: 0.0})
-    assert [starts.at(0, BOOT), starts.at(1, BOOT - 5000.0), starts.at(2, 0.0)] == [NOW, NOW - 5000.0, 0.0]
-    starts.hear(NOW + 9000.0, False, {0: BOOT, 1: BOOT + 8000.0})
-    assert (starts.at(0, BOOT), starts.at(1, BOOT + 8000.0)) == (NOW, NOW + 8000.0)
+    starts.observe(NOW, True, {0: BOOT, 1: BOOT - 5000.0, 2: 0.0})
+    assert [starts.node_time(0, BOOT), starts.node_time(1, BOOT - 5000.0), starts.node_time(2, 0.0)] == [
+        NOW,
+        NOW - 5000.0,
+        0.0,
+    ]
+    starts.observe(NOW + 9000.0, False, {0: BOOT, 1: BOOT + 8000.0})
+    assert (starts.node_time(0, BOOT), starts.node_time(1, BOOT + 8000.0)) == (NOW, NOW + 8000.0)
 
 
 def test_starts_of_a_saved_list_are_placed_anew_by_the_first_that_discovery_tells():
     starts = StartTimes()
-    starts.go_by(BOOT + 20_500.0 - NOW)
-    starts.hear(NOW, True, {0: BOOT, 1: BOOT - 2000.0})
-    assert starts.at(0, BOOT) == NOW  # a list that may be old says little of the date
-    starts.heard_in_saved_list()
-    starts.hear(NOW + 300.0, True, {0: BOOT, 1: BOOT - 2000.0, 2: BOOT + 20_000.0})
-    assert starts.at(2, BOOT + 20_000.0) == NOW - 500.0 and starts.at(0, BOOT) == NOW - 20_500.0
+    starts.set_wall_clock_offset(BOOT + 20_500.0 - NOW)
+    starts.observe(NOW, True, {0: BOOT, 1: BOOT - 2000.0})
+    assert starts.node_time(0, BOOT) == NOW  # a list that may be old says little of the date
+    starts.mark_as_saved()
+    starts.observe(NOW + 300.0, True, {0: BOOT, 1: BOOT - 2000.0, 2: BOOT + 20_000.0})
+    assert starts.node_time(2, BOOT + 20_000.0) == NOW - 500.0 and starts.node_time(0, BOOT) == NOW - 20_500.0
 
 
 def test_another_process_of_the_node_reads_the_same_clock_and_knows_the_same_starts(monkeypatch):
@@ -237,10 +241,10 @@
     monkeypatch.setattr("time.time", lambda: 0.0)
     assert 0 <= node_clock() - read < 1000.0
     after = desk(hosts=0)
-    after.hosts.take_starts(*before.hosts.starts())
+    after.hosts.import_starts(*before.hosts.export_starts())
     after.reactor.advance(2.0)
-    after.listed(True, before.hosts.rows())
-    age = after.clock() - after.balancer._node.born[after.hosts.index["s-9"]]
+    after.listed(True, before.hosts.export_rows())
+    age = after.clock() - after.balancer._node.born[after.hosts.index_by_uid["s-9"]]
     assert age == pytest.approx(2000.0)
 
 
@@ -270,10 +274,10 @@
 
 def test_a_step_of_the_date_is_noticed_once_and_a_slow_reading_is_none():
     steady, date = [0.0], [5000.0]
-    watch = DateWatch(lambda: steady[0], lambda: date[0])
+    watch = WallClockMonitor(lambda: steady[0], lambda: date[0])
     for passed, stepped, said in ((250, 0, None), (250, -HOUR * 1000, -HOUR * 1000), (250, 0, None),
                                   (250, 150, None), (250, 20_000, 20_000)):  # fmt: skip
         steady[0] += passed
         date[0] += passed + stepped
-        assert watch.step() == (None if said is None else pytest.approx(said))
-    assert watch.steps == 2
+        assert watch.detect_step() == (None if said is None else pytest.approx(said))
+    assert watch.step_count == 2
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -147,7 +147,7 @@
     d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(30)])
     first = d.balancer._node.first
     assert len(first) in (8, 9) and first == d.subsets.narrowed(False)
-    gone = d.hosts.uid[first[0]]
+    gone = d.hosts.uids[first[0]]
     d.listed(False, [row(gone, state="Gone")])
     assert first[0] not in d.balancer._node.first and len(d.balancer._node.first) in (8, 9)
     d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(5)])
@@ -159,7 +159,7 @@
     d.subsets = Subsets(3, 40)
     d.narrow()
     first = d.balancer._node.first
-    d.hosts.entry[2] = d.hosts.entry[2]._replace(mark=d.hosts.entry[1].mark)
+    d.hosts.entries[2] = d.hosts.entries[2]._replace(mark=d.hosts.entries[1].mark)
     d.narrow()
     assert d.balancer._node.first == first and d.subsets.refused
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 
 def refused_by_all(d):
-    while d.reactor.tcpClients and d.sessions.table:
+    while d.reactor.tcpClients and d.sessions.by_index:
         d.reactor.tcpClients.pop()[2].clientConnectionFailed(None, Failure(Refused()))
         d.reactor.advance(0.11)
 
@@ -42,7 +42,7 @@
     d.reactor.pump([0.05] * 24)
     answered = client.transport.lines()
     host.dataReceived(late)
-    assert len(answered) == 1 and client.transport.lines() == answered and not d.sessions.table
+    assert len(answered) == 1 and client.transport.lines() == answered and not d.sessions.by_index
 
 
 def test_an_answer_is_not_held_back_once_it_is_given_up():
@@ -61,4 +61,4 @@
         lost(client, clean=False)
     again = connect(d, OPEN)
     accept(d).dataReceived(b"UP r1\r\n")
-    assert again.transport.lines() == [b"UP r1"] and len(d.sessions.table) == d.budget.sessions == 1
+    assert again.transport.lines() == [b"UP r1"] and len(d.sessions.by_index) == d.budget.session_count == 1
--- a/tests/test_lab_soak.py
+++ b/tests/test_lab_soak.py
@@ -75,7 +75,7 @@
 # descriptors as they were kept, one for each server on the list
 A_DESCRIPTOR_FOR_EACH = """
 import caperdeck.state.budget as module
-module.PROBES = module.PROBES_PART = 1 << 20
+module.PROBE_DESCRIPTORS = module.MAX_PROBE_FRACTION = 1 << 20
 """
 
 
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -103,10 +103,10 @@
     hang_up = Desk._hang_up
 
     def forget(self, s, reset):
-        if s.up_at or s.conn is None:
+        if s.established_at or s.host_connection is None:
             hang_up(self, s, reset)
         else:
-            s.conn.ended, s.conn = True, None
+            s.host_connection.ended, s.host_connection = True, None
 
     monkeypatch.setattr(Desk, "_hang_up", forget)
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -96,7 +96,7 @@
 
 def looked_at(d, host, answers=True):
     """The desk has probed the host, whose answer has come where it gives one."""
-    d.probes.probe(host, d.hosts.address[host])
+    d.probes.probe(host, d.hosts.addresses[host])
     if answers:
         conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
         conn.makeConnection(Wire())
@@ -106,23 +106,23 @@
 # guards against: a descriptor in use for each of thousands of servers that were probed once
 def test_probes_of_thousands_of_servers_rest_on_a_bounded_number_of_connections():
     d = desk(hosts=3200, sockets=OVER_STANDING, mayProbe=True)
-    room = d.budget.room
+    room = d.budget.session_headroom
     for host in range(3200):
         looked_at(d, host)
-    assert len(d.probes.open) == d.budget.most_probes and d.budget.room == room
-    assert list(d.probes.open)[-1] == 3199 and min(d.balancer._node.seen_at) > 0
+    assert len(d.probes.connections) == d.budget.max_probes and d.budget.session_headroom == room
+    assert list(d.probes.connections)[-1] == 3199 and min(d.balancer._node.seen_at) > 0
 
 
 # guards against: servers held to be ill, and connections moved off them, as the node lacks a descriptor
 def test_a_probe_that_finds_no_descriptor_says_nothing_about_its_server():
     d = desk(hosts=40, sockets=64, mayProbe=True)
-    for host in range(d.budget.most_probes):
+    for host in range(d.budget.max_probes):
         looked_at(d, host, answers=False)
-    d.budget.clients += d.budget.free
+    d.budget.client_connections += d.budget.free_descriptors
     dialed = len(d.reactor.tcpClients)
-    d.probes.probe(39, d.hosts.address[39])
+    d.probes.probe(39, d.hosts.addresses[39])
     node = d.balancer._node
-    assert len(d.reactor.tcpClients) == dialed and 39 not in d.probes.open
+    assert len(d.reactor.tcpClients) == dialed and 39 not in d.probes.connections
     assert not any(node.ill) and not node.unseen[39] and not node.probe_out[39]
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -172,7 +172,7 @@
     assert new.transport.lines() == [b"ERR"]
     old.dataReceived(b"one\r\n")
     assert host.transport.lines() == [b"one"]
-    assert d.figures.operations == {"chat": [1, 0, 1], "once": [0, 0, 1]} and d.figures.accepted == 1
+    assert d.metrics.answers == {"chat": [1, 0, 1], "once": [0, 0, 1]} and d.metrics.accepted_configs == 1
 
 
 def test_a_connection_taken_up_after_its_class_was_dropped_stands_all_the_same(tmp_path):
@@ -224,7 +224,7 @@
     with logged() as log:
         service.reload()
     assert before == (service.config, d.names, d.limits, d.balancer._node.set)
-    assert (d.figures.accepted, d.figures.invalid) == (0, 1)
+    assert (d.metrics.accepted_configs, d.metrics.rejected_configs) == (0, 1)
     assert any("reload reason=unusable" in x for x in log)
 
 
@@ -251,7 +251,7 @@
 def test_the_moves_of_a_stop_come_late_and_in_time(tmp_path, monkeypatch, longest, first, last):
     d = desk(hosts=1)
     service = service_over(d, tmp_path)
-    service.config = replace(service.config, limits=replace(service.config.limits, longest_wait=longest))
+    service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
     at, clients = [], [up(d)[0] for _ in range(20)]
     monkeypatch.setattr(d, "move", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
     service.stop()
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -87,7 +87,7 @@
     client, s = lo.taken()
     first = s.host
     lo.hold(s)
-    s.timer.reset(60.0)
+    s.dial_timer.reset(60.0)
     with lo.reactor.unwatched(lo.list_transport()):
         list_socket.send(list_of(2, lo.row(first, "Terminating"), whole=False))
         for seconds in stalls:
@@ -259,7 +259,7 @@
     clients = [started.client(opening(n)) for n in range(8)]
     started.reactor.until(started.agent.accept)
     started.reactor.pass_time(0.06, step=0.01)
-    assert not started.sent(0) and not started.sent(1) and len(started.service.desk.sessions.table) == 8
+    assert not started.sent(0) and not started.sent(1) and len(started.service.desk.sessions.by_index) == 8
     list_socket = started.agent.accepted[0]
     list_socket.send(HEADERS)
     started.reactor.pass_time(0.06, step=0.01)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -10,7 +10,7 @@
 from caperdeck.core.model import Move, Outcome, Probe, Refuse, Report, RosterScope
 from caperdeck.ops.bans import FILE, Bans, BansError
 from caperdeck.ops.admin_calls import Calls, yes
-from caperdeck.state.figures import Figures, Status
+from caperdeck.state.figures import Metrics, Status
 from caperdeck.ops.admin_server import MOST_CALLERS, Front
 
 # ---- calls
@@ -77,7 +77,7 @@
 
 
 def counts(d):
-    return d.figures.operations["chat"], d.figures.relayed
+    return d.metrics.answers["chat"], d.metrics.relayed_requests
 
 
 def test_what_is_served_counts_once_and_stays_open_until_its_end():
@@ -116,7 +116,7 @@
     if sockets == 32:
         d.budget.used = 32
     connect(d, line)
-    assert counts(d) == (expected, 0) and list(d.figures.operations) == ["chat"]
+    assert counts(d) == (expected, 0) and list(d.metrics.answers) == ["chat"]
 
 
 def test_a_client_that_left_before_its_answer_counts_nowhere():
@@ -128,10 +128,10 @@
 
 
 def test_figures_are_written_one_a_line_and_a_dropped_class_stays():
-    figures = Figures()
-    figures.know(["a", 'b"\\'])
-    figures.know(["a"])
-    figures.answered("a", Status.FULFILLED)
+    figures = Metrics()
+    figures.add_classes(["a", 'b"\\'])
+    figures.add_classes(["a"])
+    figures.count_answer("a", Status.FULFILLED)
     lines = figures.lines({"open_requests": 14})
     assert 'app_operations_total{priority="a",status="fulfilled"} 1' in lines
     assert 'app_operations_total{priority="b\\"\\\\",status="throttled"} 0' in lines
@@ -158,7 +158,7 @@
     client = connect(d, OPEN)
     assert say(service, b"exclude s-0") == "ACK"
     conn = accept(d)
-    assert conn.transport.lines() == [] and d.figures.relayed == 0
+    assert conn.transport.lines() == [] and d.metrics.relayed_requests == 0
     d.reactor.pump([0.1] * 12)
     assert client.transport.lines()[0].startswith(b"BUSY") and d.gauges()["out_of_rotation"] == 1
 
@@ -181,7 +181,7 @@
     d.listed(False, news)
     d.listed(False, [row("s-0")])
     for _ in range(12):
-        connect(d, opening(d.sessions.made))
+        connect(d, opening(d.sessions.created_count))
     assert {port for _, port, *_ in d.reactor.tcpClients} == {9001}
     assert say(service, b"include s-0") == "ACK" and d.balancer.may_send(0)
     assert d.gauges()["out_of_rotation"] == 0
@@ -323,9 +323,9 @@
     n.unit, n.each, n.able[1] = 4000.0, 25.0, 5000.0
     later.listed(True, [row("s-2", port=9002), row("s-1", port=9001)])
     memory = d.balancer.memory()
-    later.remember(memory, dict(zip(d.hosts.uid, memory["able"], strict=True)))
+    later.remember(memory, dict(zip(d.hosts.uids, memory["able"], strict=True)))
     m = later.balancer._node
-    assert (m.unit, m.each, m.able[later.hosts.index["s-1"]]) == (4000.0, 25.0, 5000.0)
+    assert (m.unit, m.each, m.able[later.hosts.index_by_uid["s-1"]]) == (4000.0, 25.0, 5000.0)
 
 
 def test_what_stands_on_a_host_taken_out_is_left_there():
@@ -351,8 +351,9 @@
 def tables(d):
     n = d.balancer._node
     return (
-        len(d.sessions.table), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle), d.budget.clients,
-        d.budget.sessions, len(n.sessions), sum(n.held), sum(n.dialing), sum(map(len, n.standing)),
+        len(d.sessions.by_index), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle),
+        d.budget.client_connections, d.budget.session_count, len(n.sessions), sum(n.held), sum(n.dialing),
+        sum(map(len, n.standing)),
         len(n.mine), len(d.balancer._dials), sum(map(len, n.lookers)),
     )  # fmt: skip
 
@@ -363,17 +364,17 @@
 
 def half_a_head(d):
     client = connect(d)
-    client.dataReceived(opening(d.sessions.made)[:30])
+    client.dataReceived(opening(d.sessions.created_count)[:30])
     return client, None
 
 
 def dialling(d):
-    client = connect(d, opening(d.sessions.made))
+    client = connect(d, opening(d.sessions.created_count))
     return client, None
 
 
 def head_sent(d):
-    client = connect(d, opening(d.sessions.made))
+    client = connect(d, opening(d.sessions.created_count))
     return client, accept(d)
 
 
@@ -431,5 +432,5 @@
     d = desk(hosts=1)
     client, host = up(d)
     host.dataReceived(b"whole\r\nha")
-    d.move(next(iter(d.sessions.table.values())), "stop")
+    d.move(next(iter(d.sessions.by_index.values())), "stop")
     assert client.transport.value() == b"whole\r\nMOVE\r\n"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -287,7 +287,7 @@
 
 
 def turned(d, uid):
-    return d.hosts.index[uid] in d.balancer._node.banned
+    return d.hosts.index_by_uid[uid] in d.balancer._node.banned
 
 
 def test_a_host_is_out_by_the_fleets_word_until_it_ends_or_by_hand(tmp_path):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 
-from caperdeck.state.backoff import LOST, REFUSED, BackOff
+from caperdeck.state.backoff import REFUSED, UNREACHABLE, BackOff
 from caperdeck.wire.discovery import ANSWER, SILENT, Discovery
 
 TOLD = 6.0  # seconds after which a change counts as told, discovery having it and being there
@@ -102,7 +102,7 @@
 
 
 def test_the_bound_is_the_sum_of_its_parts():
-    assert SILENT + ANSWER + 2 * LOST.longest < TOLD - 0.15 and REFUSED.longest < TOLD - 1
+    assert SILENT + ANSWER + 2 * UNREACHABLE.max_span_s < TOLD - 0.15 and REFUSED.max_span_s < TOLD - 1
 
 
 @runs(max_examples=25, deadline=None)
@@ -129,7 +129,7 @@
     up = agent.reactor.now
     agent.listen(down.port)
     agent.step("good", TOLD)
-    assert agent.told[0] - up < LOST.longest + 0.5 and agent.watch.rev == 2
+    assert agent.told[0] - up < UNREACHABLE.max_span_s + 0.5 and agent.watch.rev == 2
     agent.close()
 
 
@@ -153,7 +153,7 @@
     agent.watch.start()
     agent.step("refused-open", 0.2)
     first = agent.accepted[0]
-    agent.step("good", REFUSED.longest + 0.2)
+    agent.step("good", REFUSED.max_span_s + 0.2)
     assert agent.told and read_all(first)[1]
     agent.close()
 
@@ -161,10 +161,10 @@
 def test_what_200_nodes_ask_of_discovery_is_spread_and_bounded():
     # the load that the page states: all watches lost in one instant, no connection, calls that hang, refusals
     waits = [BackOff(n * 7919, 200) for n in range(200)]
-    first = sorted(w.next() for w in waits)
+    first = sorted(w.next_delay() for w in waits)
     assert max(sum(at <= x < at + 0.1 for x in first) for at in first) <= 45
-    later = sum(w.next() for w in waits for _ in range(20)) / 4000
-    refused = sum(w.next(REFUSED) for w in waits for _ in range(20)) / 4000
+    later = sum(w.next_delay() for w in waits for _ in range(20)) / 4000
+    refused = sum(w.next_delay(REFUSED) for w in waits for _ in range(20)) / 4000
     assert 200 / later <= 680 and 200 / (later + ANSWER) <= 81 and 200 / refused <= 57  # calls a second
 
 
@@ -190,7 +190,7 @@
     with lo.reactor.unwatched(s.client.transport):
         lo.comes_up(s)
     lo.reactor.settle()
-    assert not read_all(host)[0] and not lo.desk.sessions.table and lo.desk.figures.relayed == 0
+    assert not read_all(host)[0] and not lo.desk.sessions.by_index and lo.desk.metrics.relayed_requests == 0
     assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
 
 
@@ -205,7 +205,7 @@
     with lo.reactor.unwatched(s.client.transport):
         lo.reactor.settle()
     lo.reactor.settle()
-    assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.desk.sessions.table
+    assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.desk.sessions.by_index
     assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
 
 
@@ -224,11 +224,14 @@
     lo = loop()
     client, s = lo.taken()
     host = lo.host_side()
-    lo.reactor.until(lambda: s.conn.sent)
+    lo.reactor.until(lambda: s.host_connection.request_sent)
     host.send(b"UP r1\r\n")
     client.close()
     lo.reactor.settle(60)
-    assert not lo.desk.sessions.table and lo.desk.budget.sessions == lo.desk.budget.clients == 0
+    assert (
+        not lo.desk.sessions.by_index
+        and lo.desk.budget.session_count == lo.desk.budget.client_connections == 0
+    )
     assert read_all(host)[1]
 
 
@@ -238,7 +241,7 @@
 def second_dial(lo):
     """The first host took the request and said nothing; the dial to the second has not been seen to be up."""
     client, s = lo.taken()
-    lo.reactor.until(lambda: any(peer.accept() for peer in lo.hosts) and s.conn.sent)
+    lo.reactor.until(lambda: any(peer.accept() for peer in lo.hosts) and s.host_connection.request_sent)
     lo.reactor.now += 0.181
     lo.reactor.runUntilCurrent()
     assert s.dial == 1
@@ -276,7 +279,7 @@
     lo = loop(mostDials=1, dialTimeout=5.0)
     client, s = lo.taken()
     host = lo.hold(s)
-    s.timer.cancel()  # a timer that runs after the sockets of its turn
+    s.dial_timer.cancel()  # a timer that runs after the sockets of its turn
     lo.reactor.now += after
     lo.desk.turn_at = lo.desk.read_clock()
     lo.comes_up(s)
@@ -287,10 +290,10 @@
     # Danger: the library sends the rest before it closes, and the first dial runs beside the second.
     lo = loop(hosts=2, listener=REFERENCED | {"memorySpan": 5.0})
     client, s = lo.taken()
-    first, conn = lo.hold(s), s.conn
+    first, conn = lo.hold(s), s.host_connection
     conn.send_request = lambda pieces: type(conn).send_request(Part(conn), pieces)
     lo.reactor.addWriter(conn.connector.transport)
-    lo.reactor.until(lambda: conn.sent)
+    lo.reactor.until(lambda: conn.request_sent)
     lo.reactor.removeWriter(conn.transport)  # no room at the system meanwhile
     lo.reactor.now += 0.181
     lo.reactor.runUntilCurrent()
@@ -355,7 +358,7 @@
     client.send(OPEN + b"\r\n")  # read after the shutdown: never sent on, and answered by what went before
     lo.reactor.settle()
     assert read_all(client) == (b"BUSY\r\n", "end") and not lo.hosts[0].accept()
-    assert not lo.desk.sessions.table
+    assert not lo.desk.sessions.by_index
 
 
 def test_the_answer_is_read_though_more_lines_come_while_sockets_are_short(loop):
@@ -370,7 +373,7 @@
     client.sendall(b"more\r\n" * 50)
     lo.reactor.pass_time(0.2, step=0.01)
     data, end = read_all(client)
-    assert data.startswith(b"BUSY") and end == "end" and lo.desk.budget.clients == 0
+    assert data.startswith(b"BUSY") and end == "end" and lo.desk.budget.client_connections == 0
 
 
 def test_half_a_line_of_a_host_at_a_move_does_not_reach_the_client(loop):
@@ -378,7 +381,7 @@
     client, s = lo.taken()
     host = lo.host_side()
     host.send(b"UP r1\r\n")
-    lo.reactor.until(lambda: s.up_at)
+    lo.reactor.until(lambda: s.established_at)
     host.send(b"half of a")
     lo.reactor.settle()
     lo.desk.move(s, "stop")
@@ -392,7 +395,7 @@
     lo = loop(listener={"effect": "at_most_once"})
     client, s = lo.taken()
     host = lo.host_side()
-    lo.reactor.until(lambda: s.conn.sent)
+    lo.reactor.until(lambda: s.host_connection.request_sent)
     host.send(ends)
     host.close()
     lo.reactor.settle(60)
@@ -403,12 +406,12 @@
     lo = loop(mostDials=1, listener={"effect": "at_most_once"})
     client, s = lo.taken()
     host = lo.host_side()
-    lo.reactor.until(lambda: s.conn.sent)
+    lo.reactor.until(lambda: s.host_connection.request_sent)
     for _ in range(30):
         with suppress(OSError):
             host.send(b"x")
         lo.reactor.pass_time(0.05)
-    assert lines_at(client) == [b"ERR"] and not lo.desk.sessions.table
+    assert lines_at(client) == [b"ERR"] and not lo.desk.sessions.by_index
 
 
 # ---- the stop
@@ -511,7 +514,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
     free = agent.reactor.now
     agent.step("good", TOLD)
-    assert agent.told[0] - free < LOST.longest + 0.5
+    assert agent.told[0] - free < UNREACHABLE.max_span_s + 0.5
     agent.close()
 
 
@@ -519,9 +522,11 @@
     lo = loop(sockets=64)
     idle = [lo.client() for _ in range(60)]
     lo.reactor.settle(100)
-    held = lo.desk.budget.clients
+    held = lo.desk.budget.client_connections
     budget = lo.desk.budget
-    assert held + budget.used + budget.probes < 64 - 4  # a connection to discovery, a probe, an accept
+    assert (
+        held + budget.used + budget.probe_descriptors < 64 - 4
+    )  # a connection to discovery, a probe, an accept
     client = lo.client(OPEN)  # behind all of them
     for _ in range(6):
         serve_all(lo, 0.25)
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -52,8 +52,8 @@
 # guards against: a standing connection refused for want of descriptors, which it had before the node's start
 def test_a_connection_that_finds_no_descriptor_waits_for_one():
     d = desk(sockets=40)
-    others = [up(d) for _ in range(d.budget.room)]
-    idle = [connect(d) for _ in range(d.budget.free - 1)]
+    others = [up(d) for _ in range(d.budget.session_headroom)]
+    idle = [connect(d) for _ in range(d.budget.free_descriptors - 1)]
     client = standing(d, number=99)
     dialed = len(d.reactor.tcpClients)
     assert client.transport.lines() == [] and dialed == len(others)
@@ -66,16 +66,16 @@
 def test_connections_that_come_back_together_stay_within_the_descriptors():
     d = desk(sockets=200)
     clients = []
-    while more := d.budget.acceptable:
+    while more := d.budget.acceptable_clients:
         clients += [connect(d) for _ in range(more)]
         for i, client in enumerate(clients[-more:]):
             client.dataReceived(opening_at(len(clients) + i) + b"\r\n")
-    fixed = d.budget.used + d.budget.probes
+    fixed = d.budget.used + d.budget.probe_descriptors
     assert fixed + len(clients) + len(d.reactor.tcpClients) <= 200 - d.budget.reserve // 2
     for client in clients[1::2]:
         lost(client)
     pass_time(d, 0.5)
-    assert len(d.reactor.tcpClients) >= len(clients[::2]) and not d.budget.undialed
+    assert len(d.reactor.tcpClients) >= len(clients[::2]) and not d.budget.undialed_sessions
 
 
 # guards against: a client that waits without end for a server that is on no list, or does not take it up
@@ -89,7 +89,7 @@
             if not factory.conn.ended:
                 factory.clientConnectionFailed(None, Failure(Refused()))
         d.reactor.advance(0.1)
-    assert client.transport.lines() == [b"ERR"] and not d.sessions.table
+    assert client.transport.lines() == [b"ERR"] and not d.sessions.by_index
     assert "reason=host-lost" in log[-1] and any("waits=" in line for line in log)
 
 
@@ -99,22 +99,22 @@
     client = standing(d, wait=b"2000")
     accept(d)
     d.reactor.advance(1.99)
-    assert client.transport.lines() == [b"ERR"] and not d.figures.overdue
+    assert client.transport.lines() == [b"ERR"] and not d.metrics.overdue_answers
 
 
 # guards against: a descriptor counted for good for a client that left while it waited to be taken up
 def test_a_client_that_leaves_while_it_waits_is_not_counted_any_more():
     d = desk()
-    room = d.budget.room
+    room = d.budget.session_headroom
     lost(standing(d, "s-9"))
     pass_time(d, 1.0)
-    assert (d.budget.room, d.budget.undialed, d.sessions.table) == (room, 0, {})
+    assert (d.budget.session_headroom, d.budget.undialed_sessions, d.sessions.by_index) == (room, 0, {})
 
 
 # guards against: new clients let in on descriptors that connections from before the start still need
 def test_new_clients_are_refused_while_those_that_stood_need_the_room():
     d = desk(sockets=100)
-    for i in range(d.budget.room):
+    for i in range(d.budget.session_headroom):
         standing(d, "s-9", number=i)
     client = connect(d, OPEN)
     assert client.transport.lines()[0].startswith(b"BUSY") and not d.reactor.tcpClients
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -19,7 +19,7 @@
 from test_race_conditions import answers, serve_all
 
 from caperdeck.ops.bans import FILE, Ban, Bans, BansError
-from caperdeck.state.errors import CALLS, call_again
+from caperdeck.state.errors import MAX_RETRIES, call_with_retries
 
 
 @pytest.fixture
@@ -75,12 +75,12 @@
 def test_while_no_client_can_be_let_in_the_reactor_does_not_turn_on_the_port(loop, monkeypatch):
     lo = loop()
     lo.desk.accepting = lambda on: (lo.port.startReading if on else lo.port.stopReading)()
-    lo.desk.budget.elsewhere = lo.desk.budget.limit
+    lo.desk.budget.used_by_other_process = lo.desk.budget.limit
     client, reads, read = lo.client(OPEN), [], lo.port.doRead
     monkeypatch.setattr(lo.port, "doRead", lambda: reads.append(read()))
     lo.reactor.settle(50)
     assert len(reads) == 1
-    lo.desk.budget.elsewhere = 0
+    lo.desk.budget.used_by_other_process = 0
     lo.desk.sweep()
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
@@ -168,7 +168,7 @@
     host = lo.hold(s)
     Faulty(monkeypatch, "recv", [number])
     lo.comes_up(s)
-    assert read_all(host)[0] == b"" and not lo.desk.sessions.table
+    assert read_all(host)[0] == b"" and not lo.desk.sessions.by_index
 
 
 # setsockopt(2) on a connection that has broken by the time that it is accepted
@@ -179,7 +179,7 @@
     lo.reactor.until(lambda: lo.desk.idle)
     client.close()
     lo.reactor.settle()
-    assert lo.desk.budget.clients == 0 and not lo.desk.idle
+    assert lo.desk.budget.client_connections == 0 and not lo.desk.idle
 
 
 def test_a_start_waits_for_what_the_machine_lacks_for_a_moment_and_for_nothing_else(monkeypatch):
@@ -192,11 +192,11 @@
             raise errors.pop()
         return "listening"
 
-    assert call_again(listen) == "listening" and len(waits) == 2
-    for number, calls in ((errno.EADDRINUSE, 0), (errno.ENFILE, CALLS)):
+    assert call_with_retries(listen) == "listening" and len(waits) == 2
+    for number, calls in ((errno.EADDRINUSE, 0), (errno.ENFILE, MAX_RETRIES)):
         waits.clear()
         with pytest.raises(OSError):
-            call_again(lambda number=number: os.close(-1) if number == errno.EBADF else raised(number))
+            call_with_retries(lambda number=number: os.close(-1) if number == errno.EBADF else raised(number))
         assert len(waits) == calls
 
 
@@ -268,7 +268,7 @@
     pass_while_hosts_hang(lo, at)
     client = lo.client(opening(1))
     pass_while_hosts_hang(lo, KILLED - at - 0.05)
-    assert not lo.desk.sessions.table
+    assert not lo.desk.sessions.by_index
     for each in (before, client):
         (line,), end = answers(each)
         assert line.split()[0] in (b"BUSY", b"ERR") and end == "end"
@@ -305,7 +305,7 @@
     longer = SETUP | {"listeners": [SETUP["listeners"][0] | {"hardLimit": 30.0}]}
     (tmp_path / "c").write_text(json.dumps(CONFIG | {"admin_addr": "127.0.0.1:9100", "settings": longer}))
     service.reload()
-    assert service.config.limits.longest_wait == 30_000.0
+    assert service.config.limits.max_client_wait == 30_000.0
     service.stop()
     clients = [lo.client(opening(n)) for n in range(40)]
     serve_all(lo, KILLED - 0.05)
@@ -315,14 +315,14 @@
 def test_a_session_whose_timer_was_lost_is_answered_all_the_same():
     d = desk(mostDials=1)
     client = connect(d, opening(1))
-    (s,) = d.sessions.table.values()
-    s.timer.cancel()
+    (s,) = d.sessions.by_index.values()
+    s.dial_timer.cancel()
     with logged() as lines:
         for _ in range(8):
             d.reactor.advance(0.25)
             d.sweep()
-    assert client.transport.lines() == [b"ERR"] and not d.sessions.table
-    assert "reason=overdue" in "".join(lines) and d.figures.overdue == 1
+    assert client.transport.lines() == [b"ERR"] and not d.sessions.by_index
+    assert "reason=overdue" in "".join(lines) and d.metrics.overdue_answers == 1
 
 
 def test_why_sessions_and_dials_ended_is_told_in_the_log_and_in_the_figures():
@@ -334,6 +334,6 @@
             d.sweep()
     (line,) = [line for line in lines if line.startswith("dial id=")]
     assert "dial=0 host=s-" in line and "outcome=unreached sent=False ms=" in line
-    told = d.figures.lines(d.gauges())
+    told = d.metrics.lines(d.gauges())
     assert 'app_failed_dials_total{outcome="unreached"} 1' in told
     assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in told)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -347,13 +347,13 @@
     service = service_over(d, tmp_path)
     d.listed(False, [row("s-1", "Terminating")])
     service.calls.call(b"exclude s-0", lambda answer: None)
-    rows = {r["uid"]: r["state"] for r in d.hosts.rows()}
+    rows = {r["uid"]: r["state"] for r in d.hosts.export_rows()}
     assert rows == {"s-0": "Ready", "s-1": "Terminating"}
     later = desk(hosts=0)
     successor = service_over(later, tmp_path)
-    successor.know(d.hosts.rows(), {"bans": ["s-0"]})
-    assert not later.balancer.may_send(later.hosts.index["s-0"])
-    assert not later.balancer.may_send(later.hosts.index["s-1"])
+    successor.know(d.hosts.export_rows(), {"bans": ["s-0"]})
+    assert not later.balancer.may_send(later.hosts.index_by_uid["s-0"])
+    assert not later.balancer.may_send(later.hosts.index_by_uid["s-1"])
 
 
 def test_a_process_that_has_given_its_port_takes_nobody_and_is_not_ready(tmp_path):
@@ -391,7 +391,7 @@
     service.upgrade.stop_taking()
     service.stop()
     d.reactor.advance(0.1)
-    assert not ended and not client.closing and d.sessions.table
+    assert not ended and not client.closing and d.sessions.by_index
 
 
 class Port:
@@ -534,7 +534,7 @@
     later = service_over(desk(hosts=0), tmp_path)
     later.listen = later.discovery.start = lambda *_: None
     later.upgrade.take_state(sent["rows"], sent, [0])
-    assert later.desk.hosts.starts() == d.hosts.starts() and list(later.bans.uids) == ["s-1"]
+    assert later.desk.hosts.export_starts() == d.hosts.export_starts() and list(later.bans.uids) == ["s-1"]
     assert json.loads(encode({"slots": service.upgrade.hand_over_slots(), "held": 1}))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,9 +43,9 @@
 
 def test_a_head_goes_on_unchanged_but_for_the_wait():
     request = parse_request(OPEN)
-    assert (request.id, request.listener, request.tenant, request.wait, request.group) == (
+    assert (request.id, request.listener, request.tenant, request.wait_ms, request.group) == (
         "9b1f03aa5c7e2d41", "chat", "acme", 1200.0, "5c0f")  # fmt: skip
-    assert request.load == 0.01 and request.at is None
+    assert request.load == 0.01 and request.resume_host is None
     assert b"".join(request.pieces(170)) == OPEN.replace(b"d=1200", b"d=170") + b"\r\n"
 
 
@@ -82,7 +82,7 @@
     client = connect(d, line)
     assert client.transport.lines() == [b"ERR"] and reasons(log) == [reason]
     lost(client)
-    assert d.budget.clients == 0 and d.budget.sessions == 0
+    assert d.budget.client_connections == 0 and d.budget.session_count == 0
 
 
 def test_the_front_is_answered_until_the_stop():
@@ -105,7 +105,7 @@
     host.dataReceived(b"BYE\r\n")
     lost(host)
     assert client.transport.lines()[-1] == b"BYE" and client.transport.ended == "end"
-    assert reasons(log) == ["served"] and d.budget.sessions == 0 and not d.sessions.table
+    assert reasons(log) == ["served"] and d.budget.session_count == 0 and not d.sessions.by_index
 
 
 def test_a_client_that_does_not_wait_for_its_answer_never_reaches_a_host(log):
@@ -113,7 +113,7 @@
     client = connect(d)
     client.dataReceived(b"\r\n".join([OPEN] * 300) + b"\r\n")
     assert client.transport.lines() == [b"ERR"] and reasons(log) == ["did-not-wait"]
-    assert accept(d).transport.lines() == [] and not d.sessions.table and d.budget.sessions == 0
+    assert accept(d).transport.lines() == [] and not d.sessions.by_index and d.budget.session_count == 0
 
 
 def test_the_id_of_another_clients_open_session_is_turned_away(log):
@@ -235,21 +235,21 @@
     host.dataReceived(b"MOVE\r\n")
     lost(host)
     assert client.transport.lines() == [b"MOVE"] and client.transport.ended == "end"
-    assert reasons(log) == ["host-moved"] and d.hosts.state[0] is HostState.RUNNING
+    assert reasons(log) == ["host-moved"] and d.hosts.states[0] is HostState.RUNNING
 
 
 @pytest.mark.parametrize("hosts, away, held", [(5, 1, [0]), (5, 2, [0, 1]), (5, 3, []), (1, 1, [])])
 def test_hosts_that_send_away_while_discovery_is_silent_are_held_to_drain(hosts, away, held, log):
     d = desk(hosts=hosts)
     sweeps(d, 2.0)
-    d.hosts.sent_away[:away] = [d.clock()] * away
+    d.hosts.redirected_at[:away] = [d.clock()] * away
     d.sweep()
-    assert d.hosts.running() == hosts
+    assert d.hosts.running_count() == hosts
     sweeps(d, 1.0)
-    assert [h for h in range(hosts) if d.hosts.state[h] is HostState.DRAINING] == held
+    assert [h for h in range(hosts) if d.hosts.states[h] is HostState.DRAINING] == held
     assert reasons(log) == ["held-to-drain"] * bool(held)
     d.discovery_spoke()
-    assert d.hosts.running() == hosts
+    assert d.hosts.running_count() == hosts
 
 
 def test_a_host_that_brings_nothing_back_loses_its_clients_politely(log):
@@ -271,10 +271,10 @@
     pairs = [up(d) for _ in range(3)]
     pairs[0][0].dataReceived(b"one\r\n")
     sweeps(d, 0.5)
-    assert d.probes.open[0].waits is not None and "end" not in "".join(log)
+    assert d.probes.connections[0].waits is not None and "end" not in "".join(log)
     if alive == "its probe":
-        d.probes.open[0].makeConnection(Wire())
-        d.probes.open[0].dataReceived(b"PONG x0=0.2\r\n")
+        d.probes.connections[0].makeConnection(Wire())
+        d.probes.connections[0].dataReceived(b"PONG x0=0.2\r\n")
     elif alive == "another line":
         pairs[1][1].dataReceived(b"two\r\n")
     sweeps(d, 0.75)
@@ -306,7 +306,7 @@
     d.sweep()
     host.dataReceived(b"one\r\n")
     sweeps(d, 1.0)
-    assert not host.ended and d.hosts.running() == 1
+    assert not host.ended and d.hosts.running_count() == 1
 
 
 def test_a_client_that_does_not_read_does_not_make_its_host_silent():
@@ -382,7 +382,7 @@
     while (free := port.numberAccepts) > 0:
         turns.append(free)
         idle += [connect(d) for _ in range(free - 1 or 1)]
-    held = d.budget.used + d.budget.probes + len(idle)
+    held = d.budget.used + d.budget.probe_descriptors + len(idle)
     assert 5 < turns[0] < 40 and turns[-1] == 1 and not d.budget.may_serve()
     assert held == 40 - d.budget.reserve // 2
     d.reactor.advance(0.5)
@@ -392,8 +392,8 @@
 # guards against: refusals for want of descriptors that are free, as a burst is let in before its lines come
 def test_a_burst_of_clients_takes_all_the_room_that_there_is():
     d = desk(sockets=512)
-    room, fixed = d.budget.room, d.budget.used + d.budget.probes
-    clients = [connect(d) for _ in range(d.budget.acceptable)]
+    room, fixed = d.budget.session_headroom, d.budget.used + d.budget.probe_descriptors
+    clients = [connect(d) for _ in range(d.budget.acceptable_clients)]
     for i, client in enumerate(clients):
         client.dataReceived(opening(i) + b"\r\n")
     assert len(d.reactor.tcpClients) == room <= len(clients) and not d.budget.may_serve()
@@ -453,14 +453,14 @@
 def test_a_broken_entry_is_named_and_the_others_taken(bad, log):
     d = desk(hosts=0)
     d.listed(True, [bad, row("s-2")])
-    assert d.hosts.uid == ["s-2"] and reasons(log) == ["bad-entry"]
+    assert d.hosts.uids == ["s-2"] and reasons(log) == ["bad-entry"]
 
 
 def test_hosts_are_known_by_uid_wherever_they_are():
     d = desk(hosts=1)
     d.listed(False, [row("s-0", port=9555)])
     connect(d, OPEN)
-    assert d.reactor.tcpClients[-1][1] == 9555 and len(d.hosts.uid) == 1
+    assert d.reactor.tcpClients[-1][1] == 9555 and len(d.hosts.uids) == 1
 
 
 @pytest.mark.parametrize("line", [
@@ -579,10 +579,10 @@
     # Danger: half a list, taken at its word, would leave no host running.
     d = desk(hosts=3)
     d.listed(True, [row("s-0"), {"uid": "s-1", "state": "Rea"}] + [{"uid": f"x-{i}"} for i in range(50)])
-    assert [s.name for s in d.hosts.state] == ["RUNNING", "RUNNING", "GONE"] and d.hosts.running() == 2
+    assert [s.name for s in d.hosts.states] == ["RUNNING", "RUNNING", "GONE"] and d.hosts.running_count() == 2
     assert sum("bad-entry" in line for line in log) == 6  # five named, the others counted
     d.listed(True, [row("s-0"), {"uid": "s-2", "state": "Rea"}])
-    assert d.hosts.state[2].name == "GONE" and d.balancer._node.state[2].name == "GONE"
+    assert d.hosts.states[2].name == "GONE" and d.balancer._node.state[2].name == "GONE"
 
 
 @pytest.mark.parametrize("line", [
@@ -594,7 +594,7 @@
     rubbish = [connect(d, line) for _ in range(300)]
     assert all(client.closing for client in rubbish)
     assert all(client.transport.lines()[0].startswith((b"ERR", b"BUSY")) for client in rubbish)
-    assert len(reasons(log)) == 300 and not d.sessions.table and not d.reactor.tcpClients
+    assert len(reasons(log)) == 300 and not d.sessions.by_index and not d.reactor.tcpClients
     for client in rubbish:
         lost(client)
     client, host = up(d)
@@ -670,26 +670,26 @@
 
 def test_a_look_that_ran_out_in_the_sleep_is_nobodys_fault():
     d = desk(mayProbe=True)
-    d.probes.probe(0, d.hosts.address[0])
+    d.probes.probe(0, d.hosts.addresses[0])
     probe = accept(d)
     asleep(d, 2.0)
     probe.late()
     d.reactor.advance(0)
-    assert probe.ended and 0 not in d.probes.open and not any(d.balancer._node.ill)
+    assert probe.ended and 0 not in d.probes.connections and not any(d.balancer._node.ill)
 
 
 def test_a_connection_that_ran_out_in_the_sleep_is_nobodys_fault():
     d = desk(hosts=1)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
     asleep(d, 2.0)
-    d.dial_failed(next(iter(d.sessions.table.values())).conn)
+    d.dial_failed(next(iter(d.sessions.by_index.values())).host_side)
     d.reactor.advance(0)
     assert not any(d.balancer._node.ill) and len(d.reactor.tcpClients) == 2
 
 
 def test_an_answer_that_lay_there_tells_no_figure():
     d = desk(hosts=1, mayProbe=True)
-    d.probes.probe(0, d.hosts.address[0])
+    d.probes.probe(0, d.hosts.addresses[0])
     probe = accept(d)
     asleep(d, 2.0)
     probe.dataReceived(b"PONG x0=0.9\r\n")
