--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -41,15 +41,15 @@
 ONE_AIM = {"specifics": {"messageAim": [0.3, "none"]}}
 
 
-class Figures:
+class Metrics:
     """What `Published` counts at a service."""
 
-    invalid = 0
+    rejected_configs = 0
 
 
 class Desk:
     def __init__(self) -> None:
-        self.figures = Figures()
+        self.metrics = Metrics()
 
 
 class ControlledNode(Published):
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -87,12 +87,12 @@
 
 
 def forget_drains(monkeypatch):
-    take = Hosts.take
+    update = Hosts.update
 
     def all_run(self, now, whole, rows, complain):
-        return take(self, now, whole, [r | {"state": "Ready"} for r in rows], complain)
+        return update(self, now, whole, [r | {"state": "Ready"} for r in rows], complain)
 
-    monkeypatch.setattr(Hosts, "take", all_run)
+    monkeypatch.setattr(Hosts, "update", all_run)
 
 
 def never_notice_a_sleep(monkeypatch):
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -15,7 +15,7 @@
 from caperdeck.lifecycle.config import load_config
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.service import Service
-from caperdeck.state.backoff import LOST, BackOff
+from caperdeck.state.backoff import UNREACHABLE, BackOff
 from caperdeck.wire.discovery import ANSWER, SILENT, Discovery
 
 
@@ -135,7 +135,7 @@
 
     def __init__(self, grace):
         super().__init__(dialTimeout=5.0, nodes=200, grace=grace, listener={"handshakeTarget": 3.0})
-        self.watch.back_off.next = lambda kind=LOST: LOST.longest
+        self.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s
         self.opened().close()
         self.reactor.until(lambda: self.watch.retry is not None)
         self.drains = list_of(2, self.row(0, "Terminating"), self.row(1))  # discovery has it from now on
@@ -335,7 +335,7 @@
 def test_timers_that_run_late_do_not_add_up_past_the_bound(watched, stall):
     # Danger: silence, a wait, a call without an answer and another wait, each late by one stall.
     lo = watched(nodes=200)
-    lo.watch.back_off.next = lambda kind=LOST: LOST.longest  # as drawn at the worst
+    lo.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s  # as drawn at the worst
     lo.opened()
     fell, calls = lo.reactor.now, 0
     while calls < 2:
@@ -343,4 +343,4 @@
         lo.sweeps()
         lo.reactor.settle(6)
         calls += lo.agent.accept()
-    assert lo.reactor.now - fell <= SILENT + ANSWER + 2 * LOST.longest + stall + 0.01
+    assert lo.reactor.now - fell <= SILENT + ANSWER + 2 * UNREACHABLE.max_span_s + stall + 0.01
