--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,9 @@
 
 from caperdeck.core.decide import Node
 from caperdeck.core.facade import Balancer
-from caperdeck.core.model import Ask, Dial, Effect, Entry, HostState, Listener, RosterScope, Scope, Settings
+from caperdeck.core.model import (
+    Dial, Effect, HostState, Listener, RosterEntry, RosterScope, Scope, SessionRequest, Settings,
+)  # fmt: skip
 from caperdeck.core.settings import decode_names, decode_settings
 from caperdeck.lifecycle.config import decode_limits, load_config, reload_config
 from caperdeck.lifecycle.logs import Sink
@@ -49,19 +51,19 @@
     return Settings(**(values | changes))
 
 
-def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> Entry:
-    return Entry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
+def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> RosterEntry:
+    return RosterEntry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
 
 
 def node(hosts=4, entries=None, **changes) -> Node:
     n = Node(settings(**changes), START)
-    n.roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
+    n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
     n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
     return n
 
 
-def ask(session, load=10.0, left=1200.0, group=None) -> Ask:
-    return Ask(session, 0, 0, left, load, group)
+def ask(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
+    return SessionRequest(session, 0, 0, left, load, group)
 
 
 def dials(acts):
@@ -80,7 +82,7 @@
 def standing(n, host, loads, since=START - 60000.0, first=100):
     """Connections of these loads that stand on a host since long ago."""
     for i, load in enumerate(loads):
-        n.taken_over(since, ask(first + i, load), host)
+        n.resume_session(since, ask(first + i, load), host)
         n.sessions[first + i].stands = since
     return range(first, first + len(loads))
 
