--- a/caperdeck/state/hosts.py
+++ b/caperdeck/state/hosts.py
@@ -9,7 +9,7 @@
 import zlib
 from collections.abc import Callable
 
-from caperdeck.core.model import Entry, HostState
+from caperdeck.core.model import HostState, RosterEntry
 
 from .addresses import Address, AddressError, parse_address
 from .start_times import Start, StartTimes
@@ -29,7 +29,7 @@
         self.uids: list[str] = []
         self.addresses: list[Address | None] = []
         self.states: list[HostState] = []
-        self.entries: list[Entry | None] = []  # as last listed
+        self.entries: list[RosterEntry | None] = []  # as last listed
         self.redirected_at: list[float] = []  # when the host last redirected a client itself
         self.heard_at: list[float] = []  # when anything last came from the host
         self.presumed_draining: dict[int, None] = {}  # treated as draining, though listed as running
@@ -44,18 +44,20 @@
 
     def update(
         self, now: float, whole: bool, rows: object, report_error: Callable[[str], None]
-    ) -> list[Entry]:
+    ) -> list[RosterEntry]:
         """Applies a whole list or a change, reports unusable rows, and returns the entries."""
         entries = self._read_rows(whole, rows, report_error)
-        self.start_times.observe(now, whole, {e.host: e.boot for e in entries})
+        self.start_times.observe(now, whole, {e.host: e.roster_start for e in entries})
         return [self._with_start_time(e) for e in entries]
 
-    def _with_start_time(self, e: Entry) -> Entry:
+    def _with_start_time(self, e: RosterEntry) -> RosterEntry:
         """Stores and returns the entry with the host's start on the node's clock."""
-        placed = self.entries[e.host] = e._replace(born=self.start_times.node_time(e.host, e.boot))
+        placed = self.entries[e.host] = e._replace(
+            started_at=self.start_times.node_time(e.host, e.roster_start)
+        )
         return placed
 
-    def _read_rows(self, whole: bool, rows: object, report_error: Callable[[str], None]) -> list[Entry]:
+    def _read_rows(self, whole: bool, rows: object, report_error: Callable[[str], None]) -> list[RosterEntry]:
         entries, errors = [], 0
         for row in rows if isinstance(rows, list) else []:
             try:
@@ -77,7 +79,7 @@
                     self.states[h] = HostState.GONE
         return entries
 
-    def _known_entry(self, row: object) -> Entry | None:
+    def _known_entry(self, row: object) -> RosterEntry | None:
         """Returns the last entry of the host whose row is unusable, with its present state."""
         uid = row.get("uid") if isinstance(row, dict) else None
         h = self.index_by_uid.get(uid) if isinstance(uid, str) else None
@@ -97,7 +99,7 @@
             self.heard_at.append(-math.inf)
         return h
 
-    def _read_row(self, row: object) -> Entry:
+    def _read_row(self, row: object) -> RosterEntry:
         if not isinstance(row, dict) or not isinstance(row.get("uid"), str) or not row["uid"]:
             raise EntryError(f"an entry needs a uid: {row!r:.200}")
         uid, state = row["uid"], row.get("state")
@@ -110,8 +112,8 @@
         h = self.index_of(uid)
         zone = row.get("az")
         zone = self.zones.get(zone, -1) if isinstance(zone, str) else -1
-        mark = zlib.crc32(uid.encode())
-        entry = Entry(h, HOST_STATES[state], float(size), zone, int(cell), 0.0, mark, float(boot))
+        stable_id = zlib.crc32(uid.encode())
+        entry = RosterEntry(h, HOST_STATES[state], float(size), zone, int(cell), 0.0, stable_id, float(boot))
         self.addresses[h], self.states[h], self.entries[h] = address, entry.state, entry
         self.presumed_draining.pop(h, None)
         return entry
@@ -127,7 +129,7 @@
             {"uid": self.uids[e.host], "endpoint": "{}:{}".format(*self.addresses[e.host]),
              "state": names[e.state if e.host in self.presumed_draining else self.states[e.host]],
              "az": zones.get(e.zone),
-             "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.boot,
+             "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.roster_start,
              "sent_away": max(self.redirected_at[e.host], 0.0), "start": starts.get(self.uids[e.host])}
             for e in self.entries if e is not None and self.addresses[e.host] is not None
         ]  # fmt: skip
@@ -143,7 +145,7 @@
         known = ((self.index_of(uid), Start(*start)) for uid, start in starts.items())
         self.start_times.take_over(offset, known)
 
-    def presume_draining(self, since: float) -> list[Entry]:
+    def presume_draining(self, since: float) -> list[RosterEntry]:
         """While discovery is silent, treats hosts that have redirected clients as draining.
 
         Returns their entries. If half of the hosts or more did so, none is: clients that all reconnect are
@@ -160,7 +162,7 @@
             self.presumed_draining[h] = None
         return [self.entries[h]._replace(state=HostState.DRAINING) for h in new]
 
-    def end_presumption(self) -> list[Entry]:
+    def end_presumption(self) -> list[RosterEntry]:
         """Restores the listed state of hosts that were presumed to drain, and returns their entries."""
         presumed, self.presumed_draining = self.presumed_draining, {}
         for h in presumed:
--- a/caperdeck/state/start_times.py
+++ b/caperdeck/state/start_times.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from caperdeck.core.model import LONG_AGO
+from caperdeck.core.model import START_UNKNOWN
 
 MAX_CHANGE_AGE_MS = 4000.0  # a change of the list names a start at most so long after it
 MAX_NEWEST_AGE_MS = 20_000.0  # the newest start in a whole list may be older
@@ -68,8 +68,8 @@
         self.offset = self.wall_clock_offset
 
     def node_time(self, host: int, unix_time: float) -> float:
-        """Returns the host's latest start on the node's clock, or LONG_AGO if discovery names none."""
-        return self.starts[host].node_time if unix_time else LONG_AGO
+        """Returns the host's latest start on the node's clock, or START_UNKNOWN if discovery names none."""
+        return self.starts[host].node_time if unix_time else START_UNKNOWN
 
     def take_over(self, offset: float, starts: Iterable[tuple[int, Start]]) -> None:
         """Adopts the starts of another process of this node; both read the same monotonic clock."""
