--- a/caperdeck/distribution/connection.py
+++ b/caperdeck/distribution/connection.py
@@ -10,7 +10,7 @@
 
 from caperdeck.raft.codec import FrameError
 from caperdeck.state.addresses import Address
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 from .messages import FromNode
 from .stream import LONGEST_FROM_PUBLISHER, decode_from_publisher, encode
@@ -53,7 +53,7 @@
     def __init__(self, reactor: Any, address: Address, cluster: str, user: WatchUser) -> None:
         self.cluster, self.user = cluster, user
         self.phase = Phase.CONNECTING
-        self.connector = reactor.connectTCP(*address, OneConnection(self), CONNECT)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), CONNECT)
 
     def send(self, message: FromNode) -> bool:
         """Whether it was written; not while it connects or after its end."""
--- a/caperdeck/execution/backlog.py
+++ b/caperdeck/execution/backlog.py
@@ -24,7 +24,7 @@
 CALL_AGAIN = 5.0  # between turns while the list is waited for
 
 
-class Source(Protocol):
+class BacklogSource(Protocol):
     """Where the list of hosts is read."""
 
     reads: int  # how often anything of it has come
@@ -39,14 +39,14 @@
         """Whether anything of it lies in the socket, its end too; costs a system call."""
 
 
-class CatchUp(ABC):
+class BacklogReader(ABC):
     """The clock of a node, and what waits until all that had come has been read."""
 
     def __init__(self, reactor: Any, clock: Callable[[], float]) -> None:
         self.reactor = reactor
         self.read_clock = clock
-        self.source: Source | None = None
-        self.turn_at = math.inf  # a turn of the reactor has run since; without a sweep none is awaited
+        self.source: BacklogSource | None = None
+        self.last_turn_at = math.inf  # a turn of the reactor has run since; without a sweep none is awaited
         self.catching_up = False  # what came in a stall, or the first list, is not all read yet
         self.stall = 0.0  # how old what is read now may be meanwhile
         self.list_empty_at = -math.inf  # when nothing of the list was last seen to lie in its socket
@@ -68,15 +68,15 @@
     def clock(self) -> float:
         """The time; whoever reads it first after a stall finds it out here."""
         now = self.read_clock()
-        if now - self.turn_at > SWEEP + OVERDUE:
-            self._end_stall(now, now - self.turn_at)
+        if now - self.last_turn_at > SWEEP + OVERDUE:
+            self._end_stall(now, now - self.last_turn_at)
         return now
 
     def _end_stall(self, now: float, span: float) -> None:
         # Danger: what came meanwhile lies in the sockets in no order: a session is read before the list that
         # takes its host away, a timer runs out before the answer that it waits for.
         self._stalled(span)
-        self.stall, self.turn_at = self.stall + span, now
+        self.stall, self.last_turn_at = self.stall + span, now
         if self.source is not None:
             self.source.woke()
         self._read_first(now)
@@ -112,24 +112,24 @@
             self._finish(now)
 
     def _finish(self, now: float) -> None:
-        if self.figures_void:
+        if self.observations_stale:
             self._forget_figures(now)
-        self.catching_up, self.stall, self.turn_at = False, 0.0, now
+        self.catching_up, self.stall, self.last_turn_at = False, 0.0, now
         held, self.held = self.held, deque()
         for do in held:
             do()
         self._caught_up()
 
     @property
-    def figures_void(self) -> bool:
+    def observations_stale(self) -> bool:
         """Whether figures that are read now are too old to be used."""
         return self.stall >= FIGURES_LAST
 
-    def age(self) -> float:
+    def read_delay(self) -> float:
         """How long a line that is read now may have lain there; 0 once all that did has been read."""
         return self.stall if self.turns <= READ_TURNS else 0.0
 
-    def later(self, do: Callable[[], None]) -> bool:
+    def defer(self, do: Callable[[], None]) -> bool:
         """Whether the node has yet to read what came before; then this is done after that."""
         now = self.clock()
         if not self.catching_up and self.source is not None and self.source.expired():
--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -29,7 +29,7 @@
 from caperdeck.state.timers import cancel
 from caperdeck.coordination.subset import Place, Subsets
 
-from .backlog import CatchUp
+from .backlog import BacklogReader
 from .resumption import Resumption
 
 SILENCE = 2000.0  # a host that has brought nothing back for so long is given up
@@ -44,7 +44,7 @@
 AT_ONCE = (RosterUpdated, BanChanged, SettingsChanged, SubsetsChanged)  # news that lead to nothing being sent
 
 
-class Carrier(CatchUp):
+class CommandExecutor(BacklogReader):
     """The sessions of one node between clients and hosts, whatever they speak."""
 
     moved: bytes  # the word that sends a client of a standing session away
@@ -65,15 +65,15 @@
         self.resumption = Resumption(self)
         self.metrics = Metrics()
         self.metrics.add_classes(names.listeners)
-        self.idle: dict[ClientSide, None] = {}  # without a first line, the oldest first
-        self.told_at = clock()  # when discovery last said anything
+        self.idle_clients: dict[ClientSide, None] = {}  # without a first line, the oldest first
+        self.discovery_heard_at = clock()  # when discovery last said anything
         self.subsets: Subsets | None = None  # None: all hosts are drawn alike
         self.searched_at = clock()  # for clients that fell silent
         self.stopping = False
         self.answer_by = math.inf  # every session has its final answer by then, as the process ends
-        self.accepting: Callable[[bool], None] = lambda on: None
+        self.set_accepting: Callable[[bool], None] = lambda on: None
         # takes in which hosts other processes of this node were told to leave out
-        self.look_for_bans: Callable[[], None] = lambda: None
+        self.refresh_bans: Callable[[], None] = lambda: None
         self.making_room = None  # the timer after which idle clients are looked at again
         self.orders: deque[Command] = deque()
         self.at_work = False
@@ -109,9 +109,9 @@
 
     # ---- the balancer
 
-    def report(self, news: Event) -> None:
+    def report_event(self, news: Event) -> None:
         # Danger: decided between two readings, a second dial would go by the first half of what came.
-        if isinstance(news, AT_ONCE) or not self.later(partial(self.report, news)):
+        if isinstance(news, AT_ONCE) or not self.defer(partial(self.report_event, news)):
             self.carry_out(self.balancer.handle_event(self.clock(), news))
 
     def carry_out(self, orders: list[Command]) -> None:
@@ -161,8 +161,8 @@
                     self.dial(s, dial, host, until, self.limits.connect_timeout)
                     return
                 self._end(s, "client-left")
-                self.report(ClientDisconnected(s.index))
-                self.report(DialEnded(s.index, dial, Outcome.NEVER_SENT, True))
+                self.report_event(ClientDisconnected(s.index))
+                self.report_event(DialEnded(s.index, dial, Outcome.NEVER_SENT, True))
             case CancelDial():
                 self._end_dial(s, Outcome.WITHDRAWN)
             case RefuseSession(_, back_off):
@@ -170,39 +170,39 @@
             case FailSession():
                 self._answer(s, self.failed, "failed")
             case RedirectClient():
-                self.move(s, "moved")
+                self.redirect(s, "moved")
 
     # ---- clients
 
-    def client_came(self, client: ClientSide) -> None:
+    def client_connected(self, client: ClientSide) -> None:
         self.budget.client_connections += 1
-        self.idle[client] = None
+        self.idle_clients[client] = None
         if not self.budget.may_accept():
-            self.clients_wait()
+            self.descriptors_exhausted()
 
-    def clients_wait(self) -> None:
+    def descriptors_exhausted(self) -> None:
         """Nobody more can be taken in until descriptors are free."""
-        self.accepting(False)
+        self.set_accepting(False)
         self._make_room()
 
     def _make_room(self) -> None:
         """Ends idle clients, now and again until others can be taken in."""
         # Danger: who asks waits behind a crowd that says nothing, and a sweep comes only every 0.25 s.
-        self.close_idle(self.clock() - IDLE_SHORT)
+        self.close_idle_clients(self.clock() - IDLE_SHORT)
         waits = self.making_room is not None and self.making_room.active()
-        if not self.budget.may_accept() and self.idle and not waits:
+        if not self.budget.may_accept() and self.idle_clients and not waits:
             self.making_room = self.reactor.callLater(IDLE_SHORT / MS, self._make_room)
 
-    def client_closed(self, client: ClientSide) -> None:
+    def client_socket_closed(self, client: ClientSide) -> None:
         """Its descriptor is free again."""
         self.budget.client_connections -= 1
-        if client in self.idle:
-            del self.idle[client]
+        if client in self.idle_clients:
+            del self.idle_clients[client]
             logger.info("end reason=no-line ms={:.0f}", self.clock() - client.opened_at)
         if self.budget.may_accept():
-            self.accepting(True)
+            self.set_accepting(True)
 
-    def client_gone(self, client: ClientSide, reset: bool) -> None:
+    def client_disconnected(self, client: ClientSide, reset: bool) -> None:
         """The client has ended its connection."""
         s = client.session
         if s is not None and not s.finished:
@@ -217,9 +217,9 @@
         if s.request.resume_host is not None and not up:
             return  # the balancer has not heard of it yet
         if not up:
-            self.report(ClientDisconnected(s.index))
+            self.report_event(ClientDisconnected(s.index))
         if dialing:
-            self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
     # ---- dials
 
@@ -230,26 +230,26 @@
         s.host_connection = self.open_host(s, until, min(connect_time_out, wait + 1))
         s.dial_timer = self.reactor.callLater(wait / MS, self._late, s.host_connection)
 
-    def dial_open(self, conn: HostSide) -> None:
+    def dial_connected(self, conn: HostSide) -> None:
         """The connection is up; the one place where a request line goes out."""
         s = conn.session
-        if self.later(partial(self.dial_open, conn)) or conn.ended:
+        if self.defer(partial(self.dial_connected, conn)) or conn.ended:
             return
         if self.list_waits():
             # discovery's socket is read before this runs again
-            self.reactor.callLater(0, self.dial_open, conn)
+            self.reactor.callLater(0, self.dial_connected, conn)
             return
         unread = s.client.peek()
         if unread is None:
             self._send(s, conn)
         elif not unread:
-            self.client_gone(s.client, reset=False)
+            self.client_disconnected(s.client, reset=False)
         else:
             # who does not wait for its answer is turned away once that has been read
-            self.reactor.callLater(0, self.dial_open, conn)
+            self.reactor.callLater(0, self.dial_connected, conn)
 
     def _send(self, s: Session, conn: HostSide) -> None:
-        self.look_for_bans()
+        self.refresh_bans()
         # Danger: what held when the host was chosen may have lapsed while its connection came up.
         if s.request.resume_host is None and not self.balancer.may_send_request(self.clock(), s.index):
             self._end_dial(s, Outcome.NEVER_SENT)
@@ -264,7 +264,7 @@
         self._end_dial(conn.session, Outcome.NEVER_SENT if self.stall else Outcome.UNREACHED)
 
     def _late(self, conn: HostSide) -> None:
-        if not self.later(partial(self._late, conn)) and not conn.ended:
+        if not self.defer(partial(self._late, conn)) and not conn.ended:
             self._end_dial(conn.session, Outcome.LATE if conn.request_sent else Outcome.UNREACHED)
 
     def _end_dial(self, s: Session, outcome: Outcome) -> None:
@@ -279,7 +279,7 @@
         )  # fmt: skip
         self._hang_up(s, reset=False)
         if s.request.resume_host is None:
-            self.report(DialEnded(s.index, s.dial, outcome, False))
+            self.report_event(DialEnded(s.index, s.dial, outcome, False))
         else:
             self.resumption.dial_failed(s, name)
 
@@ -300,23 +300,23 @@
         customer, hints = self.names.customers.get(request.tenant, -1), self.hints(s)
         self.carry_out(self.balancer.resume_session(now, s.index, listener, customer, s.host, *hints))
 
-    def remember(self, memory: dict[str, Any], able: dict[str, float]) -> None:
+    def restore_learned_state(self, memory: dict[str, Any], able: dict[str, float]) -> None:
         """What another process of this node has learned, and the load that fills each host."""
         index = self.hosts.index_by_uid
         self.balancer.restore_learned_state(
             memory, {index[uid]: load for uid, load in able.items() if uid in index}
         )
 
-    def handed_on(self, s: Session) -> None:
+    def session_handed_over(self, s: Session) -> None:
         """Another process of this node has the session now; it has not ended."""
         s.client.closing = s.host_connection.ended = True
         s.host_connection = None
         self.sessions.remove(s)
         self.budget.session_count -= 1
         self.budget.client_connections -= 1
-        self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+        self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
-    def host_gone(self, conn: HostSide, reset: bool) -> None:
+    def host_disconnected(self, conn: HostSide, reset: bool) -> None:
         """The host has ended its connection."""
         s = conn.session
         if s.finished or s.host_connection is not conn:
@@ -331,7 +331,7 @@
             s.client.abort()
         else:
             s.client.close()
-        self.report(DialEnded(s.index, s.dial, outcome, True))
+        self.report_event(DialEnded(s.index, s.dial, outcome, True))
 
     # ---- ends
 
@@ -342,30 +342,30 @@
         self._hang_up(s, reset=False)
         s.client.close(line)
 
-    def give_up(self, s: Session, reason: str) -> None:
+    def fail_session(self, s: Session, reason: str) -> None:
         """Answers a session that does not stand, whatever became of its dial."""
         dialing = s.host_connection is not None
         self._answer(s, self.failed, reason)
         if s.request.resume_host is not None:
             return  # the balancer has not heard of it yet
-        self.report(ClientDisconnected(s.index))
+        self.report_event(ClientDisconnected(s.index))
         if dialing:
-            self.report(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
 
-    def answer_all(self) -> None:
+    def answer_pending(self) -> None:
         """The process ends: who has no answer by now has one from this node, or from nobody."""
         for s in list(self.sessions.opening):
-            self.give_up(s, "stopping")
-        self.close_idle(math.inf)
+            self.fail_session(s, "stopping")
+        self.close_idle_clients(math.inf)
 
-    def move(self, s: Session, reason: str, outcome: Outcome = Outcome.WITHDRAWN) -> None:
+    def redirect(self, s: Session, reason: str, outcome: Outcome = Outcome.WITHDRAWN) -> None:
         """Tells the client of a standing session to come again; lines are whole, so it is between two."""
         if not s.established_at or s.finished:
             return
         self._end(s, reason)
         self._hang_up(s, reset=outcome is Outcome.RESET)
         s.client.close(self.moved)
-        self.report(DialEnded(s.index, s.dial, outcome, True))
+        self.report_event(DialEnded(s.index, s.dial, outcome, True))
 
     def _end(self, s: Session, reason: str) -> None:
         """The one log line of a session."""
@@ -383,13 +383,13 @@
 
     # ---- other settings, figures
 
-    def retune(self, settings: Settings, names: Names, limits: Limits) -> None:
+    def apply_settings(self, settings: Settings, names: Names, limits: Limits) -> None:
         """All of them in one step; sessions keep what they began under."""
         self.names, self.limits = names, limits
         self.metrics.add_classes(names.listeners)
         self.probes.apply_settings(limits.hosts_report_load, 2 * limits.connect_timeout)
-        self.report(SettingsChanged(settings))
-        self.narrow()
+        self.report_event(SettingsChanged(settings))
+        self.update_subsets()
 
     def gauges(self) -> dict[str, int]:
         listed, now = self.hosts.listed(), self.clock()
@@ -410,30 +410,30 @@
         if alive:
             self.hosts.heard_at[news.host] = self.clock()
         # Danger: an answer that lay there all the while tells an old figure as a new one.
-        if self.figures_void:
+        if self.observations_stale:
             return
-        self.report(news)
+        self.report_event(news)
         # Danger: a probe that this node had no descriptor for says nothing about its host.
         if not alive and news.outcome is not Outcome.NEVER_SENT and self._suspect(news.host):
             for s in self.sessions.established():
                 if s.host == news.host:
-                    self.move(s, "host-silent", Outcome.RESET)
+                    self.redirect(s, "host-silent", Outcome.RESET)
 
-    def ban(self, uid: str, out: bool) -> None:
+    def set_ban(self, uid: str, out: bool) -> None:
         """An operator takes a host out, or lets it serve again."""
-        self.report(BanChanged(self.hosts.index_of(uid), out))
+        self.report_event(BanChanged(self.hosts.index_of(uid), out))
         logger.info("roster reason={} uids={}", "taken-out" if out else "called-back", uid)
 
-    def listed(self, whole: bool, rows: Any) -> None:
+    def update_roster(self, whole: bool, rows: Any) -> None:
         entries = self.hosts.update(self.read_clock(), whole, rows, self.complain_entry)
         self.budget.running_hosts = self.hosts.running_count()
         for host in list(self.probes.connections):
             if self.hosts.states[host] is HostState.GONE:
                 self.probes.close(host)
-        self.report(RosterUpdated(whole, entries))
-        self.narrow()
+        self.report_event(RosterUpdated(whole, entries))
+        self.update_subsets()
 
-    def narrow(self) -> None:
+    def update_subsets(self) -> None:
         """Tells the decisions which hosts this node draws first."""
         if self.subsets is None:
             return
@@ -445,21 +445,23 @@
         ])  # fmt: skip
         if reason is not None:
             logger.warning("subset reason=unusable {}", reason)
-        self.report(SubsetsChanged(self.subsets.narrowed(False), self.subsets.narrowed(True)))
+        self.report_event(SubsetsChanged(self.subsets.narrowed(False), self.subsets.narrowed(True)))
 
-    def discovery_spoke(self) -> None:
+    def discovery_heard(self) -> None:
         """Anything at all has come from discovery."""
-        self.told_at = self.clock()
+        self.discovery_heard_at = self.clock()
         if self.hosts.presumed_draining:
-            self.report(RosterUpdated(False, self.hosts.end_presumption()))
+            self.report_event(RosterUpdated(False, self.hosts.end_presumption()))
 
     def _mind_silence(self, now: float) -> None:
         # Danger: what a silent discovery has to tell counts as told all the same; a host that drains
         # then shows it only by sending its clients away.
-        if now - self.told_at > SILENT_LIST and (entries := self.hosts.presume_draining(now - MOVED_LIFE)):
+        if now - self.discovery_heard_at > SILENT_LIST and (
+            entries := self.hosts.presume_draining(now - MOVED_LIFE)
+        ):
             uids = ",".join(self.hosts.uids[e.host] for e in entries)
             logger.info("roster reason=held-to-drain uids={}", uids)
-            self.report(RosterUpdated(False, entries))
+            self.report_event(RosterUpdated(False, entries))
 
     def complain_entry(self, text: str) -> None:
         logger.warning("roster reason=bad-entry {}", text)
@@ -477,20 +479,20 @@
 
     def sweep(self) -> None:
         now = self.clock()
-        self.turn_at = now
+        self.last_turn_at = now
         if self.budget.may_accept():
-            self.accepting(True)
+            self.set_accepting(True)
         # Danger: after the node itself stood still, what it has not read yet looks like silence.
         if not self.catching_up:
             self._mind_silence(now)
             # every wait has a timer of its own; should one be lost, its client is answered all the same
             for s in self.sessions.overdue(now - OVERDUE_ANSWER):
                 self.metrics.overdue_answers += 1
-                self.give_up(s, "overdue")
+                self.fail_session(s, "overdue")
             # Danger: a machine that vanished says nothing and its connections stay open.
             for s in self.sessions.unanswered_before(now - SILENCE):
                 if not s.host_connection.paused:
-                    self.move(s, "host-silent", Outcome.RESET)
+                    self.redirect(s, "host-silent", Outcome.RESET)
             # Danger: found out by each connection for itself, a lost zone keeps its clients waiting for
             # seconds; one line and one probe without an answer tell it for all connections of the host.
             if self.limits.may_probe:
@@ -503,14 +505,14 @@
             self.searched_at = now
             for s in self.sessions.established():
                 if now - s.client_heard_at > self.limits.idle_timeout:
-                    self.move(s, "client-silent")
+                    self.redirect(s, "client-silent")
         # Danger: clients that connect and say nothing would take every descriptor.
         if not self.catching_up:
-            self.close_idle(now - (IDLE if self.budget.may_serve() else IDLE_SHORT))
+            self.close_idle_clients(now - (IDLE if self.budget.may_serve() else IDLE_SHORT))
 
-    def close_idle(self, before: float) -> None:
+    def close_idle_clients(self, before: float) -> None:
         """Ends the clients that have come before that time and sent no first line."""
-        for client in list(self.idle):
+        for client in list(self.idle_clients):
             if client.opened_at >= before:
                 break
             # Danger: closed over a line that has come in this instant, the client would have no answer to it;
--- a/caperdeck/execution/resumption.py
+++ b/caperdeck/execution/resumption.py
@@ -33,7 +33,7 @@
 
     def dial(self, s: Session, dial: int, host: int, until: float, connect_time_out: float) -> None: ...
 
-    def give_up(self, s: Session, reason: str) -> None: ...
+    def fail_session(self, s: Session, reason: str) -> None: ...
 
 
 class Resumption:
@@ -73,7 +73,7 @@
         if now + AGAIN < self._answer_by(s):
             self.carrier.reactor.callLater(AGAIN / MS, self._try, s)
         else:
-            self.carrier.give_up(s, "host-lost")
+            self.carrier.fail_session(s, "host-lost")
 
     def _answer_by(self, s: Session) -> float:
         return s.deadline - ANSWER_MARGIN
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -47,7 +47,7 @@
     rejected_configs = 0
 
 
-class Desk:
+class SessionHandler:
     def __init__(self) -> None:
         self.metrics = Metrics()
 
@@ -62,7 +62,7 @@
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
         super().__init__(reactor, control, lambda: replace(decode(own, None), own=own), disk)
-        self.put, self.desk = put, Desk()
+        self.put, self.handler = put, SessionHandler()
         self.config = self.first(self.read_own())
 
     @property
--- a/caperdeck/lab/simulated/port.py
+++ b/caperdeck/lab/simulated/port.py
@@ -45,7 +45,7 @@
     def stopReading(self) -> None:
         self.reads = False
 
-    def accept_all(self) -> bool:
+    def accept_pending(self) -> bool:
         """Takes in those who wait; whether nobody waits any more."""
         queue, self.queue = self.queue, []
         for end in queue:
--- a/caperdeck/lab/slopes/configuration.py
+++ b/caperdeck/lab/slopes/configuration.py
@@ -92,11 +92,11 @@
 
     def reload(self) -> float:
         """Seconds; raises ReloadError."""
-        accepted = self.service.desk.metrics.accepted_configs
+        accepted = self.service.handler.metrics.accepted_configs
         began = time.perf_counter()
         self.service.reload()
         took = time.perf_counter() - began
-        if self.service.desk.metrics.accepted_configs != accepted + 1:
+        if self.service.handler.metrics.accepted_configs != accepted + 1:
             raise ReloadError(f"{self.path.stat().st_size} bytes were not taken")
         return took
 
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -24,7 +24,7 @@
 from caperdeck.lifecycle.config import decode_config
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 from .errors import MeasuringError
 from .line import Point
@@ -55,7 +55,7 @@
         )
         self.now = START
         self.balancer = Balancer(config.settings, self.now)
-        self.desk = Desk(
+        self.handler = SessionHandler(
             Clock(), lambda: self.now, self.balancer, config.names, config.limits, Hosts(config.names.zones),
             SocketBudget(SOCKETS, 0),
         )  # fmt: skip
@@ -64,7 +64,7 @@
     def take(self, text: bytes) -> None:
         """A list or a change as discovery's line has it."""
         told = orjson.loads(text)
-        self.desk.listed(told["all"], told["targets"])
+        self.handler.update_roster(told["all"], told["targets"])
 
     def figures(self, hosts: int) -> None:
         """Every host has just been looked at."""
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -43,7 +43,7 @@
 
     def listen(self, fd: int = -1) -> None:
         address = self.config.listen
-        self.port = self.reactor.listenTCP(address.port, ClientFactory(self.desk), 0, address.host)
+        self.port = self.reactor.listenTCP(address.port, ClientFactory(self.handler), 0, address.host)
         self.port.stopReading()
 
 
@@ -113,7 +113,7 @@
             place, config, _NoLog(), lambda: config, clock, clock, self.scenario.uses(),
             subsets=self.scenario.subsets,
         )  # fmt: skip
-        copy.desk.balancer = Balancer(config.settings, copy.clock(), self.decides)
+        copy.handler.balancer = Balancer(config.settings, copy.clock(), self.decides)
         place.exited = lambda: self.gone(node, "exit")
         self.places[node], self.services[node] = place, copy
         copy.start()
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -16,7 +16,7 @@
 from caperdeck.owner.token_recovery import Asking
 from caperdeck.owner.config import OwnerError, Owners, load_owners
 from caperdeck.state.timers import cancel
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 from .config import Config, ConfigError
 
@@ -38,15 +38,15 @@
     longest = LONGEST_ACT
 
     def __init__(
-        self, reactor: Any, desk: Desk, owners: Owners, name: str, nodes: int,
+        self, reactor: Any, handler: SessionHandler, owners: Owners, name: str, nodes: int,
         bans: Callable[[], Iterable[str]],
     ) -> None:  # fmt: skip
-        self.name, self.reactor, self.desk, self.bans = name, reactor, desk, bans
+        self.name, self.reactor, self.handler, self.bans = name, reactor, handler, bans
         # the second process of an upgrade is another target, which has yet to be told
         # Danger: by a clock that went back a new life could be taken for an old one, and be told its word.
         life = int.from_bytes(os.urandom(6), "big") + 1
         self.target = Target(
-            life, max(nodes, 1), self._listed, self._ill, self._well, desk.metrics.total_answers
+            life, max(nodes, 1), self._listed, self._ill, self._well, handler.metrics.total_answers
         )
         self.asking = Asking(reactor, owners, self.target.fence.learned)
         self.timer: Any = None
@@ -54,7 +54,7 @@
 
     def act(self, work: str, token: str, body: str, then: Then) -> None:
         """Carried out whole in this call, or refused."""
-        now = self.desk.clock()
+        now = self.handler.clock()
         try:
             number, what = int(token), orjson.loads(body)
         except ValueError:
@@ -62,7 +62,7 @@
             return
         # Danger: what lay here while the node slept was meant for another time; whoever still wants it asks
         # again.
-        answer = {"no": "was-away"} if self.desk.age() else self.target.act(now, work, number, what)
+        answer = {"no": "was-away"} if self.handler.read_delay() else self.target.act(now, work, number, what)
         values = {"work": work, "token": number, "at": now, "target": self.name}
         if "no" in answer:
             reason = answer["no"]
@@ -81,25 +81,25 @@
         then(yes(orjson.dumps(answer).decode()))
 
     def is_out(self, uid: str) -> bool:
-        return self.target.is_out(self.desk.clock(), uid)
+        return self.target.is_out(self.handler.clock(), uid)
 
     def stop(self) -> None:
         cancel(self.timer)
         self.asking.stop()
 
     def lines(self) -> list[str]:
-        return self.target.lines(self.desk.clock())
+        return self.target.lines(self.handler.clock())
 
     # ---- hosts
 
     def _take_out(self, now: float) -> None:
         """Puts into force what the target holds: out by the fleet's word, or by an operator's here."""
         self.target.tick(now)
-        hosts, by_hand = self.desk.hosts, set(self.bans())
+        hosts, by_hand = self.handler.hosts, set(self.bans())
         wanted = {uid for uid in self.target.out if uid in hosts.index_by_uid}
         for uid in sorted(wanted ^ self.in_force):
             if uid not in by_hand:
-                self.desk.ban(uid, uid in wanted)
+                self.handler.set_ban(uid, uid in wanted)
         self.in_force = wanted
         cancel(self.timer)
         self.timer = None
@@ -111,21 +111,21 @@
 
     def _timer_fired(self) -> None:
         self.timer = None
-        self._take_out(self.desk.clock())
+        self._take_out(self.handler.clock())
 
     def _listed(self) -> list[str]:
-        hosts = self.desk.hosts
+        hosts = self.handler.hosts
         return [u for u, state in zip(hosts.uids, hosts.states, strict=True) if state is HostState.RUNNING]
 
     def _words(self) -> list:
-        return self.desk.balancer.fleet_state.words(self.desk.clock())
+        return self.handler.balancer.fleet_state.words(self.handler.clock())
 
     def _ill(self) -> list[str] | None:
-        if self.desk.balancer.fleet_state.ill_everywhere(ILL_EVERYWHERE):
+        if self.handler.balancer.fleet_state.ill_everywhere(ILL_EVERYWHERE):
             return None
-        uids = [self.desk.hosts.uids[w.host] for w in self._words() if not w.well]
+        uids = [self.handler.hosts.uids[w.host] for w in self._words() if not w.well]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
 
     def _well(self, uid: str) -> bool:
-        h = self.desk.hosts.index_by_uid.get(uid)
+        h = self.handler.hosts.index_by_uid.get(uid)
         return any(w.well and w.host == h for w in self._words())
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -87,7 +87,7 @@
         try:
             return with_version(self.service.config, held.document)
         except ConfigError as error:
-            self.service.desk.metrics.rejected_configs += 1
+            self.service.handler.metrics.rejected_configs += 1
             raise UnservableError(str(error)) from None
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -28,7 +28,7 @@
 from caperdeck.state.clocks import WallClockMonitor, node_clock, unix_time
 from caperdeck.coordination.subset import SubsetError, Subsets
 from caperdeck.wire.client import ClientFactory, ClientPort
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 from caperdeck.wire.discovery import Discovery
 
 from .config import Config, ConfigError, check_kept
@@ -71,19 +71,19 @@
         self.date_watch = WallClockMonitor(clock, date)
         balancer = Balancer(config.settings, self.clock())
         budget = SocketBudget(config.sockets, 0)
-        self.desk = Desk(
+        self.handler = SessionHandler(
             reactor, self.clock, balancer, config.names, config.limits, Hosts(config.names.zones), budget,
         )  # fmt: skip
-        self.desk.accepting = self.accept
-        self.desk.hosts.start_times.set_wall_clock_offset(self.date_watch.offset)
+        self.handler.set_accepting = self.accept
+        self.handler.hosts.start_times.set_wall_clock_offset(self.date_watch.offset)
         self.discovery = Discovery(
-            reactor, config.discovery, config.rev, self.desk.listed, self.discovery_spoke,
+            reactor, config.discovery, config.rev, self.handler.update_roster, self.discovery_heard,
             self.complain, BackOff(config.settings.seed, config.settings.nodes), self.excused,
             config.limits.list_lifetime / MS,
         )  # fmt: skip
-        self.desk.source = self.discovery
+        self.handler.source = self.discovery
         self.narrows = subsets
-        self.desk.subsets = subsets_of(config) if subsets else None
+        self.handler.subsets = subsets_of(config) if subsets else None
         self.uses = uses  # None: it says nothing to its peers
         self.peers: Any = None  # its port for datagrams
         self.published = published  # None: its file alone says what it serves under
@@ -94,14 +94,14 @@
         self.calls.add("telemetry", 0, self.telemetry)
         self.bans = Bans(config.scratch)
         self.ban_calls = BanCalls(reactor, self.bans, self)
-        self.desk.look_for_bans = self.ban_calls.look
+        self.handler.refresh_bans = self.ban_calls.look
         self.calls.add("exclude", 1, self.ban_calls.exclude)
         self.calls.add("include", 1, self.ban_calls.include)
         if owners is not None:
             from .owners import Owned
 
             self.owned = Owned(
-                reactor, self.desk, owners, config.name, config.settings.nodes, self.bans_of,
+                reactor, self.handler, owners, config.name, config.settings.nodes, self.bans_of,
             )  # fmt: skip
             self.calls.add("act", 3, self.owned.act, self.owned.longest, keeps=True)
         self.accepts = True
@@ -121,12 +121,12 @@
         if alone:
             self.know_saved()
             self.discovery.start()
-            self.desk.wait_for_list()
+            self.handler.wait_for_list()
             self.listen()
         if config.admin is not None:
             Front(self.reactor, self.calls).listen(config.admin)
         self.keep_sweeping()
-        self.desk.budget.used = open_descriptors() + 8 + RESERVED * (config.admin is not None)
+        self.handler.budget.used = open_descriptors() + 8 + RESERVED * (config.admin is not None)
         if alone:
             self.begin()
 
@@ -139,7 +139,7 @@
     def know_saved(self) -> None:
         """Takes in the hosts of the configuration, a list that was saved some time ago, and the bans."""
         self.know(self.config.known)
-        self.desk.hosts.start_times.mark_as_saved()
+        self.handler.hosts.start_times.mark_as_saved()
 
     def know(self, rows: list, bans: State | None = None) -> None:
         """Takes in the hosts, and the bans, those of the file if none are given, before anything is sent."""
@@ -149,14 +149,14 @@
             self.bans.adopt(bans["bans"], bans.get("unsaved_bans", {}))
             # Danger: a disk that is full for a moment must not end an upgrade half way; they hold in memory.
             self.ban_calls.save()
-        self.desk.listed(True, rows)
+        self.handler.update_roster(True, rows)
         for uid in self.bans.uids:
-            self.desk.ban(uid, True)
+            self.handler.set_ban(uid, True)
         self.ban_calls.begin()
 
     def listen(self, fd: int = -1) -> None:
         """Opens the clients' port, or goes on with one that was handed on; accepts nobody yet."""
-        address, factory = self.config.listen, ClientFactory(self.desk)
+        address, factory = self.config.listen, ClientFactory(self.handler)
         if fd < 0:
             self.port = ClientPort(address.port, factory, BACKLOG, address.host, self.reactor)
             call_with_retries(self.port.startListening)
@@ -173,7 +173,8 @@
         self.join()
         self.upgrade.ring()
         logger.info("start node={} listen={}:{} hosts={} sockets={} {}", config.name, *config.listen,
-                    self.desk.hosts.running_count(), config.sockets, self.desk.budget.summary)  # fmt: skip
+                    self.handler.hosts.running_count(), config.sockets,
+                    self.handler.budget.summary)  # fmt: skip
 
     def join(self) -> None:
         """Speaks to its peers from now on, where the operator wants it and the settings allow it."""
@@ -181,7 +182,7 @@
             return
         from .sharing import make_port
 
-        made = make_port(self.reactor, self.desk, self.config, self.uses)
+        made = make_port(self.reactor, self.handler, self.config, self.uses)
         if made is None:
             return
         port, address = made
@@ -215,15 +216,15 @@
         if self.port is not None:
             self.port.stopReading()
 
-    def discovery_spoke(self) -> None:
-        self.desk.discovery_spoke()
+    def discovery_heard(self) -> None:
+        self.handler.discovery_heard()
         if self.upgrade.waits:
             # what the line holds is taken in first
             self.reactor.callLater(0, self.upgrade.listed)
 
     def excused(self) -> bool:
-        self.desk.clock()
-        return bool(self.desk.stall)
+        self.handler.clock()
+        return bool(self.handler.stall)
 
     def complain(self, reason: str, text: str) -> None:
         logger.warning("discovery reason={} {}", reason, text)
@@ -232,7 +233,7 @@
         # Danger: a loop that has failed once stays still, and nothing would find silent hosts any more.
         if failure is not None:
             logger.error("internal reason=exception {}", one_line(failure))
-        self.desk.turn_at = self.clock()
+        self.handler.last_turn_at = self.clock()
         loop = LoopingCall(self.sweep)
         loop.clock = self.reactor
         loop.start(SWEEP / MS, now=False).addErrback(self.keep_sweeping)
@@ -241,8 +242,8 @@
         if (step := self.date_watch.detect_step()) is not None:
             # nothing is timed by the date, but the lines before and after this one carry it
             logger.warning("clock reason=date-stepped ms={:.0f}", step)
-            self.desk.metrics.date_steps += 1
-        self.desk.sweep()
+            self.handler.metrics.date_steps += 1
+        self.handler.sweep()
         self.ban_calls.look()
         self.ban_calls.save()
         self.sink.flush()
@@ -256,7 +257,7 @@
             (self.port.startReading if on else self.port.stopReading)()
             if not on and self.clock() - self.short_at > SHORT_EVERY:
                 self.short_at = self.clock()
-                budget = self.desk.budget
+                budget = self.handler.budget
                 logger.warning(
                     "accept reason=no-sockets open={} {}", budget.client_connections, budget.summary
                 )
@@ -269,12 +270,12 @@
         then(yes())
 
     def knows_host(self, uid: str) -> bool:
-        return uid in self.desk.hosts.index_by_uid
+        return uid in self.handler.hosts.index_by_uid
 
     def put_in_force(self, ban: Ban) -> None:
         """Takes a host out, or lets it serve again, at this process."""
         owned_out = self.owned is not None and self.owned.is_out(ban.uid)
-        self.desk.ban(ban.uid, ban.out or owned_out)
+        self.handler.set_ban(ban.uid, ban.out or owned_out)
 
     def tell_other_process(self, ban: Ban, then: Callable[[], None]) -> None:
         self.upgrade.tell_ban(ban.uid, ban.out, then)
@@ -284,10 +285,10 @@
         return self.bans.uids
 
     def telemetry(self, then: Then) -> None:
-        shared = self.peers.sharing.lines(self.desk.clock()) if self.peers is not None else []
+        shared = self.peers.sharing.lines(self.handler.clock()) if self.peers is not None else []
         owned = self.owned.lines() if self.owned is not None else []
         published = self.published.lines() if self.published is not None else []
-        then([*self.desk.metrics.lines(self.desk.gauges()), *shared, *owned, *published, "--"])
+        then([*self.handler.metrics.lines(self.handler.gauges()), *shared, *owned, *published, "--"])
 
     # ---- a new configuration
 
@@ -306,7 +307,7 @@
             check_kept(self.config, new)
         except ConfigError as error:
             # Danger: half a file, or one for another program, must not end a node that serves.
-            self.desk.metrics.rejected_configs += 1
+            self.handler.metrics.rejected_configs += 1
             logger.error("reload reason=unusable {}", error)
             return
         self.take(new)
@@ -314,7 +315,7 @@
     def take(self, new: Config) -> None:
         """Serves under it from now on; it was checked whole."""
         old = self.config
-        self.desk.metrics.accepted_configs += 1
+        self.handler.metrics.accepted_configs += 1
         kept = [key for key in ("name", "listen", "admin") if getattr(new, key) != getattr(old, key)]
         kept += ["dcs"] * (new.names.zones != old.names.zones)
         self.config = new = replace(
@@ -322,14 +323,14 @@
             names=replace(new.names, zones=old.names.zones),
             settings=replace(new.settings, seed=old.settings.seed, zone=old.settings.zone),
         )  # fmt: skip
-        self.desk.budget.resize(new.sockets)
-        self.desk.subsets = subsets_of(self.config) if self.narrows else None
-        self.desk.retune(new.settings, new.names, new.limits)
+        self.handler.budget.resize(new.sockets)
+        self.handler.subsets = subsets_of(self.config) if self.narrows else None
+        self.handler.apply_settings(new.settings, new.names, new.limits)
         if new.peers != old.peers:
             # Danger: the numbers of members mean others in another list.
             self.part()
             self.join()
-        self.discovery.list_life = new.limits.list_lifetime / MS
+        self.discovery.list_lifetime = new.limits.list_lifetime / MS
         if new.discovery != old.discovery:
             self.discovery.move_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
@@ -344,15 +345,15 @@
         self.stopped_at = self.clock()
         # frozen here: a SIGHUP that comes after it must not put off an end that SIGKILL does not wait for
         self.stop_span = self._stop_span()
-        self.desk.stopping = True
+        self.handler.stopping = True
         answer_after = self._longest_wait() + KILLED_AFTER - ANSWER_BEFORE
-        self.desk.answer_by = self.stopped_at + answer_after
-        self.reactor.callLater(answer_after / MS, self.desk.answer_all)
+        self.handler.answer_by = self.stopped_at + answer_after
+        self.reactor.callLater(answer_after / MS, self.handler.answer_pending)
         # Danger: a successor that ends must not take over a port and connections that it would end with it.
         if self.upgrade.waits:
             self.exit()
             return
-        logger.info("stop sessions={}", len(self.desk.sessions.by_index))
+        logger.info("stop sessions={}", len(self.handler.sessions.by_index))
         # Danger: in a rolling restart the node before may not be back; who is moved early has nowhere to go.
         self.reactor.callLater(max(self.stop_span - MOVING, SERVE_ON) / MS, self.move_some)
 
@@ -371,15 +372,15 @@
 
     def _move_share(self) -> None:
         """The sessions whose turn it is, so that all are moved evenly by the end of the span."""
-        standing = self.desk.sessions.established()
+        standing = self.handler.sessions.established()
         left = self.stopped_at + self.stop_span - self.clock()
         steps = max(int(left / 50.0), 1)
         for s in standing[: -(-len(standing) // steps)]:
-            self.desk.move(s, "stop")
-        self.desk.close_idle(self.clock() - SERVE_ON)
+            self.handler.redirect(s, "stop")
+        self.handler.close_idle_clients(self.clock() - SERVE_ON)
 
     def _go_on_stopping(self) -> None:
-        if self.desk.budget.client_connections or self.clock() < self.stopped_at + 2 * SERVE_ON:
+        if self.handler.budget.client_connections or self.clock() < self.stopped_at + 2 * SERVE_ON:
             self.reactor.callLater(0.05, self.move_some)
         elif self.accepts_more:
             self.accepts_more = not self.shut_port()
@@ -392,8 +393,8 @@
         if self.port is None:
             return True
         # Danger: who lies in the queue of a port that closes is reset, with the request that is on the way.
-        takes = self.takes and self.desk.budget.may_accept() and self.clock() < self.desk.answer_by
-        if takes and not self.port.accept_all():
+        takes = self.takes and self.handler.budget.may_accept() and self.clock() < self.handler.answer_by
+        if takes and not self.port.accept_pending():
             return False
         port, self.port = self.port, None
         self.upgrade.shut()
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -9,7 +9,7 @@
 from caperdeck.gossip.shared_decisions import Marked
 from caperdeck.gossip.sharing import Sharing, Uses, life_from
 from caperdeck.state.addresses import Address, AddressError, parse_address
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 from caperdeck.wire.peers import PeerPort
 
 from .config import ConfigError
@@ -55,7 +55,7 @@
 
 
 def make_port(
-    reactor: Any, desk: Desk, config: Any, uses: Uses,
+    reactor: Any, handler: SessionHandler, config: Any, uses: Uses,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
     """The port, not open yet; None, and a line in the log, where the node has to go on alone."""
     raw = config.peers
@@ -69,9 +69,9 @@
         # Danger: a list of peers that cannot be used must not keep a node from serving; it needs none.
         logger.warning("peers reason=unusable {}", error)
         return None
-    now, shares = desk.clock(), desk.balancer.fleet_state
+    now, shares = handler.clock(), handler.balancer.fleet_state
     sharing = Sharing(
-        Marked(shares, uses, desk.report), raw.me, len(addresses), life_from(now), config.settings.seed, now,
-        uses, raw.tiers,
+        Marked(shares, uses, handler.report_event), raw.me, len(addresses), life_from(now),
+        config.settings.seed, now, uses, raw.tiers,
     )  # fmt: skip
-    return PeerPort(reactor, desk.clock, sharing, addresses, everyone, desk.age), own
+    return PeerPort(reactor, handler.clock, sharing, addresses, everyone, handler.read_delay), own
--- a/caperdeck/ops/admin_server.py
+++ b/caperdeck/ops/admin_server.py
@@ -41,7 +41,7 @@
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        self.send_at_once()
+        self.disable_nagle()
         self.timer = self.front.reactor.callLater(PATIENCE, self.transport.abortConnection)
         self.front.came(self)
 
@@ -70,7 +70,7 @@
         if self.ended:
             self.transport.loseConnection()
         else:
-            self.end_sending(self.front.reactor)
+            self.half_close(self.front.reactor)
 
     def keep(self) -> None:
         """Stays open for the next call."""
@@ -92,7 +92,7 @@
 
     def connectionLost(self, reason) -> None:
         cancel(self.timer)
-        cancel(self.lingers)
+        cancel(self.linger_timer)
         self.front.left(self)
 
 
@@ -110,7 +110,7 @@
         return port
 
     @property
-    def acceptable(self) -> int:
+    def acceptable_connections(self) -> int:
         """Callers that there may still be; the rest waits in the kernel for a moment."""
         return max(MOST_CALLERS - len(self.open), 1)
 
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -9,11 +9,11 @@
 from caperdeck.wire.client import ClientConnection
 from caperdeck.wire.request import parse_request
 from caperdeck.wire.host import HostConnection
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 if TYPE_CHECKING:
     from caperdeck.state.sessions import Session
-    from caperdeck.wire.session_handler import Desk
+    from caperdeck.wire.session_handler import SessionHandler
 
 MOST_BUFFERED = 32 << 10  # bytes of a connection; one that holds more is handed on once they have gone
 
@@ -45,10 +45,10 @@
     return max(map(len, held)) <= MOST_BUFFERED
 
 
-def packet(desk: Desk, s: Session) -> tuple[dict[str, Any], list[int]]:
+def packet(handler: SessionHandler, s: Session) -> tuple[dict[str, Any], list[int]]:
     client, conn = s.client, s.host_connection
     message = {
-        "say": "session", "line": text(s.request.line), "host": desk.hosts.uids[s.host], "dial": s.dial,
+        "say": "session", "line": text(s.request.line), "host": handler.hosts.uids[s.host], "dial": s.dial,
         "since": s.requested_at, "deadline": s.deadline, "up_at": s.established_at,
         "heard_at": s.client_heard_at, "asked": bool(s.unanswered_since),
         "read": [text(client._buffer), text(conn._buffer)],
@@ -79,21 +79,23 @@
     return True
 
 
-def take_up(desk: Desk, message: dict[str, Any], fds: list[int]) -> bool:
+def take_up(handler: SessionHandler, message: dict[str, Any], fds: list[int]) -> bool:
     """Goes on with a session that another process of this node has handed on; False if a side has gone."""
     try:
         if len(fds) != 2 or not all(map(alive, fds)):
             return False
-        client = ClientConnection(desk)
-        adopt(desk, fds[0], client)
-        s = desk.sessions.create(parse_request(message["line"].encode("latin-1")), client, message["since"])
-        conn = HostConnection(desk, s, message["deadline"])
+        client = ClientConnection(handler)
+        adopt(handler, fds[0], client)
+        s = handler.sessions.create(
+            parse_request(message["line"].encode("latin-1")), client, message["since"]
+        )
+        conn = HostConnection(handler, s, message["deadline"])
         conn.taken_up = True
-        adopt(desk, fds[1], conn)
-        s.host, s.dial, s.host_connection = desk.hosts.index_of(message["host"]), message["dial"], conn
-        desk.sessions.mark_established(s, message["up_at"])
+        adopt(handler, fds[1], conn)
+        s.host, s.dial, s.host_connection = handler.hosts.index_of(message["host"]), message["dial"], conn
+        handler.sessions.mark_established(s, message["up_at"])
         s.deadline, s.client_heard_at = message["deadline"], message["heard_at"]
-        desk.took_up(s, message["asked"])
+        handler.session_taken_over(s, message["asked"])
     finally:
         for fd in fds:
             os.close(fd)
@@ -107,5 +109,5 @@
     return True
 
 
-def adopt(desk: Desk, fd: int, protocol: Any) -> None:
-    desk.reactor.adoptStreamConnection(fd, socket.AF_INET, OneConnection(protocol))
+def adopt(handler: SessionHandler, fd: int, protocol: Any) -> None:
+    handler.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleConnectionFactory(protocol))
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -33,7 +33,7 @@
     """The node of this process."""
 
     config: Any
-    desk: Any
+    handler: Any
     discovery: Any
     bans: Any
     ban_calls: Any
@@ -144,64 +144,64 @@
 
     def tell_state(self) -> tuple[list[dict], dict, list[int]]:
         node = self.node
-        memory = node.desk.balancer.learned_state()
+        memory = node.handler.balancer.learned_state()
         # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
-        able, rows = memory.pop("able"), node.desk.hosts.export_rows()
+        able, rows = memory.pop("able"), node.handler.hosts.export_rows()
         for row in rows:
-            h = node.desk.hosts.index_by_uid[row["uid"]]
+            h = node.handler.hosts.index_by_uid[row["uid"]]
             row["able"] = able[h] if h < len(able) else 0.0
-        called_back = node.desk.balancer.readmitted
+        called_back = node.handler.balancer.readmitted
         state = {
             "rev": node.discovery.rev,
             "bans": list(node.bans.uids),
             "unsaved_bans": node.bans.unsaved,
-            "called_back": {node.desk.hosts.uids[h]: at for h, at in called_back.items()},
-            "told_at": node.desk.told_at,
+            "called_back": {node.handler.hosts.uids[h]: at for h, at in called_back.items()},
+            "told_at": node.handler.discovery_heard_at,
             "memory": memory | {"able": []},  # which an older program takes with the names beside it
             "uids": [],
-            "starts": (node.desk.hosts.start_times.offset, {}),
+            "starts": (node.handler.hosts.start_times.offset, {}),
         }
         return rows, state, [node.port.fileno()]
 
     def stop_taking(self) -> None:
-        logger.info("upgrade reason=given sessions={}", len(self.node.desk.sessions.by_index))
+        logger.info("upgrade reason=given sessions={}", len(self.node.handler.sessions.by_index))
         self.node.stop_taking()
         self.shut()
 
     def take_again(self) -> None:
         node = self.node
-        logger.error("upgrade reason=successor-lost sessions={}", len(node.desk.sessions.by_index))
-        node.desk.balancer.take_slots_back()
+        logger.error("upgrade reason=successor-lost sessions={}", len(node.handler.sessions.by_index))
+        node.handler.balancer.take_slots_back()
         node.take_clients()
         node.join()
         self.ring()
 
     def hand_on(self, most: int) -> bool:
         """Hands some of what stands on; True once nothing is left here."""
-        desk = self.node.desk
-        for s in islice(filter(may_go, desk.sessions.established()), most):
-            message, fds = packet(desk, s)
+        handler = self.node.handler
+        for s in islice(filter(may_go, handler.sessions.established()), most):
+            message, fds = packet(handler, s)
             if not self.side.link.offer(message, fds):
                 break
             client, conn = s.client, s.host_connection
-            desk.handed_on(s)
+            handler.session_handed_over(s)
             let_go(client)
             let_go(conn)
-        return not desk.sessions.by_index and not desk.budget.client_connections
+        return not handler.sessions.by_index and not handler.budget.client_connections
 
     def hand_over_slots(self) -> dict[str, float]:
-        desk = self.node.desk
-        slots = desk.balancer.hand_over_slots(desk.clock())
-        return {desk.hosts.uids[h]: saved for h, saved in slots.items()}
+        handler = self.node.handler
+        slots = handler.balancer.hand_over_slots(handler.clock())
+        return {handler.hosts.uids[h]: saved for h, saved in slots.items()}
 
     def take_over_slots(self, slots: dict[str, float]) -> None:
-        desk = self.node.desk
+        handler = self.node.handler
         known = {
-            desk.hosts.index_by_uid[uid]: saved
+            handler.hosts.index_by_uid[uid]: saved
             for uid, saved in slots.items()
-            if uid in desk.hosts.index_by_uid
+            if uid in handler.hosts.index_by_uid
         }
-        desk.balancer.take_over_slots(desk.clock(), known)
+        handler.balancer.take_over_slots(handler.clock(), known)
 
     def held(self) -> int:
         return open_descriptors()
@@ -228,27 +228,27 @@
 
     def take_state(self, rows: list, state: dict, fds: list[int]) -> None:
         node = self.node
-        hosts = node.desk.hosts
+        hosts = node.handler.hosts
         ahead, starts = state["starts"]
         in_rows = {row["uid"]: row["start"] for row in rows if row.get("start") is not None}
         hosts.import_starts(ahead, starts | in_rows)
         # Danger: a host that was called back counts as cold though discovery may not have told its start yet.
         called_back = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
-        node.desk.balancer.readmitted.update(called_back)
+        node.handler.balancer.readmitted.update(called_back)
         node.know(rows, state)
         for row in rows:
             hosts.redirected_at[hosts.index_of(row["uid"])] = row["sent_away"]
         # Danger: a process that knows no host's measure yet takes the cold ones' for all, and starves them.
         able = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # of an older program
         able |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
-        node.desk.remember(state["memory"], able)
-        node.desk.told_at, node.discovery.rev = state["told_at"], state["rev"]
+        node.handler.restore_learned_state(state["memory"], able)
+        node.handler.discovery_heard_at, node.discovery.rev = state["told_at"], state["rev"]
         node.listen(fds[0])
         node.discovery.start()
 
     def take_session(self, message: dict, fds: list[int]) -> None:
         try:
-            taken = take_up(self.node.desk, message, fds)
+            taken = take_up(self.node.handler, message, fds)
         except (RequestError, KeyError, TypeError, ValueError, OSError) as error:
             logger.error("upgrade reason=bad-session {!r}", error)
             return
@@ -256,7 +256,7 @@
             logger.info("upgrade reason=side-gone line={!r}", message["line"][:40])
 
     def others_hold(self, descriptors: int) -> None:
-        self.node.desk.budget.used_by_other_process = descriptors
+        self.node.handler.budget.used_by_other_process = descriptors
 
     def begin(self) -> None:
         self.node.begin()
@@ -269,7 +269,7 @@
             if node.port is None:
                 node.know_saved()
                 node.discovery.start()
-                node.desk.wait_for_list()
+                node.handler.wait_for_list()
                 node.listen()
         except (BansError, CannotListenError) as error:
             self.refused(str(error))
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -15,7 +15,7 @@
 
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 ANSWER = 1.0  # seconds from an act until its answer, a connection that has to come up first included
 LONGEST = 8192  # bytes of an answer
@@ -42,7 +42,7 @@
         self.waiting: deque[Waiting] = deque()  # the oldest first
         self.unsent: list[bytes] = []  # acts that wait for the connection to come up
         self.over = False
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER)
 
     def act(self, line: bytes, then: Then) -> None:
         self.waiting.append(Waiting(then, self.reactor.callLater(ANSWER, self._late)))
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -13,7 +13,7 @@
 from caperdeck.raft.transport import CALL, REPLY
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 from .config import Owners
 
@@ -27,7 +27,7 @@
     def __init__(self, reactor: Any, owners: Owners, address: Address, body: Any, then: Callable) -> None:
         self.cluster, self.body, self.then = owners.cluster, body, then
         self.timer = reactor.callLater(ANSWER, self.end, None)
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER)
 
     def connectionMade(self) -> None:
         self.sendString(frame(self.cluster, CALL, [1, self.body]))
--- a/caperdeck/raft/transport.py
+++ b/caperdeck/raft/transport.py
@@ -197,7 +197,7 @@
         self.port.startListening()
 
     @property
-    def acceptable(self) -> int:
+    def acceptable_connections(self) -> int:
         return max(MOST_CONNECTIONS - len(self.open), 1)
 
     def buildProtocol(self, addr: Any) -> Frames | None:
--- a/caperdeck/wire/client.py
+++ b/caperdeck/wire/client.py
@@ -28,52 +28,52 @@
     def clock(self) -> float:
         """The time in milliseconds."""
 
-    def client_came(self, client: ClientConnection) -> None: ...
+    def client_connected(self, client: ClientConnection) -> None: ...
 
-    def clients_wait(self) -> None:
+    def descriptors_exhausted(self) -> None:
         """Clients have connected whom no descriptor is left for."""
 
-    def first_line(self, client: ClientConnection, line: bytes) -> None: ...
+    def first_line_received(self, client: ClientConnection, line: bytes) -> None: ...
 
-    def from_client(self, s: Session, line: bytes) -> None: ...
+    def client_line_received(self, s: Session, line: bytes) -> None: ...
 
-    def client_broke(self, client: ClientConnection, reason: str) -> None:
+    def client_protocol_error(self, client: ClientConnection, reason: str) -> None:
         """The client has sent what cannot be passed on."""
 
-    def client_gone(self, client: ClientConnection, reset: bool) -> None:
+    def client_disconnected(self, client: ClientConnection, reset: bool) -> None:
         """The client has ended its side, or its connection is lost."""
 
-    def client_closed(self, client: ClientConnection) -> None:
+    def client_socket_closed(self, client: ClientConnection) -> None:
         """The socket is free."""
 
 
 @implementer(IHalfCloseableProtocol)
 class ClientConnection(LineConnection):
-    def __init__(self, desk: ClientHandler) -> None:
-        self.desk = desk
+    def __init__(self, handler: ClientHandler) -> None:
+        self.handler = handler
         self.session: Session | None = None
         self.opened_at = 0.0
         self.closing = False
 
     def connectionMade(self) -> None:
-        self.send_at_once()
-        self.opened_at = self.desk.clock()
-        self.desk.client_came(self)
+        self.disable_nagle()
+        self.opened_at = self.handler.clock()
+        self.handler.client_connected(self)
 
     def lineReceived(self, line: bytes) -> None:
         if self.closing:
             return
         if self.session is None:
-            self.desk.first_line(self, line)
+            self.handler.first_line_received(self, line)
         elif self.session.established_at:
-            self.desk.from_client(self.session, line)
+            self.handler.client_line_received(self.session, line)
         else:
             # Danger: who does not wait for its answer sends commands by the hundred; none may reach a host.
-            self.desk.client_broke(self, "did-not-wait")
+            self.handler.client_protocol_error(self, "did-not-wait")
 
     def lineLengthExceeded(self, line: bytes) -> None:
         if not self.closing:
-            self.desk.client_broke(self, "long-line")
+            self.handler.client_protocol_error(self, "long-line")
 
     def close(self, last_line: bytes | None = None, linger: bool = True) -> None:
         """Ends the connection after a last line, if any; hardly lingering where sockets are short."""
@@ -83,7 +83,7 @@
         self.transport.unregisterProducer()
         if last_line is not None:
             self.pass_on(last_line)
-        self.end_sending(self.desk.reactor, LINGER if linger else LINGER_SHORT)
+        self.half_close(self.handler.reactor, LINGER if linger else LINGER_SHORT)
         if self.paused:
             self.resumeProducing()
 
@@ -107,7 +107,7 @@
         """The client has ended its side."""
         if not self.closing:
             self.closing = True
-            self.desk.client_gone(self, reset=False)
+            self.handler.client_disconnected(self, reset=False)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
@@ -115,11 +115,11 @@
         """The last line has gone out."""
 
     def connectionLost(self, reason) -> None:
-        cancel(self.lingers)
+        cancel(self.linger_timer)
         if not self.closing:
             self.closing = True
-            self.desk.client_gone(self, reset=not reason.check(ConnectionDone))
-        self.desk.client_closed(self)
+            self.handler.client_disconnected(self, reset=not reason.check(ConnectionDone))
+        self.handler.client_socket_closed(self)
 
 
 class ClientPort(BoundedPort):
@@ -139,15 +139,15 @@
 class ClientFactory(ServerFactory):
     noisy = False
 
-    def __init__(self, desk: ClientHandler) -> None:
-        self.desk = desk
+    def __init__(self, handler: ClientHandler) -> None:
+        self.handler = handler
 
     @property
-    def acceptable(self) -> int:
-        return self.desk.budget.acceptable_clients
+    def acceptable_connections(self) -> int:
+        return self.handler.budget.acceptable_clients
 
-    def none_acceptable(self) -> None:
-        self.desk.clients_wait()
+    def accept_blocked(self) -> None:
+        self.handler.descriptors_exhausted()
 
     def buildProtocol(self, addr) -> ClientConnection:
-        return ClientConnection(self.desk)
+        return ClientConnection(self.handler)
--- a/caperdeck/wire/discovery.py
+++ b/caperdeck/wire/discovery.py
@@ -148,7 +148,7 @@
     def __init__(
         self, reactor: Any, address: str, rev: int, listed: Callable[[bool, Any], None],
         spoke: Callable[[], None], complain: Callable[[str, str], None], back_off: BackOff,
-        excused: Callable[[], bool] = lambda: False, list_life: float = math.inf,
+        excused: Callable[[], bool] = lambda: False, list_lifetime: float = math.inf,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.address = address
@@ -157,7 +157,7 @@
         self.spoke = spoke  # called for each line, empty ones too
         self.complain = complain
         self.excused = excused  # whether the node has yet to read what came while it was away
-        self.list_life = list_life  # seconds that the list of a watch that has ended is sent by
+        self.list_lifetime = list_lifetime  # seconds that the list of a watch that has ended is sent by
         pool = HTTPConnectionPool(reactor, persistent=False)
         self.agent = Agent.usingEndpointFactory(reactor, _ByAddress(reactor, self.connected), pool)
         self.transport: Any = None  # of the call that is out, or the watch
@@ -205,7 +205,7 @@
         """Whether the list is too old to send by, as its watch has ended: once for each, and asks anew."""
         # Danger: what discovery has counts as told whether or not a watch is open, and the wait for the next
         # watch may be longer than the grace.
-        if self.ended_at is None or self.reactor.seconds() - self.ended_at < self.list_life:
+        if self.ended_at is None or self.reactor.seconds() - self.ended_at < self.list_lifetime:
             return False
         self.ended_at = None
         self.woke()
--- a/caperdeck/wire/host.py
+++ b/caperdeck/wire/host.py
@@ -12,7 +12,7 @@
 from caperdeck.state.sessions import Session
 from caperdeck.state.timers import cancel
 
-from .lines import LineConnection, RetriedConnection
+from .lines import LineConnection, RetryingConnectionFactory
 
 
 class HostHandler(Protocol):
@@ -20,18 +20,18 @@
 
     reactor: Any
 
-    def dial_open(self, conn: HostConnection) -> None: ...
+    def dial_connected(self, conn: HostConnection) -> None: ...
 
     def dial_failed(self, conn: HostConnection) -> None: ...
 
-    def from_host(self, conn: HostConnection, line: bytes) -> None: ...
+    def host_line_received(self, conn: HostConnection, line: bytes) -> None: ...
 
-    def host_gone(self, conn: HostConnection, reset: bool) -> None: ...
+    def host_disconnected(self, conn: HostConnection, reset: bool) -> None: ...
 
 
 class HostConnection(LineConnection):
-    def __init__(self, desk: HostHandler, session: Session, until: float) -> None:
-        self.desk = desk
+    def __init__(self, handler: HostHandler, session: Session, until: float) -> None:
+        self.handler = handler
         self.session = session
         self.request_sent = False  # the request line's last byte has been written
         self.cut = False  # the system took a part of it only; the rest waits in the transport
@@ -42,16 +42,16 @@
         self.connector = None
 
     def dial_to(self, address: Address, time_out: float) -> None:
-        reactor, seconds = self.desk.reactor, time_out / MS
-        factory = RetriedConnection(reactor, self, seconds)
+        reactor, seconds = self.handler.reactor, time_out / MS
+        factory = RetryingConnectionFactory(reactor, self, seconds)
         self.connector = reactor.connectTCP(*address, factory, seconds)
 
     def connectionMade(self) -> None:
-        self.send_at_once()
+        self.disable_nagle()
         if self.ended:
             self.transport.abortConnection()
         elif not self.taken_up:
-            self.desk.dial_open(self)
+            self.handler.dial_connected(self)
 
     def send_request(self, pieces: list[bytes | memoryview]) -> bool:
         """One gathered write; False if the connection broke first, so that the host never had the line."""
@@ -71,11 +71,11 @@
 
     def lineReceived(self, line: bytes) -> None:
         if not self.ended:
-            self.desk.from_host(self, line)
+            self.handler.host_line_received(self, line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
         if not self.ended:
-            self.desk.host_gone(self, reset=True)
+            self.handler.host_disconnected(self, reset=True)
             self.transport.abortConnection()
 
     def close(self, reset: bool) -> None:
@@ -92,15 +92,15 @@
         else:
             self.transport.loseConnection()
             # Danger: a machine that vanished never takes what is still to be written, and the socket stays.
-            self.linger(self.desk.reactor)
+            self.linger(self.handler.reactor)
 
     def failed(self) -> None:
         if not self.ended:
             self.ended = True
-            self.desk.dial_failed(self)
+            self.handler.dial_failed(self)
 
     def connectionLost(self, reason) -> None:
-        cancel(self.lingers)
+        cancel(self.linger_timer)
         if not self.ended:
-            self.desk.host_gone(self, reset=not reason.check(ConnectionDone))
+            self.handler.host_disconnected(self, reset=not reason.check(ConnectionDone))
             self.ended = True
--- a/caperdeck/wire/lines.py
+++ b/caperdeck/wire/lines.py
@@ -24,9 +24,9 @@
 class LineConnection(LineReceiver):
     delimiter = CRLF
     MAX_LENGTH = LONGEST_LINE
-    lingers = None
+    linger_timer = None
 
-    def send_at_once(self) -> None:
+    def disable_nagle(self) -> None:
         """Small lines are not held back until the one before has been acknowledged."""
         # a connection that has broken already says so here first; reading finds it out again
         with suppress(OSError):
@@ -36,9 +36,9 @@
         self.transport.writeSequence((line, CRLF))
 
     def linger(self, reactor: Any, seconds: float = LINGER) -> None:
-        self.lingers = reactor.callLater(seconds, self.transport.abortConnection)
+        self.linger_timer = reactor.callLater(seconds, self.transport.abortConnection)
 
-    def end_sending(self, reactor: Any, seconds: float = LINGER) -> None:
+    def half_close(self, reactor: Any, seconds: float = LINGER) -> None:
         """Ends this side once all that was written has gone out, and waits a while for the other's end."""
         # Danger: closed with a line of the other side unread, the kernel resets it and our last line is lost.
         self.transport.loseWriteConnection()
@@ -61,20 +61,20 @@
 
     @property
     def numberAccepts(self) -> int:
-        return self.factory.acceptable
+        return self.factory.acceptable_connections
 
     @numberAccepts.setter
     def numberAccepts(self, wanted: int) -> None:
         """The library sets a number of its own as it begins to listen."""
 
     def doRead(self) -> None:
-        self.accept_all()
+        self.accept_pending()
 
-    def accept_all(self) -> bool:
+    def accept_pending(self) -> bool:
         """Whether nobody waits in the queue any more; False also where that cannot be told just now."""
         if not (most := self.numberAccepts):
             # the queue stays readable: the reactor would turn on it and do nothing else
-            self.factory.none_acceptable()
+            self.factory.accept_blocked()
         for _ in range(most):
             try:
                 sock, address = self.socket.accept()
@@ -111,7 +111,7 @@
         super().stopReading()
 
 
-class OneConnection(ClientFactory):
+class SingleConnectionFactory(ClientFactory):
     """For one connection that the node opens; told by `failed` if it does not come up."""
 
     noisy = False
@@ -126,7 +126,7 @@
         self.conn.failed()
 
 
-class RetriedConnection(OneConnection):
+class RetryingConnectionFactory(SingleConnectionFactory):
     """The same, tried again while this machine lacks something for it, for so many seconds.
 
     `conn.ended` says that nobody waits for it any more.
--- a/caperdeck/wire/probe.py
+++ b/caperdeck/wire/probe.py
@@ -14,7 +14,7 @@
 from caperdeck.state.timers import cancel
 
 from .report import parse_report
-from .lines import LineConnection, RetriedConnection
+from .lines import LineConnection, RetryingConnectionFactory
 
 
 class ProbeConnection(LineConnection):
@@ -40,7 +40,7 @@
         if self.ended:
             self.transport.abortConnection()
             return
-        self.send_at_once()
+        self.disable_nagle()
         if self.waits is not None:
             self.send()
 
@@ -128,7 +128,7 @@
         self._use(conn)
         if conn.connector is None:
             seconds = self.time_out / MS
-            factory = RetriedConnection(self.reactor, conn, seconds)
+            factory = RetryingConnectionFactory(self.reactor, conn, seconds)
             conn.connector = self.reactor.connectTCP(*address, factory, seconds)
         if conn.waits is None:
             conn.ask()
--- a/caperdeck/wire/session_handler.py
+++ b/caperdeck/wire/session_handler.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from caperdeck.execution.executor import Carrier
+from caperdeck.execution.executor import CommandExecutor
 from caperdeck.execution.resumption import ANSWER_MARGIN
 from caperdeck.core.facade import LoadReported, SessionEstablished
 from caperdeck.core.model import Outcome
@@ -30,26 +30,26 @@
 FAREWELLS = {b"MOVE": (Outcome.WITHDRAWN, "host-moved"), b"BYE": (Outcome.GOOD, "served")}
 
 
-class Desk(Carrier):
+class SessionHandler(CommandExecutor):
     moved, failed = b"MOVE", b"ERR"
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
         reports, time_out = self.limits.hosts_report_load, 2 * self.limits.connect_timeout
-        self.probes = Probes(self.reactor, self.budget, reports, time_out, self.probed, self.later)
+        self.probes = Probes(self.reactor, self.budget, reports, time_out, self.probed, self.defer)
 
     def busy(self, back_off: float) -> bytes:
         return b"BUSY %d" % back_off if back_off >= 1 else b"BUSY"
 
     # ---- clients
 
-    def first_line(self, client: ClientConnection, line: bytes) -> None:
+    def first_line_received(self, client: ClientConnection, line: bytes) -> None:
         if line == b"PING":
             # without a PONG the front sends nobody more; a request that follows is answered all the same
             if not self.stopping:
                 client.pass_on(b"PONG")
             return
-        self.idle.pop(client, None)
+        self.idle_clients.pop(client, None)
         request = None
         try:
             request = parse_request(line)
@@ -80,7 +80,7 @@
         self.budget.session_count += 1
         now = self.clock()
         # Danger: a line that lay there in a stall has run down its client's wait unseen.
-        s = client.session = self.sessions.create(request, client, now - self.age())
+        s = client.session = self.sessions.create(request, client, now - self.read_delay())
         s.deadline = min(s.deadline, self.answer_by)
         if request.resume_host is not None:
             self.resumption.begin(s)
@@ -88,13 +88,13 @@
         self._pick(s, listener)
 
     def _pick(self, s: Session, listener: int) -> None:
-        if self.later(partial(self._pick, s, listener)):
+        if self.defer(partial(self._pick, s, listener)):
             # Danger: a client with little time would go unanswered while its node waits for the list.
             self.bound_list_wait((self.clock() + s.deadline) / 2)
             return
         if s.finished:
             return
-        self.look_for_bans()
+        self.refresh_bans()
         request, now = s.request, self.clock()
         left = max(s.deadline - now - ANSWER_MARGIN, 0.0)
         customer = self.names.customers.get(request.tenant, -1)
@@ -109,11 +109,11 @@
         client.close(answer, linger=self.budget.may_serve())
         logger.info("end reason={} line={!r}", reason, line.decode("utf-8", "replace"))
 
-    def from_client(self, s: Session, line: bytes) -> None:
+    def client_line_received(self, s: Session, line: bytes) -> None:
         self.sessions.line_from_client(s, self.clock())
         s.host_connection.pass_on(line)
 
-    def client_broke(self, client: ClientConnection, reason: str) -> None:
+    def client_protocol_error(self, client: ClientConnection, reason: str) -> None:
         """The client has sent what cannot be passed on."""
         s = client.session
         if s is None:
@@ -135,7 +135,7 @@
         wait = max(int(conn.dial_deadline - self.clock()), 1)
         return conn.send_request(conn.session.request.pieces(wait))
 
-    def from_host(self, conn: HostConnection, line: bytes) -> None:
+    def host_line_received(self, conn: HostConnection, line: bytes) -> None:
         s = conn.session
         self.hosts.heard_at[s.host] = self.clock()
         if s.established_at:
@@ -156,7 +156,7 @@
     def _load_reported(self, s: Session, line: bytes) -> None:
         # Danger: a load that is no number, or is under 0, would stay in every sum that it enters.
         if (load := parse_load(line[5:])) is not None:
-            self.report(LoadReported(s.index, load / MS))
+            self.report_event(LoadReported(s.index, load / MS))
         else:
             logger.warning("host uid={} reason=bad-load line={!r}", self.hosts.uids[s.host], line[:80])
 
@@ -170,7 +170,7 @@
         self.metrics.count_answer(request.listener, Status.FULFILLED)
         self._join(client, conn)
         if request.resume_host is None:
-            self.report(SessionEstablished(s.index))
+            self.report_event(SessionEstablished(s.index))
         else:
             self._resumed(s, now)
 
@@ -179,10 +179,10 @@
         client.transport.registerProducer(conn, True)
         conn.transport.registerProducer(client, True)
 
-    def took_up(self, s: Session, asked: bool) -> None:
+    def session_taken_over(self, s: Session, asked: bool) -> None:
         """A session that another process of this node has handed on goes on here."""
         now = self.clock()
-        self.idle.pop(s.client, None)
+        self.idle_clients.pop(s.client, None)
         s.client.session = s
         self.budget.session_count += 1
         if asked:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,7 @@
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
 from caperdeck.wire.client import ClientConnection, ClientFactory, ClientPort
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 START = 1_000_000.0
 
@@ -159,7 +159,7 @@
     return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "east", "state": state, "boot_ms": boot}
 
 
-def desk(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
+def make_handler(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
     """A desk between a reactor, in memory if none is given, and a balancer that knows these hosts."""
     setup = SETUP | {"limits": SETUP["limits"] | limits}
     setup["listeners"] = [SETUP["listeners"][0] | (listener or {})]
@@ -171,8 +171,8 @@
     names = decode_names(setup)
     balancer = Balancer(decode_settings(7, setup), clock())
     budget = SocketBudget(sockets, 10)
-    d = Desk(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
-    d.listed(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
+    d = SessionHandler(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
+    d.update_roster(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
     return d
 
 
@@ -192,8 +192,8 @@
     config = CONFIG | {"admin_addr": "127.0.0.1:9100"} | changes
     environment = write(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
-    service.desk, service.clock = d, d.clock
-    d.look_for_bans = service.ban_calls.look
+    service.handler, service.clock = d, d.clock
+    d.refresh_bans = service.ban_calls.look
     if d.hosts.uids:
         service.ban_calls.begin()
     return service
@@ -426,8 +426,8 @@
     def __init__(self, hosts=1, **parts):
         self.reactor = Stepped()
         self.hosts = [Peer() for _ in range(hosts)]
-        self.desk = desk(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
-        self.port = ClientPort(0, ClientFactory(self.desk), 512, "127.0.0.1", self.reactor)
+        self.handler = make_handler(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
+        self.port = ClientPort(0, ClientFactory(self.handler), 512, "127.0.0.1", self.reactor)
         self.port.startListening()
         self.number = self.port.getHost().port
 
@@ -440,13 +440,13 @@
 
     def session(self):
         """The one that the node holds."""
-        (s,) = self.desk.sessions.by_index.values()
+        (s,) = self.handler.sessions.by_index.values()
         return s
 
     def taken(self, line=OPEN):
         """A client whose line has been read, and its session, whose dial is under way."""
         client = self.client(line)
-        self.reactor.until(lambda: self.desk.sessions.by_index)
+        self.reactor.until(lambda: self.handler.sessions.by_index)
         return client, self.session()
 
     def hold(self, s):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import CONFIG, OPEN, START, desk, free_ports, row, serve_lines, serve_list, write
+from helpers import CONFIG, OPEN, START, make_handler, free_ports, row, serve_lines, serve_list, write
 
 from caperdeck.lab.wall_clock import WallClock
 from caperdeck.state.clocks import WallClockMonitor, node_clock
@@ -180,9 +180,9 @@
 
 def counted_as(date_ahead, true_age=1000.0, whole=False):
     """The age and the warmth of a host that started so long ago, at a node whose date is so much ahead."""
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() + date_ahead)
-    d.listed(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
+    d.update_roster(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
     node, h = d.balancer._node, d.hosts.index_by_uid["s-9"]
     return d.clock() - node.started_at[h], node._warmth(d.clock(), h)
 
@@ -205,9 +205,9 @@
 
 
 def test_a_host_is_cold_for_as_long_as_it_warms_up_under_a_date_an_hour_behind():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() - HOUR * 1000)
-    d.listed(False, [row("s-9", boot=BOOT)])
+    d.update_roster(False, [row("s-9", boot=BOOT)])
     d.reactor.advance(8.1)
     assert d.balancer._node._warmth(d.clock(), 1) == 1.0
 
@@ -235,15 +235,15 @@
 
 
 def test_another_process_of_the_node_reads_the_same_clock_and_knows_the_same_starts(monkeypatch):
-    before = desk(hosts=1)
-    before.listed(False, [row("s-9", boot=BOOT)])
+    before = make_handler(hosts=1)
+    before.update_roster(False, [row("s-9", boot=BOOT)])
     read = node_clock()
     monkeypatch.setattr("time.time", lambda: 0.0)
     assert 0 <= node_clock() - read < 1000.0
-    after = desk(hosts=0)
+    after = make_handler(hosts=0)
     after.hosts.import_starts(*before.hosts.export_starts())
     after.reactor.advance(2.0)
-    after.listed(True, before.hosts.export_rows())
+    after.update_roster(True, before.hosts.export_rows())
     age = after.clock() - after.balancer._node.started_at[after.hosts.index_by_uid["s-9"]]
     assert age == pytest.approx(2000.0)
 
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from helpers import CONFIG, SETUP, START, Stepped, Wire, desk, logged, write
+from helpers import CONFIG, SETUP, START, Stepped, Wire, make_handler, logged, write
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.protocol import ServerFactory
@@ -113,7 +113,7 @@
         self.service = Service(
             self.reactor, config, Sink(2), self.published.reread, published=self.published,
         )  # fmt: skip
-        self.service.desk = d = desk(reactor=self.reactor)
+        self.service.handler = d = make_handler(reactor=self.reactor)
         self.service.clock, self.service.knows = d.clock, True
         self.connections = []
 
@@ -181,7 +181,7 @@
     assert VersionFile(str(tmp_path), "t", "n1").read().held.document == fleet_size(6)
     (row,) = instances.publisher.status(instances.clock()).rows
     assert (row.node, row.revision, row.stale) == ("n1", 2, False)
-    assert node.service.desk.metrics.accepted_configs == 2
+    assert node.service.handler.metrics.accepted_configs == 2
 
 
 def test_the_figures_say_what_is_in_force_and_what_is_not(tmp_path):
@@ -227,7 +227,9 @@
     refused = {r.node: r.refused for r in instances.publisher.status(instances.clock()).rows}
     assert refused["n1"] is None and refused["n2"].revision == 2
     assert refused["n2"].reason.startswith("settings.listeners: a value of the wrong kind")
-    assert nodes[1].service.config.settings.nodes == 5 and nodes[1].service.desk.metrics.rejected_configs == 1
+    assert (
+        nodes[1].service.config.settings.nodes == 5 and nodes[1].service.handler.metrics.rejected_configs == 1
+    )
     instances.publish(fleet_size(7))
     nodes[0].play(instances)
     assert [node.revision for node in nodes] == [3, 3]
@@ -286,7 +288,7 @@
     assert (config.discovery, config.sockets, config.settings.nodes) == ("127.0.0.1:8600", 512, 5)
     write(tmp_path / "c", "{")
     node.service.reload()
-    assert node.service.config is config and node.service.desk.metrics.rejected_configs == 1
+    assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
     write(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
     node.service.reload()
     assert node.service.config is config  # a file that was cut short
@@ -298,7 +300,7 @@
     short = {key: value for key, value in SETUP.items() if key != "projects"}
     write(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
     node.service.reload()
-    assert node.service.config is config and node.service.desk.metrics.rejected_configs == 1
+    assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
 
 
 def test_a_disk_that_is_full_refuses_the_version_and_the_node_serves_on(tmp_path):
--- a/tests/test_lab_slopes_fleet.py
+++ b/tests/test_lab_slopes_fleet.py
@@ -129,10 +129,10 @@
 
 def test_what_is_timed_puts_the_file_into_force(tmp_path):
     node = configuration.Node(str(tmp_path), configuration.configuration(hosts=3, listeners=2, customers=1))
-    assert len(node.service.desk.hosts.uids) == 3
+    assert len(node.service.handler.hosts.uids) == 3
     node.path.write_bytes(configuration.configuration(hosts=3, listeners=5, customers=4))
     node.reload()
-    assert len(node.service.desk.names.listeners) == 5 and len(node.service.desk.names.customers) == 4
+    assert len(node.service.handler.names.listeners) == 5 and len(node.service.handler.names.customers) == 4
 
 
 def test_a_file_that_is_not_taken_is_no_measurement(tmp_path):
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -15,7 +15,7 @@
 from caperdeck.lab.scenario import decode, load
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.state.hosts import Hosts
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 FOLDER = Path(__file__).parents[1] / "caperdeck" / "lab" / "scenarios"
 SCENARIOS = sorted(str(path) for path in FOLDER.glob("*.toml"))
@@ -77,13 +77,13 @@
 
 
 def say_twice(monkeypatch):
-    join = Desk._join
+    join = SessionHandler._join
 
     def twice(self, client, conn):
         join(self, client, conn)
         client.pass_on(b"ERR")
 
-    monkeypatch.setattr(Desk, "_join", twice)
+    monkeypatch.setattr(SessionHandler, "_join", twice)
 
 
 def forget_drains(monkeypatch):
@@ -100,7 +100,7 @@
 
 
 def leave_dials_out(monkeypatch):
-    hang_up = Desk._hang_up
+    hang_up = SessionHandler._hang_up
 
     def forget(self, s, reset):
         if s.established_at or s.host_connection is None:
@@ -108,7 +108,7 @@
         else:
             s.host_connection.ended, s.host_connection = True, None
 
-    monkeypatch.setattr(Desk, "_hang_up", forget)
+    monkeypatch.setattr(SessionHandler, "_hang_up", forget)
 
 
 def spend_whole_cold_budgets(monkeypatch):
@@ -117,7 +117,7 @@
 
 
 def lose_sessions(monkeypatch):
-    monkeypatch.setattr(Desk, "_pick", lambda self, s, listener: None)
+    monkeypatch.setattr(SessionHandler, "_pick", lambda self, s, listener: None)
 
 
 COLD = {
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, ask, at_host, desk, entry, free_ports, node, opening, opening_at,
+    CONFIG, START, UP_WITHIN, Wire, ask, at_host, make_handler, entry, free_ports, node, opening, opening_at,
     ping_until_ready, row, serve_lines, serve_list, write,
 )  # fmt: skip
 from node_processes import connected
@@ -105,7 +105,7 @@
 
 # guards against: a descriptor in use for each of thousands of servers that were probed once
 def test_probes_of_thousands_of_servers_rest_on_a_bounded_number_of_connections():
-    d = desk(hosts=3200, sockets=OVER_STANDING, mayProbe=True)
+    d = make_handler(hosts=3200, sockets=OVER_STANDING, mayProbe=True)
     room = d.budget.session_headroom
     for host in range(3200):
         looked_at(d, host)
@@ -115,7 +115,7 @@
 
 # guards against: servers held to be ill, and connections moved off them, as the node lacks a descriptor
 def test_a_probe_that_finds_no_descriptor_says_nothing_about_its_server():
-    d = desk(hosts=40, sockets=64, mayProbe=True)
+    d = make_handler(hosts=40, sockets=64, mayProbe=True)
     for host in range(d.budget.max_probes):
         looked_at(d, host, answers=False)
     d.budget.client_connections += d.budget.free_descriptors
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -14,7 +14,7 @@
 import pytest
 from conftest import known_red
 from helpers import (
-    CONFIG, OPEN, SETUP, START, accept, at_host, connect, desk, free_ports, logged, row, serve_lines,
+    CONFIG, OPEN, SETUP, START, accept, at_host, connect, make_handler, free_ports, logged, row, serve_lines,
     serve_list, service_over, settings, up, write,
 )  # fmt: skip
 
@@ -124,7 +124,7 @@
 
 
 def test_another_discovery_and_other_limits_are_taken_while_sessions_stay(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client, host = up(d)
     service.discovery.start()
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("text", ["", "{", "[]", json.dumps(CONFIG | {"discovery": "nowhere"}), None])
 def test_an_unusable_file_is_named_and_the_old_one_kept(tmp_path, text):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     before = service.config
     (tmp_path / "c").unlink()
@@ -163,7 +163,7 @@
 
 
 def test_an_added_class_has_its_own_rules_and_a_dropped_one_lives_on_in_its_sessions(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     old, host = up(d)
     waiting = connect(d, OPEN.replace(b"9b1f", b"aaaa"))
@@ -182,7 +182,7 @@
 
 
 def test_a_connection_taken_up_after_its_class_was_dropped_stands_all_the_same(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client = connect(d, OPEN + b",at=s-0")
     write(tmp_path / "c", classes(ROW | {"name": "other"}))
@@ -223,7 +223,7 @@
     CONFIG | {"settings": SETUP | {"limits": {"mostDials": 3}}},
 ])  # fmt: skip
 def test_a_broken_file_changes_nothing_and_is_counted(tmp_path, text):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     before = service.config, d.names, d.limits, d.balancer._node.set
     write(tmp_path / "c", text)
@@ -238,7 +238,7 @@
 
 
 def test_at_the_stop_every_session_is_moved_before_the_longest_wait_is_over(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.stopped_at, d.stopping = d.clock(), True
     sessions = [up(d) for _ in range(20)]
@@ -255,18 +255,18 @@
 @pytest.mark.parametrize("longest, first, last", [(300, 450, 650), (1200, 450, 1400), (2000, 1000, 2200),
                                                   (9000, 2000, 3200)])  # fmt: skip
 def test_the_moves_of_a_stop_come_late_and_in_time(tmp_path, monkeypatch, longest, first, last):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
     at, clients = [], [up(d)[0] for _ in range(20)]
-    monkeypatch.setattr(d, "move", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
+    monkeypatch.setattr(d, "redirect", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
     service.stop()
     d.reactor.pump([0.01] * 400)
     assert len(at) == len(clients) and first <= at[0] <= first + 20 and at[-1] <= last
 
 
 def test_sweeping_goes_on_after_a_fault(tmp_path, monkeypatch):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     swept = []
     monkeypatch.setattr(service, "sweep", lambda: swept.append(1) or 1 // (len(swept) - 1))
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -25,16 +25,16 @@
     def __init__(self, hosts=2, nodes=3, grace=0.25, **parts):
         super().__init__(hosts=hosts, **parts)
         self.agent = Peer()
-        self.desk.source = self.watch = Discovery(
-            self.reactor, f"127.0.0.1:{self.agent.port}", 1, self.desk.listed, self.desk.discovery_spoke,
-            lambda *_: None, BackOff(7, nodes), self.away, grace / 2,
+        self.handler.source = self.watch = Discovery(
+            self.reactor, f"127.0.0.1:{self.agent.port}", 1, self.handler.update_roster,
+            self.handler.discovery_heard, lambda *_: None, BackOff(7, nodes), self.away, grace / 2,
         )  # fmt: skip
         self.watch.start()
-        self.desk.turn_at = self.desk.read_clock()
+        self.handler.last_turn_at = self.handler.read_clock()
 
     def away(self):
-        self.desk.clock()
-        return bool(self.desk.stall)
+        self.handler.clock()
+        return bool(self.handler.stall)
 
     def row(self, h, state="Ready"):
         return row(f"s-{h}", state, self.hosts[h].port)
@@ -58,7 +58,7 @@
         self.reactor.now += seconds
 
     def sweeps(self):
-        self.desk.sweep()
+        self.handler.sweep()
 
     def sent(self, h):
         """What has come to the host, on all its connections."""
@@ -95,7 +95,7 @@
             lo.sweeps()
             lo.reactor.turn(0.0005)
         lo.comes_up(s)
-        assert not lo.desk.stall and not lo.sent(first)
+        assert not lo.handler.stall and not lo.sent(first)
     lo.reactor.settle()
     assert not lo.sent(first) and lo.sent(1 - first).startswith(b"OPEN ")
 
@@ -118,7 +118,7 @@
     lo.stand(3.0)
     client = lo.client(OPEN.replace(b"d=1200", b"d=9000"))
     lo.reactor.pass_time(0.06, step=0.01)
-    assert lo.desk.stall and lo.agent.accept()
+    assert lo.handler.stall and lo.agent.accept()
     lo.agent.accepted[-1].send(HEADERS)
     lo.reactor.pass_time(0.06, step=0.01)
     assert not lo.sent(0) and not lo.sent(1)
@@ -259,7 +259,7 @@
     clients = [started.client(opening(n)) for n in range(8)]
     started.reactor.until(started.agent.accept)
     started.reactor.pass_time(0.06, step=0.01)
-    assert not started.sent(0) and not started.sent(1) and len(started.service.desk.sessions.by_index) == 8
+    assert not started.sent(0) and not started.sent(1) and len(started.service.handler.sessions.by_index) == 8
     list_socket = started.agent.accepted[0]
     list_socket.send(HEADERS)
     started.reactor.pass_time(0.06, step=0.01)
@@ -326,7 +326,7 @@
     lo.stand(0.6 + stall)
     lo.reactor.until(lo.agent.accept)
     lo.stand(ANSWER - stall - 0.05 if stall < 0.5 else ANSWER - 0.05)
-    lo.desk.turn_at = lo.desk.read_clock()
+    lo.handler.last_turn_at = lo.handler.read_clock()
     lo.reactor.settle(6)
     assert lo.watch.asked is not None and not lo.agent.accept()
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,7 +2,7 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Wire, accept, ask, connect, desk, dials, entry, figures, lost, node, opening, row,
+    OPEN, START, Wire, accept, ask, connect, make_handler, dials, entry, figures, lost, node, opening, row,
     service_over, standing, up,
 )  # fmt: skip
 
@@ -50,12 +50,12 @@
     ([b"readyz\r\nreadyz\r\n"], [b"ACK"]), ([b"x" * 600], [b"NAK long-line"]), ([b"ready"], []),
 ])  # fmt: skip
 def test_a_caller_gets_one_answer_to_one_call(pieces, answer):
-    front = Front(desk().reactor, calls())
+    front = Front(make_handler().reactor, calls())
     assert caller(front, *pieces).transport.lines() == answer
 
 
 def test_callers_that_say_nothing_are_ended_and_never_stand_before_a_call():
-    reactor = desk().reactor
+    reactor = make_handler().reactor
     front = Front(reactor, calls())
     idle = [caller(front, b"rea") for _ in range(MOST_CALLERS)]
     assert caller(front, b"readyz\n").transport.lines() == [b"ACK"] and idle[0].transport.ended == "reset"
@@ -65,7 +65,7 @@
 
 
 def test_a_caller_that_ends_its_side_at_once_is_answered_all_the_same():
-    front = Front(desk().reactor, calls())
+    front = Front(make_handler().reactor, calls())
     c = caller(front, b"readyz\n")
     c.readConnectionLost()
     assert c.transport.lines() == [b"ACK"] and c.transport.ended == "end"
@@ -81,7 +81,7 @@
 
 
 def test_what_is_served_counts_once_and_stays_open_until_its_end():
-    d = desk()
+    d = make_handler()
     client, host = up(d)
     assert counts(d) == ([1, 0, 0], 1) and d.gauges()["open_requests"] == 1
     host.dataReceived(b"BYE\r\n")
@@ -90,7 +90,7 @@
 
 
 def test_a_refusal_of_all_hosts_counts_once_and_each_head_that_went_out():
-    d = desk(hosts=3)
+    d = make_handler(hosts=3)
     client = connect(d, OPEN)
     for _ in range(3):
         accept(d).dataReceived(b"BUSY\r\n")
@@ -98,7 +98,7 @@
 
 
 def test_a_dial_that_breaks_before_its_head_is_no_attempt():
-    d = desk()
+    d = make_handler()
     connect(d, OPEN)
     wire = Wire()
     wire.broken = True
@@ -112,7 +112,7 @@
     (32, OPEN, [0, 1, 0]),
 ])  # fmt: skip
 def test_who_is_turned_away_at_the_door_counts_under_a_class_of_the_settings(sockets, line, expected):
-    d = desk(sockets=sockets)
+    d = make_handler(sockets=sockets)
     if sockets == 32:
         d.budget.used = 32
     connect(d, line)
@@ -120,7 +120,7 @@
 
 
 def test_a_client_that_left_before_its_answer_counts_nowhere():
-    d = desk()
+    d = make_handler()
     client = connect(d, opening(1))
     accept(d)
     lost(client)
@@ -143,7 +143,7 @@
 
 def hands(tmp_path, hosts=2):
     """A service over a desk in memory, with its table of calls."""
-    d = desk(hosts=hosts)
+    d = make_handler(hosts=hosts)
     return d, service_over(d, tmp_path)
 
 
@@ -178,8 +178,8 @@
     d, service = hands(tmp_path)
     for _ in range(3):
         assert say(service, b"exclude s-0") == "ACK"
-    d.listed(False, news)
-    d.listed(False, [row("s-0")])
+    d.update_roster(False, news)
+    d.update_roster(False, [row("s-0")])
     for _ in range(12):
         connect(d, opening(d.sessions.created_count))
     assert {port for _, port, *_ in d.reactor.tcpClients} == {9001}
@@ -190,7 +190,7 @@
 def test_a_call_back_gives_what_the_list_says_then(tmp_path):
     d, service = hands(tmp_path)
     say(service, b"exclude s-0")
-    d.listed(False, [row("s-0", "Terminating")])
+    d.update_roster(False, [row("s-0", "Terminating")])
     say(service, b"include s-0")
     assert not d.balancer.accepts_sessions(0)
 
@@ -322,12 +322,12 @@
 
 
 def test_a_successor_learns_what_the_one_before_knew_of_each_host():
-    d, later = desk(hosts=3), desk(hosts=0)
+    d, later = make_handler(hosts=3), make_handler(hosts=0)
     n = d.balancer._node
     n.unit, n.each, n.able[1] = 4000.0, 25.0, 5000.0
-    later.listed(True, [row("s-2", port=9002), row("s-1", port=9001)])
+    later.update_roster(True, [row("s-2", port=9002), row("s-1", port=9001)])
     memory = d.balancer.learned_state()
-    later.remember(memory, dict(zip(d.hosts.uids, memory["able"], strict=True)))
+    later.restore_learned_state(memory, dict(zip(d.hosts.uids, memory["able"], strict=True)))
     m = later.balancer._node
     assert (m.unit, m.each, m.able[later.hosts.index_by_uid["s-1"]]) == (4000.0, 25.0, 5000.0)
 
@@ -357,7 +357,7 @@
 def tables(d):
     n = d.balancer._node
     return (
-        len(d.sessions.by_index), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle),
+        len(d.sessions.by_index), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle_clients),
         d.budget.client_connections, d.budget.session_count, len(n.sessions), sum(n.held), sum(n.dialing),
         sum(map(len, n.standing)),
         len(n.mine), len(d.balancer._dials), sum(map(len, n.lookers)),
@@ -406,7 +406,7 @@
 ])  # fmt: skip
 @pytest.mark.parametrize("clean", [True, False])
 def test_clients_that_walk_away_in_any_state_leave_nothing_behind(state, clean):
-    d = desk(hosts=3)
+    d = make_handler(hosts=3)
     start = tables(d)
     for _ in range(100):
         client, host = state(d)
@@ -421,7 +421,7 @@
 
 @pytest.mark.parametrize("cut", range(1, 9))
 def test_lines_cut_at_any_byte_are_passed_on_whole(cut):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client = connect(d)
     line = OPEN + b"\r\n"
     at = len(line) - cut
@@ -435,8 +435,8 @@
 
 
 def test_a_move_of_the_nodes_own_never_falls_into_a_line(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     host.dataReceived(b"whole\r\nha")
-    d.move(next(iter(d.sessions.by_index.values())), "stop")
+    d.redirect(next(iter(d.sessions.by_index.values())), "stop")
     assert client.transport.value() == b"whole\r\nMOVE\r\n"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 import tomli_w
-from helpers import CONFIG, Wire, desk, free_ports, service_over, write
+from helpers import CONFIG, Wire, make_handler, free_ports, service_over, write
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
@@ -271,7 +271,7 @@
 
 
 def owned_node(tmp_path):
-    d = desk(hosts=8)
+    d = make_handler(hosts=8)
     service = service_over(d, tmp_path)
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
     owned = service.owned = Owned(d.reactor, d, owners, "n0", 4, service.bans_of)
@@ -306,7 +306,7 @@
 
 def test_what_lay_there_while_the_node_slept_is_refused(tmp_path):
     d, _, owned = owned_node(tmp_path)
-    d.turn_at = d.clock()
+    d.last_turn_at = d.clock()
     d.reactor.rightNow += 30.0
     assert act(owned, "census", 1, {"epoch": 0, "share": 0.0, "living": 0, "nodes": 4}) == "NAK was-away"
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -190,8 +190,12 @@
     with lo.reactor.unwatched(s.client.transport):
         lo.comes_up(s)
     lo.reactor.settle()
-    assert not read_all(host)[0] and not lo.desk.sessions.by_index and lo.desk.metrics.relayed_requests == 0
-    assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
+    assert (
+        not read_all(host)[0]
+        and not lo.handler.sessions.by_index
+        and lo.handler.metrics.relayed_requests == 0
+    )
+    assert not any(lo.handler.balancer._node.held + lo.handler.balancer._node.dialing)
 
 
 def test_no_dial_begins_for_a_client_whose_end_lies_there_as_the_timer_runs(loop):
@@ -205,8 +209,8 @@
     with lo.reactor.unwatched(s.client.transport):
         lo.reactor.settle()
     lo.reactor.settle()
-    assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.desk.sessions.by_index
-    assert not any(lo.desk.balancer._node.held + lo.desk.balancer._node.dialing)
+    assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.handler.sessions.by_index
+    assert not any(lo.handler.balancer._node.held + lo.handler.balancer._node.dialing)
 
 
 def test_a_client_that_does_not_wait_is_turned_away_before_its_request_goes_out(loop):
@@ -229,8 +233,8 @@
     client.close()
     lo.reactor.settle(60)
     assert (
-        not lo.desk.sessions.by_index
-        and lo.desk.budget.session_count == lo.desk.budget.client_connections == 0
+        not lo.handler.sessions.by_index
+        and lo.handler.budget.session_count == lo.handler.budget.client_connections == 0
     )
     assert read_all(host)[1]
 
@@ -269,7 +273,7 @@
     lo = loop()
     client, s = lo.taken()
     host = lo.hold(s)
-    lo.desk.listed(False, [row("s-0", port=lo.hosts[0].port, boot=born)])
+    lo.handler.update_roster(False, [row("s-0", port=lo.hosts[0].port, boot=born)])
     lo.comes_up(s)
     assert bool(lines_at(host)) is not bool(born)
 
@@ -281,7 +285,7 @@
     host = lo.hold(s)
     s.dial_timer.cancel()  # a timer that runs after the sockets of its turn
     lo.reactor.now += after
-    lo.desk.turn_at = lo.desk.read_clock()
+    lo.handler.last_turn_at = lo.handler.read_clock()
     lo.comes_up(s)
     assert bool(lines_at(host)) is sent
 
@@ -331,7 +335,7 @@
 def resting(lo):
     """A client that has connected, was let in and has said nothing."""
     client = lo.client()
-    lo.reactor.until(lambda: lo.desk.idle)
+    lo.reactor.until(lambda: lo.handler.idle_clients)
     return client
 
 
@@ -340,9 +344,9 @@
     lo = loop()
     client = resting(lo)
     lo.reactor.now += 2.1
-    lo.desk.turn_at = lo.desk.read_clock()
+    lo.handler.last_turn_at = lo.handler.read_clock()
     client.sendall(OPEN + b"\r\n")
-    lo.desk.sweep()
+    lo.handler.sweep()
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "")
@@ -352,28 +356,28 @@
     lo = loop()
     client = resting(lo)
     lo.reactor.now += 2.1
-    lo.desk.turn_at = lo.desk.read_clock()
-    lo.desk.sweep()
+    lo.handler.last_turn_at = lo.handler.read_clock()
+    lo.handler.sweep()
     lo.reactor.settle()
     client.send(OPEN + b"\r\n")  # read after the shutdown: never sent on, and answered by what went before
     lo.reactor.settle()
     assert read_all(client) == (b"BUSY\r\n", "end") and not lo.hosts[0].accept()
-    assert not lo.desk.sessions.by_index
+    assert not lo.handler.sessions.by_index
 
 
 def test_the_answer_is_read_though_more_lines_come_while_sockets_are_short(loop):
     # Danger: closed over unread lines the connection is reset, and the answer goes with it.
     lo = loop(sockets=20)
     client = lo.client()
-    lo.reactor.until(lambda: lo.desk.idle)
-    lo.desk.budget.limit = 0
+    lo.reactor.until(lambda: lo.handler.idle_clients)
+    lo.handler.budget.limit = 0
     client.sendall(OPEN + b"\r\n")
-    (conn,) = lo.desk.idle
+    (conn,) = lo.handler.idle_clients
     lo.reactor.until(lambda: conn.closing)
     client.sendall(b"more\r\n" * 50)
     lo.reactor.pass_time(0.2, step=0.01)
     data, end = read_all(client)
-    assert data.startswith(b"BUSY") and end == "end" and lo.desk.budget.client_connections == 0
+    assert data.startswith(b"BUSY") and end == "end" and lo.handler.budget.client_connections == 0
 
 
 def test_half_a_line_of_a_host_at_a_move_does_not_reach_the_client(loop):
@@ -384,7 +388,7 @@
     lo.reactor.until(lambda: s.established_at)
     host.send(b"half of a")
     lo.reactor.settle()
-    lo.desk.move(s, "stop")
+    lo.handler.redirect(s, "stop")
     host.send(b" line\r\n")
     lo.reactor.settle()
     assert read_all(client) == (b"UP r1\r\nMOVE\r\n", "end")
@@ -411,7 +415,7 @@
         with suppress(OSError):
             host.send(b"x")
         lo.reactor.pass_time(0.05)
-    assert lines_at(client) == [b"ERR"] and not lo.desk.sessions.by_index
+    assert lines_at(client) == [b"ERR"] and not lo.handler.sessions.by_index
 
 
 # ---- the stop
@@ -421,9 +425,9 @@
 def stopping(loop, tmp_path):
     """A service over a loopback desk that has been told to end, and when it has ended."""
     lo = loop()
-    service = service_over(lo.desk, tmp_path)
+    service = service_over(lo.handler, tmp_path)
     service.port, service.takes, service.ended = lo.port, True, []
-    lo.desk.accepting = service.accept
+    lo.handler.set_accepting = service.accept
     lo.reactor.stop = lambda: service.ended.append(lo.reactor.now)
     service.stop()
     return lo, service
@@ -435,7 +439,7 @@
         lo.reactor.now += step
         for _ in range(2):
             lo.reactor.turn(0.0002)
-        lo.desk.turn_at = lo.desk.read_clock()
+        lo.handler.last_turn_at = lo.handler.read_clock()
         for peer in lo.hosts:
             while peer.accept():
                 peer.accepted[-1].send(b"UP r1\r\n")
@@ -479,7 +483,7 @@
     lo, service = stopping
     client = resting(lo)
     lo.reactor.now += 0.6
-    lo.desk.turn_at = lo.desk.read_clock()
+    lo.handler.last_turn_at = lo.handler.read_clock()
     client.sendall(OPEN + b"\r\n")
     service.move_some()
     serve_all(lo, 2.5)
@@ -491,7 +495,7 @@
     client = lo.client(OPEN)
     for _ in range(300):
         lo.reactor.pass_time(0.01, step=0.01)
-        lo.desk.turn_at = lo.desk.read_clock()
+        lo.handler.last_turn_at = lo.handler.read_clock()
     (line,), end = answers(client)
     assert line.startswith(b"BUSY") and end == "end" and service.ended[0] < 1.2 + 0.7 + 0.5
 
@@ -522,15 +526,15 @@
     lo = loop(sockets=64)
     idle = [lo.client() for _ in range(60)]
     lo.reactor.settle(100)
-    held = lo.desk.budget.client_connections
-    budget = lo.desk.budget
+    held = lo.handler.budget.client_connections
+    budget = lo.handler.budget
     assert (
         held + budget.used + budget.probe_descriptors < 64 - 4
     )  # a connection to discovery, a probe, an accept
     client = lo.client(OPEN)  # behind all of them
     for _ in range(6):
         serve_all(lo, 0.25)
-        lo.desk.sweep()
+        lo.handler.sweep()
     assert answers(client)[0] == [b"UP r1"] and sum(bool(read_all(c)[1]) for c in idle) >= held
 
 
@@ -542,7 +546,7 @@
     for step in range(60):
         serve_all(lo, 0.01)
         if step % 25 == 24:
-            lo.desk.sweep()
+            lo.handler.sweep()
     assert answers(client)[0] == [b"UP r1"]
     for idle in crowd:
         idle.close()
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -1,7 +1,7 @@
 """Connections that stood at their servers before a node started, and come back to it with `at=`."""
 
 import pytest
-from helpers import UP_WITHIN, OPEN, accept, connect, desk, logged, lost, opening_at, row, up
+from helpers import UP_WITHIN, OPEN, accept, connect, make_handler, logged, lost, opening_at, row, up
 from twisted.internet.error import ConnectionRefusedError as Refused
 from twisted.python.failure import Failure
 
@@ -30,28 +30,28 @@
 
 # guards against: a standing connection lost as the list of the node's start does not name its server yet
 def test_a_connection_whose_server_is_told_late_comes_up():
-    d = desk()
+    d = make_handler()
     client = standing(d, "s-9")
     pass_time(d, 5.0)
     assert client.transport.lines() == []
-    d.listed(False, [row("s-9", port=9009)])
+    d.update_roster(False, [row("s-9", port=9009)])
     pass_time(d, 0.5)
     assert d.reactor.tcpClients[-1][1] == 9009 and comes_up(d, client)
 
 
 # guards against: a standing connection closed unanswered, as only a call of an operator has named its server
 def test_a_connection_whose_server_has_no_address_yet_waits_for_it():
-    d = desk()
-    d.ban("s-9", True)
+    d = make_handler()
+    d.set_ban("s-9", True)
     client = standing(d, "s-9")
-    d.listed(False, [row("s-9", port=9009)])
+    d.update_roster(False, [row("s-9", port=9009)])
     pass_time(d, 0.5)
     assert comes_up(d, client)
 
 
 # guards against: a standing connection refused for want of descriptors, which it had before the node's start
 def test_a_connection_that_finds_no_descriptor_waits_for_one():
-    d = desk(sockets=40)
+    d = make_handler(sockets=40)
     others = [up(d) for _ in range(d.budget.session_headroom)]
     idle = [connect(d) for _ in range(d.budget.free_descriptors - 1)]
     client = standing(d, number=99)
@@ -64,7 +64,7 @@
 
 # guards against: descriptors used past the limit, as many connections that stood come back in one instant
 def test_connections_that_come_back_together_stay_within_the_descriptors():
-    d = desk(sockets=200)
+    d = make_handler(sockets=200)
     clients = []
     while more := d.budget.acceptable_clients:
         clients += [connect(d) for _ in range(more)]
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("host", ["s-9", "s-0"])
 @pytest.mark.parametrize("wait, within", [(b"9223372036854", UP_WITHIN), (b"2000", 2.0)])
 def test_a_connection_that_cannot_be_taken_up_is_answered_in_its_time(host, wait, within, log):
-    d = desk()
+    d = make_handler()
     client = standing(d, host, wait=wait)
     for _ in range(round(within / 0.1)):
         for *_, factory, _, _ in d.reactor.tcpClients[-1:]:
@@ -95,7 +95,7 @@
 
 # guards against: no answer in its time from a node whose server has taken the line and says nothing
 def test_a_connection_whose_server_says_nothing_is_answered_in_its_time():
-    d = desk()
+    d = make_handler()
     client = standing(d, wait=b"2000")
     accept(d)
     d.reactor.advance(1.99)
@@ -104,7 +104,7 @@
 
 # guards against: a descriptor counted for good for a client that left while it waited to be taken up
 def test_a_client_that_leaves_while_it_waits_is_not_counted_any_more():
-    d = desk()
+    d = make_handler()
     room = d.budget.session_headroom
     lost(standing(d, "s-9"))
     pass_time(d, 1.0)
@@ -113,7 +113,7 @@
 
 # guards against: new clients let in on descriptors that connections from before the start still need
 def test_new_clients_are_refused_while_those_that_stood_need_the_room():
-    d = desk(sockets=100)
+    d = make_handler(sockets=100)
     for i in range(d.budget.session_headroom):
         standing(d, "s-9", number=i)
     client = connect(d, OPEN)
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -10,8 +10,8 @@
 
 import pytest
 from helpers import (
-    CONFIG, SETUP, desk, free_ports, logged, ping_until_ready, row, serve_lines, serve_list, service_over,
-    write,
+    CONFIG, SETUP, free_ports, logged, make_handler, ping_until_ready, row, serve_lines, serve_list,
+    service_over, write,
 )  # fmt: skip
 
 from caperdeck.core.quotas import ROOM_BUDGET
@@ -91,7 +91,7 @@
     ({"settings": SETUP | {"me": 1}}, "reason=not-allowed"),
 ])  # fmt: skip
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
-    d = desk()
+    d = make_handler()
     with logged() as lines:
         assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
     assert line in lines[0]
@@ -115,7 +115,7 @@
 
 
 def made_port(uses=Uses()):  # noqa: B008
-    d = desk()
+    d = make_handler()
     port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = Out(), object()
     return d, port
@@ -142,7 +142,7 @@
 
 
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
     service.uses, service.takes = Uses(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
@@ -159,11 +159,11 @@
 
 
 def shares(cold=False):
-    d = desk()
+    d = make_handler()
     if cold:
-        d.listed(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
+        d.update_roster(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
     s = FleetState(d.balancer._node)
-    return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report)
+    return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report_event)
 
 
 def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -13,7 +13,7 @@
 
 import pytest
 from helpers import (
-    CONFIG, OPEN, SETUP, Loopback, connect, desk, logged, lost, made_and_closed, opening, read_all,
+    CONFIG, OPEN, SETUP, Loopback, connect, make_handler, logged, lost, made_and_closed, opening, read_all,
     row, service_over, up,
 )  # fmt: skip
 from test_race_conditions import answers, serve_all
@@ -74,14 +74,14 @@
 # guards against: a core in full use at a port that is read while no descriptor is left for a client
 def test_while_no_client_can_be_let_in_the_reactor_does_not_turn_on_the_port(loop, monkeypatch):
     lo = loop()
-    lo.desk.accepting = lambda on: (lo.port.startReading if on else lo.port.stopReading)()
-    lo.desk.budget.used_by_other_process = lo.desk.budget.limit
+    lo.handler.set_accepting = lambda on: (lo.port.startReading if on else lo.port.stopReading)()
+    lo.handler.budget.used_by_other_process = lo.handler.budget.limit
     client, reads, read = lo.client(OPEN), [], lo.port.doRead
     monkeypatch.setattr(lo.port, "doRead", lambda: reads.append(read()))
     lo.reactor.settle(50)
     assert len(reads) == 1
-    lo.desk.budget.used_by_other_process = 0
-    lo.desk.sweep()
+    lo.handler.budget.used_by_other_process = 0
+    lo.handler.sweep()
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "")
@@ -89,7 +89,7 @@
 
 def test_a_queue_that_cannot_be_let_in_just_now_is_not_closed_over_its_clients(loop, monkeypatch, tmp_path):
     lo = loop()
-    service = service_over(lo.desk, tmp_path)
+    service = service_over(lo.handler, tmp_path)
     service.port, service.takes, ended = lo.port, True, []
     lo.reactor.stop = lambda: ended.append(lo.reactor.now)
     service.stop()
@@ -116,14 +116,14 @@
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "") and s.dial == 0
-    assert lo.desk.balancer._node.ill == [0.0]
+    assert lo.handler.balancer._node.ill == [0.0]
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_a_dial_that_finds_no_socket_for_a_moment_is_made_a_moment_later(loop, monkeypatch, number):
     lo = loop(mostDials=2)
     client = lo.client(OPEN)
-    lo.reactor.until(lambda: lo.desk.idle)
+    lo.reactor.until(lambda: lo.handler.idle_clients)
     kind, left = socket.socket, [number] * 3
 
     def scarce(*arguments, **named):
@@ -168,7 +168,7 @@
     host = lo.hold(s)
     Faulty(monkeypatch, "recv", [number])
     lo.comes_up(s)
-    assert read_all(host)[0] == b"" and not lo.desk.sessions.by_index
+    assert read_all(host)[0] == b"" and not lo.handler.sessions.by_index
 
 
 # setsockopt(2) on a connection that has broken by the time that it is accepted
@@ -176,10 +176,10 @@
     lo = loop()
     Faulty(monkeypatch, "setsockopt", [errno.EINVAL])
     client = lo.client()
-    lo.reactor.until(lambda: lo.desk.idle)
+    lo.reactor.until(lambda: lo.handler.idle_clients)
     client.close()
     lo.reactor.settle()
-    assert lo.desk.budget.client_connections == 0 and not lo.desk.idle
+    assert lo.handler.budget.client_connections == 0 and not lo.handler.idle_clients
 
 
 def test_a_start_waits_for_what_the_machine_lacks_for_a_moment_and_for_nothing_else(monkeypatch):
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 def test_bans_that_cannot_be_written_hold_at_a_successor_all_the_same(tmp_path, monkeypatch, number):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with logged() as lines:
@@ -243,7 +243,7 @@
 def stopping(loop, tmp_path):
     """A service over a loopback desk that has been told to end; the longest wait of a client is 1.2 s."""
     lo = loop(mostDials=1)
-    service = service_over(lo.desk, tmp_path)
+    service = service_over(lo.handler, tmp_path)
     service.port, service.takes = lo.port, True
     lo.reactor.stop = lambda: None
     service.stop()
@@ -258,7 +258,7 @@
     end = lo.reactor.now + seconds
     while lo.reactor.now < end:
         lo.reactor.pass_time(0.01, step=0.01)
-        lo.desk.turn_at = lo.desk.read_clock()
+        lo.handler.last_turn_at = lo.handler.read_clock()
 
 
 @pytest.mark.parametrize("at", [0.0, 0.6, 1.0, 1.15, 1.39, 1.6, 1.8])
@@ -268,17 +268,17 @@
     pass_while_hosts_hang(lo, at)
     client = lo.client(opening(1))
     pass_while_hosts_hang(lo, KILLED - at - 0.05)
-    assert not lo.desk.sessions.by_index
+    assert not lo.handler.sessions.by_index
     for each in (before, client):
         (line,), end = answers(each)
         assert line.split()[0] in (b"BUSY", b"ERR") and end == "end"
 
 
 def test_a_session_that_fails_to_move_does_not_keep_the_process_from_ending(tmp_path, monkeypatch):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     bad, good = up(d)[0], up(d)[0]
-    move, ended = d.move, []
+    move, ended = d.redirect, []
     service.reactor.stop = lambda: ended.append(True)
 
     def fails_once(s, reason, failures=[True]):  # noqa: B006
@@ -286,7 +286,7 @@
             raise RuntimeError(failures.pop())
         move(s, reason)
 
-    monkeypatch.setattr(d, "move", fails_once)
+    monkeypatch.setattr(d, "redirect", fails_once)
     service.stop()
     with suppress(RuntimeError):
         d.reactor.advance(0.5)
@@ -313,7 +313,7 @@
 
 
 def test_a_session_whose_timer_was_lost_is_answered_all_the_same():
-    d = desk(mostDials=1)
+    d = make_handler(mostDials=1)
     client = connect(d, opening(1))
     (s,) = d.sessions.by_index.values()
     s.dial_timer.cancel()
@@ -326,7 +326,7 @@
 
 
 def test_why_sessions_and_dials_ended_is_told_in_the_log_and_in_the_figures():
-    d = desk(mostDials=1)
+    d = make_handler(mostDials=1)
     with logged() as lines:
         connect(d, opening(1))
         for _ in range(12):
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -21,7 +21,8 @@
 import orjson
 import pytest
 from helpers import (
-    OPEN, START, accept, ask, connect, desk, dials, entry, figures, logged, opening, service_over, settings,
+    OPEN, START, accept, ask, connect, dials, entry, figures, logged, make_handler, opening, service_over,
+    settings,
 )  # fmt: skip
 from node_processes import NodeProcesses, StandIns, until
 from test_upgrade import PortNumber, names, raised, sides
@@ -123,7 +124,7 @@
 
 def both(folder, hosts=2):
     """Two services of one node that have not met, each over a desk of its own."""
-    return [service_over(desk(hosts=hosts), folder) for _ in range(2)]
+    return [service_over(make_handler(hosts=hosts), folder) for _ in range(2)]
 
 
 def say(service, line):
@@ -134,9 +135,9 @@
 
 def test_a_request_whose_host_was_taken_out_at_the_other_process_meanwhile_is_not_sent(tmp_path):
     here, there = both(tmp_path, hosts=1)
-    client = connect(here.desk, OPEN)
+    client = connect(here.handler, OPEN)
     assert say(there, b"exclude s-0") == "ACK"
-    host = accept(here.desk)
+    host = accept(here.handler)
     assert host.transport.value() == b"" and not client.transport.value().startswith(b"UP")
 
 
@@ -144,10 +145,10 @@
     here, there = both(tmp_path)
     assert say(there, b"exclude s-0") == "ACK"
     here.sweep()
-    assert not here.desk.balancer.accepts_sessions(0) and list(here.bans.uids) == ["s-0"]
+    assert not here.handler.balancer.accepts_sessions(0) and list(here.bans.uids) == ["s-0"]
     assert say(here, b"include s-0") == "ACK"
     there.sweep()
-    assert there.desk.balancer.accepts_sessions(0) and not there.bans.uids
+    assert there.handler.balancer.accepts_sessions(0) and not there.bans.uids
 
 
 def test_calls_to_both_processes_at_once_are_all_kept(tmp_path):
@@ -173,11 +174,11 @@
     with monkeypatch.context() as full:
         full.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.EIO))
         here.calls.call(b"exclude s-0", said.append)
-        here.desk.reactor.pump([0.02] * 10)
-        assert not said and not here.desk.balancer.accepts_sessions(0)
-    here.desk.reactor.pump([0.02] * 2)
+        here.handler.reactor.pump([0.02] * 10)
+        assert not said and not here.handler.balancer.accepts_sessions(0)
+    here.handler.reactor.pump([0.02] * 2)
     there.sweep()
-    assert said == [["ACK"]] and not there.desk.balancer.accepts_sessions(0)
+    assert said == [["ACK"]] and not there.handler.balancer.accepts_sessions(0)
 
 
 def test_a_call_back_that_no_disk_took_is_not_undone_by_the_old_file(tmp_path, monkeypatch):
@@ -186,7 +187,7 @@
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.ENOSPC))
     assert say(here, b"include s-0") is None
     here.sweep()
-    assert here.desk.balancer.accepts_sessions(0)
+    assert here.handler.balancer.accepts_sessions(0)
     successor = Bans(str(tmp_path))
     successor.adopt(list(here.bans.uids), here.bans.unsaved)
     assert not successor.uids
@@ -198,7 +199,7 @@
     assert say(here, b"exclude s-0") == "ACK"
     there.know(rows, json.loads(orjson.dumps(state)))
     here.sweep()
-    assert not here.desk.balancer.accepts_sessions(0) and not there.desk.balancer.accepts_sessions(0)
+    assert not here.handler.balancer.accepts_sessions(0) and not there.handler.balancer.accepts_sessions(0)
 
 
 def tell_state(service):
@@ -212,7 +213,7 @@
     here.sweep()
     (tmp_path / FILE).unlink()
     here.sweep()
-    assert not here.desk.balancer.accepts_sessions(0)
+    assert not here.handler.balancer.accepts_sessions(0)
     later = Bans(str(tmp_path))
     later.load()
     assert list(later.uids) == ["s-0"]
@@ -225,7 +226,7 @@
     with logged() as lines:
         here.sweep()
         here.sweep()
-    assert not here.desk.balancer.accepts_sessions(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
+    assert not here.handler.balancer.accepts_sessions(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
     assert say(here, b"exclude s-1") == "ACK"
     assert set(orjson.loads((tmp_path / FILE).read_bytes())) == {"s-0", "s-1"}
 
@@ -236,10 +237,10 @@
     fd = os.open(tmp_path, os.O_RDONLY)
     fcntl.flock(fd, fcntl.LOCK_EX)
     here.calls.call(b"exclude s-0", said.append)
-    here.desk.reactor.advance(0.02)
-    assert not said and not here.desk.balancer.accepts_sessions(0)
+    here.handler.reactor.advance(0.02)
+    assert not said and not here.handler.balancer.accepts_sessions(0)
     os.close(fd)
-    here.desk.reactor.advance(0.02)
+    here.handler.reactor.advance(0.02)
     assert said == [["ACK"]]
 
 
@@ -270,11 +271,11 @@
     here, there = both(tmp_path)
     say(here, b"exclude s-0")
     say(here, b"include s-0")
-    at = here.desk.balancer.readmitted[0]
+    at = here.handler.balancer.readmitted[0]
     rows, state, _ = tell_state(here)
     there.listen = there.discovery.start = lambda *_: None
     there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
-    node = there.desk.balancer._node
+    node = there.handler.balancer._node
     assert node.started_at[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
     assert node._warmth(at + 1.0, 1) == 1.0
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import (
-    connect, desk, opening, row, service_over, up,
+    connect, make_handler, opening, row, service_over, up,
 )  # fmt: skip
 from node_processes import NodeProcesses, StandIns, until
 from twisted.internet.task import Clock
@@ -279,7 +279,7 @@
 
 
 def test_an_address_that_cannot_be_had_just_now_is_tried_until_it_can(tmp_path, monkeypatch):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     left, made = [3], Doorbell.__init__
 
@@ -343,13 +343,13 @@
 
 
 def test_bans_and_hosts_are_told_whole(tmp_path):
-    d = desk(hosts=2)
+    d = make_handler(hosts=2)
     service = service_over(d, tmp_path)
-    d.listed(False, [row("s-1", "Terminating")])
+    d.update_roster(False, [row("s-1", "Terminating")])
     service.calls.call(b"exclude s-0", lambda answer: None)
     rows = {r["uid"]: r["state"] for r in d.hosts.export_rows()}
     assert rows == {"s-0": "Ready", "s-1": "Terminating"}
-    later = desk(hosts=0)
+    later = make_handler(hosts=0)
     successor = service_over(later, tmp_path)
     successor.know(d.hosts.export_rows(), {"bans": ["s-0"]})
     assert not later.balancer.accepts_sessions(later.hosts.index_by_uid["s-0"])
@@ -357,7 +357,7 @@
 
 
 def test_a_process_that_has_given_its_port_takes_nobody_and_is_not_ready(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     said = []
     service.calls.call(b"readyz", said.append)
@@ -368,7 +368,7 @@
 
 
 def test_a_call_that_comes_before_the_list_waits_for_it(tmp_path):
-    d = desk(hosts=0)
+    d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
     said = []
     service.calls.call(b"exclude s-0", said.append)
@@ -379,7 +379,7 @@
 
 
 def test_an_incumbent_that_is_told_to_stop_hands_on_before_it_ends(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.port = Port()
     service.take_clients()
@@ -408,7 +408,7 @@
 
 
 def test_a_port_that_was_given_is_read_again_once_the_successor_has_gone(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path, admin_addr=None)
     service.port = Port()
     service.take_clients()
@@ -423,7 +423,7 @@
 
 
 def test_a_successor_that_is_stopped_before_it_took_over_takes_nothing(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.upgrade.side = Successor(d.reactor, Wired(), service.upgrade)
     d.reactor.stop = lambda: d.reactor.callLater(0, ended.append, 1)
@@ -520,9 +520,9 @@
 
 
 def test_all_that_a_process_knows_goes_into_packets(tmp_path):
-    d = desk(hosts=0)
+    d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
-    d.listed(True, [row("s-0", boot=1_790_000_000_000), row("s-1")])
+    d.update_roster(True, [row("s-0", boot=1_790_000_000_000), row("s-1")])
     up(d)
     service.ban_calls.begin()
     for call in (b"exclude s-0", b"include s-0", b"exclude s-1"):
@@ -531,20 +531,20 @@
     rows, state, _ = service.upgrade.tell_state()
     sent = json.loads(encode({"say": "state", "rows": rows, **state}))
     assert sent["rows"][0]["start"][0] == 1_790_000_000_000 and sent["bans"] == ["s-1"]
-    later = service_over(desk(hosts=0), tmp_path)
+    later = service_over(make_handler(hosts=0), tmp_path)
     later.listen = later.discovery.start = lambda *_: None
     later.upgrade.take_state(sent["rows"], sent, [0])
-    assert later.desk.hosts.export_starts() == d.hosts.export_starts() and list(later.bans.uids) == ["s-1"]
+    assert later.handler.hosts.export_starts() == d.hosts.export_starts() and list(later.bans.uids) == ["s-1"]
     assert json.loads(encode({"slots": service.upgrade.hand_over_slots(), "held": 1}))
 
 
 # guards against: an upgrade that ends the link, as what is told of thousands of servers is over a packet
 @pytest.mark.parametrize("uid", ["s-{:08x}", "slot-server-{:04}.portland-east.cells.example.org-long-name"])
 def test_the_state_of_the_largest_fleet_fits_into_its_packets(tmp_path, uid):
-    d = desk(hosts=0)
+    d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
     started = unix_time() - 1000.0
-    d.listed(True, [row(uid.format(i), boot=started + i / 10) for i in range(3200)])
+    d.update_roster(True, [row(uid.format(i), boot=started + i / 10) for i in range(3200)])
     node = d.balancer._node
     node.able = [123.456789012345678 + i for i in range(3200)]
     node.in_turn = [True] * 3200
@@ -557,12 +557,12 @@
     side.received({"say": "take"}, [])
     assert len(node.cold) == 3200 and max(map(len, sent)) < LARGEST
     assert sum(len(json.loads(packet).get("slots", ())) for packet in sent) == 3200
-    later = service_over(desk(hosts=0), tmp_path)
+    later = service_over(make_handler(hosts=0), tmp_path)
     later.listen = later.discovery.start = later.begin = lambda *_: None
     successor = Successor(later.reactor, Wired(), later.upgrade)
     for packet in sent:
         successor.received(json.loads(packet), [0])
-    learned = later.desk.balancer._node
+    learned = later.handler.balancer._node
     assert learned.able == node.able and sum(learned.in_turn) == 3200
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from helpers import OPEN, Wire, accept, connect, desk, logged, lost, opening, row, up
+from helpers import OPEN, Wire, accept, connect, make_handler, logged, lost, opening, row, up
 from twisted.internet.error import ConnectionRefusedError as Refused
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
@@ -59,7 +59,7 @@
 def test_a_broken_first_line_is_answered_and_named(line, log):
     with pytest.raises(RequestError):
         parse_request(line)
-    client = connect(desk(), line)
+    client = connect(make_handler(), line)
     assert client.transport.lines() == [b"ERR"] and client.transport.ended == "end"
     assert reasons(log) == ["bad-line"]
 
@@ -78,7 +78,7 @@
     (OPEN + b",x=" + b"y" * 5000, "long-line"),
 ])  # fmt: skip
 def test_a_client_that_cannot_be_served_is_told_and_the_reason_logged(line, reason, log):
-    d = desk()
+    d = make_handler()
     client = connect(d, line)
     assert client.transport.lines() == [b"ERR"] and reasons(log) == [reason]
     lost(client)
@@ -86,14 +86,14 @@
 
 
 def test_the_front_is_answered_until_the_stop():
-    d = desk()
+    d = make_handler()
     assert connect(d, b"PING", b"PING").transport.lines() == [b"PONG", b"PONG"]
     d.stopping = True
     assert connect(d, b"PING").transport.lines() == []
 
 
 def test_a_session_is_served_and_its_lines_passed_on_both_ways(log):
-    d = desk()
+    d = make_handler()
     client = connect(d, OPEN)
     host = accept(d)
     assert host.transport.lines() == [OPEN.replace(b"d=1200", b"d=180")]
@@ -109,7 +109,7 @@
 
 
 def test_a_client_that_does_not_wait_for_its_answer_never_reaches_a_host(log):
-    d = desk()
+    d = make_handler()
     client = connect(d)
     client.dataReceived(b"\r\n".join([OPEN] * 300) + b"\r\n")
     assert client.transport.lines() == [b"ERR"] and reasons(log) == ["did-not-wait"]
@@ -117,7 +117,7 @@
 
 
 def test_the_id_of_another_clients_open_session_is_turned_away(log):
-    d = desk()
+    d = make_handler()
     first, other = connect(d, OPEN), connect(d, OPEN)
     assert (first.transport.lines(), other.transport.lines()) == ([], [b"ERR"])
     lost(first)
@@ -125,7 +125,7 @@
 
 
 def test_a_side_that_does_not_read_stops_the_other():
-    client, host = up(desk())
+    client, host = up(make_handler())
     assert client.transport.producer is host and host.transport.producer is client
     client.transport.producer.pauseProducing()
     assert host.transport.producerState == "paused"
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("clean, ended", [(True, "end"), (False, "reset")])
 def test_one_side_is_ended_as_the_other_was(clean, ended, log):
-    d = desk()
+    d = make_handler()
     client, host = up(d)
     lost(client, clean)
     assert host.transport.ended == ended
@@ -145,7 +145,7 @@
 
 
 def test_the_answer_goes_out_though_its_host_breaks_at_once():
-    d = desk()
+    d = make_handler()
     client = connect(d, OPEN)
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
@@ -154,7 +154,7 @@
 
 
 def test_a_client_that_leaves_takes_its_dial_with_it(log):
-    d = desk()
+    d = make_handler()
     client = connect(d, OPEN)
     host = accept(d)
     lost(client)
@@ -166,7 +166,7 @@
 
 
 def test_a_client_that_says_nothing_is_closed_in_time():
-    d = desk()
+    d = make_handler()
     client = connect(d)
     d.reactor.advance(2.2)
     d.sweep()
@@ -182,10 +182,10 @@
     lambda host: host.dataReceived(b"x" * 5000),
     lambda host: lost(host, False),
     lambda host: lost(host),
-    lambda host: host.desk.reactor.advance(0.2),
+    lambda host: host.handler.reactor.advance(0.2),
 ])  # fmt: skip
 def test_a_dial_that_fails_is_followed_by_another(says):
-    d = desk()
+    d = make_handler()
     client = connect(d, OPEN)
     first = accept(d)
     says(first)
@@ -197,9 +197,9 @@
 
 @pytest.mark.parametrize("way", ["refused", "silent", "broken"])
 def test_a_head_that_was_never_written_has_not_run(way, monkeypatch):
-    d = desk()
+    d = make_handler()
     told = []
-    monkeypatch.setattr(d, "report", told.append)
+    monkeypatch.setattr(d, "report_event", told.append)
     connect(d, OPEN)
     if way == "refused":
         d.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(Refused()))
@@ -213,14 +213,14 @@
 
 
 def test_no_head_goes_to_a_host_that_began_to_drain_while_its_connection_came_up():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     connect(d, OPEN)
-    d.listed(False, [row("s-0", "Terminating")])
+    d.update_roster(False, [row("s-0", "Terminating")])
     assert accept(d).transport.lines() == []
 
 
 def test_the_answer_comes_before_the_client_stops_waiting(log):
-    d = desk(mostDials=1)
+    d = make_handler(mostDials=1)
     client = connect(d, OPEN)
     accept(d)
     d.reactor.pump([0.05] * 24)
@@ -230,7 +230,7 @@
 
 
 def test_a_client_that_its_host_sends_away_is_passed_on(log):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     host.dataReceived(b"MOVE\r\n")
     lost(host)
@@ -240,7 +240,7 @@
 
 @pytest.mark.parametrize("hosts, away, held", [(5, 1, [0]), (5, 2, [0, 1]), (5, 3, []), (1, 1, [])])
 def test_hosts_that_send_away_while_discovery_is_silent_are_held_to_drain(hosts, away, held, log):
-    d = desk(hosts=hosts)
+    d = make_handler(hosts=hosts)
     sweeps(d, 2.0)
     d.hosts.redirected_at[:away] = [d.clock()] * away
     d.sweep()
@@ -248,12 +248,12 @@
     sweeps(d, 1.0)
     assert [h for h in range(hosts) if d.hosts.states[h] is HostState.DRAINING] == held
     assert reasons(log) == ["held-to-drain"] * bool(held)
-    d.discovery_spoke()
+    d.discovery_heard()
     assert d.hosts.running_count() == hosts
 
 
 def test_a_host_that_brings_nothing_back_loses_its_clients_politely(log):
-    d = desk()
+    d = make_handler()
     client, host = up(d)
     client.dataReceived(b"one\r\n")
     sweeps(d, 1.5)
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize("alive", ["nothing", "its probe", "another line"])
 def test_a_host_that_answers_neither_line_nor_probe_loses_all_its_clients_at_once(alive, log):
     # Danger: when a zone is lost, each connection found it out for itself, 2 s after its client's next line.
-    d = desk(hosts=1, mayProbe=True)
+    d = make_handler(hosts=1, mayProbe=True)
     d.balancer.handle_event(d.clock(), ProbeCompleted(0, Outcome.GOOD, LoadReport(0.2)))
     pairs = [up(d) for _ in range(3)]
     pairs[0][0].dataReceived(b"one\r\n")
@@ -284,7 +284,7 @@
 
 
 def test_a_client_whose_machine_vanished_is_let_go_in_time(log):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     for _ in range(2):
         d.reactor.advance(25)
@@ -298,7 +298,7 @@
 
 
 def test_a_node_that_stood_still_itself_reads_before_it_judges():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     sweeps(d, 0.25)
     client.dataReceived(b"one\r\n")
@@ -310,7 +310,7 @@
 
 
 def test_a_client_that_does_not_read_does_not_make_its_host_silent():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     client.dataReceived(b"one\r\n")
     host.pauseProducing()
@@ -319,7 +319,7 @@
 
 
 def test_a_host_that_takes_nothing_any_more_is_let_go():
-    d = desk()
+    d = make_handler()
     client, host = up(d)
     lost(client)
     d.reactor.advance(1.1)
@@ -327,7 +327,7 @@
 
 
 def test_a_host_that_answers_is_kept():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client, host = up(d)
     for _ in range(3):
         client.dataReceived(b"one\r\n")
@@ -338,7 +338,7 @@
 
 @pytest.mark.parametrize("line", [b"LOAD 1500", b"LOAD", b"LOAD much", b"LOAD nan", b"LOAD -9"])
 def test_a_load_note_is_passed_on_whatever_it_holds(line):
-    d = desk()
+    d = make_handler()
     client, host = up(d)
     host.dataReceived(line + b"\r\n")
     assert client.transport.lines() == [line]
@@ -346,7 +346,7 @@
 
 
 def test_a_connection_that_stood_before_is_taken_up_at_its_host():
-    d = desk()
+    d = make_handler()
     client = connect(d, OPEN.replace(b"d=1200", b"d=100000") + b",at=s-1")
     assert d.reactor.tcpClients[-1][1] == 9001
     d.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(Refused()))
@@ -361,9 +361,9 @@
 
 
 def test_clients_are_turned_away_before_sockets_run_out(log):
-    d = desk(sockets=40)
+    d = make_handler(sockets=40)
     heard = []
-    d.accepting = heard.append
+    d.set_accepting = heard.append
     clients = [connect(d, opening(i)) for i in range(40)]
     answers = [client.transport.lines() for client in clients]
     served = answers.index([b"BUSY 500"])
@@ -375,7 +375,7 @@
 
 
 def test_no_more_clients_are_accepted_than_can_be_answered():
-    d = desk(sockets=40)
+    d = make_handler(sockets=40)
     port = ClientPort(0, ClientFactory(d))
     port.numberAccepts = 100
     idle, turns = [], []
@@ -391,7 +391,7 @@
 
 # guards against: refusals for want of descriptors that are free, as a burst is let in before its lines come
 def test_a_burst_of_clients_takes_all_the_room_that_there_is():
-    d = desk(sockets=512)
+    d = make_handler(sockets=512)
     room, fixed = d.budget.session_headroom, d.budget.used + d.budget.probe_descriptors
     clients = [connect(d) for _ in range(d.budget.acceptable_clients)]
     for i, client in enumerate(clients):
@@ -451,14 +451,14 @@
     row("s-1") | {"state": {}},
 ])  # fmt: skip
 def test_a_broken_entry_is_named_and_the_others_taken(bad, log):
-    d = desk(hosts=0)
-    d.listed(True, [bad, row("s-2")])
+    d = make_handler(hosts=0)
+    d.update_roster(True, [bad, row("s-2")])
     assert d.hosts.uids == ["s-2"] and reasons(log) == ["bad-entry"]
 
 
 def test_hosts_are_known_by_uid_wherever_they_are():
-    d = desk(hosts=1)
-    d.listed(False, [row("s-0", port=9555)])
+    d = make_handler(hosts=1)
+    d.update_roster(False, [row("s-0", port=9555)])
     connect(d, OPEN)
     assert d.reactor.tcpClients[-1][1] == 9555 and len(d.hosts.uids) == 1
 
@@ -577,11 +577,13 @@
 
 def test_a_spoilt_row_of_the_whole_list_takes_no_known_host_away(log):
     # Danger: half a list, taken at its word, would leave no host running.
-    d = desk(hosts=3)
-    d.listed(True, [row("s-0"), {"uid": "s-1", "state": "Rea"}] + [{"uid": f"x-{i}"} for i in range(50)])
+    d = make_handler(hosts=3)
+    d.update_roster(
+        True, [row("s-0"), {"uid": "s-1", "state": "Rea"}] + [{"uid": f"x-{i}"} for i in range(50)]
+    )
     assert [s.name for s in d.hosts.states] == ["RUNNING", "RUNNING", "GONE"] and d.hosts.running_count() == 2
     assert sum("bad-entry" in line for line in log) == 6  # five named, the others counted
-    d.listed(True, [row("s-0"), {"uid": "s-2", "state": "Rea"}])
+    d.update_roster(True, [row("s-0"), {"uid": "s-2", "state": "Rea"}])
     assert d.hosts.states[2].name == "GONE" and d.balancer._node.state[2].name == "GONE"
 
 
@@ -590,7 +592,7 @@
 ])  # fmt: skip
 def test_rubbish_by_hundreds_at_a_node_that_has_just_started_leaves_it_to_its_clients(line, log):
     # Danger: after a mass restart all rubbish comes to few nodes at once, with the clients that come again.
-    d = desk(hosts=2, sockets=512)
+    d = make_handler(hosts=2, sockets=512)
     rubbish = [connect(d, line) for _ in range(300)]
     assert all(client.closing for client in rubbish)
     assert all(client.transport.lines()[0].startswith((b"ERR", b"BUSY")) for client in rubbish)
@@ -609,17 +611,17 @@
 
 
 def test_a_session_that_lay_there_beside_a_drain_is_placed_by_the_list():
-    d = desk(hosts=2)
+    d = make_handler(hosts=2)
     asleep(d, 3.0)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
     assert not d.reactor.tcpClients  # nothing is decided before all is read
-    d.listed(False, [row("s-0", "Terminating", 9000)])
+    d.update_roster(False, [row("s-0", "Terminating", 9000)])
     d.reactor.advance(0)
     assert [c[1] for c in d.reactor.tcpClients] == [9001]
 
 
 def test_what_is_left_of_a_wait_is_counted_from_the_sleep_on():
-    d = desk()
+    d = make_handler()
     asleep(d, 3.0)
     client = connect(d, OPEN)
     d.reactor.advance(0)
@@ -627,19 +629,19 @@
 
 
 def test_a_head_whose_connection_came_up_in_the_sleep_waits_for_the_list():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
     asleep(d, 0.9)
     host = accept(d)
     assert not host.transport.value()
-    d.listed(False, [row("s-0", "Terminating", 9000)])
+    d.update_roster(False, [row("s-0", "Terminating", 9000)])
     d.reactor.advance(0)
     assert not host.transport.value() and host.ended
 
 
 @pytest.mark.parametrize("open_, waits", [(True, 0.0), (False, 0.45)])
 def test_a_list_that_cannot_be_read_is_waited_for_and_not_without_end(open_, waits):
-    d = desk()
+    d = make_handler()
     parts = {"open": open_, "reads": 0, "woke": lambda self: None, "expired": lambda self: False}
     d.source = type("Source", (), parts)()
     asleep(d, 3.0)
@@ -651,7 +653,7 @@
 
 
 def test_a_time_out_that_ran_out_in_the_sleep_yields_to_the_answer_beside_it():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     client = connect(d, OPEN)
     host = accept(d)
     asleep(d, 2.0)
@@ -662,14 +664,14 @@
 
 
 def test_a_busy_turn_is_no_sleep():
-    d = desk()
+    d = make_handler()
     asleep(d, 0.45)
     connect(d, OPEN)
     assert d.reactor.tcpClients and not d.stall
 
 
 def test_a_look_that_ran_out_in_the_sleep_is_nobodys_fault():
-    d = desk(mayProbe=True)
+    d = make_handler(mayProbe=True)
     d.probes.probe(0, d.hosts.addresses[0])
     probe = accept(d)
     asleep(d, 2.0)
@@ -679,7 +681,7 @@
 
 
 def test_a_connection_that_ran_out_in_the_sleep_is_nobodys_fault():
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
     asleep(d, 2.0)
     d.dial_failed(next(iter(d.sessions.by_index.values())).host_side)
@@ -688,7 +690,7 @@
 
 
 def test_an_answer_that_lay_there_tells_no_figure():
-    d = desk(hosts=1, mayProbe=True)
+    d = make_handler(hosts=1, mayProbe=True)
     d.probes.probe(0, d.hosts.addresses[0])
     probe = accept(d)
     asleep(d, 2.0)
