--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -5,9 +5,9 @@
 import zlib
 from collections.abc import Callable
 
-from caperdeck.core.facade import Crowded, News
+from caperdeck.core.facade import Event, HostOverloaded
 from caperdeck.core.quotas import ROOM_BUDGET
-from caperdeck.core.fleet_state import Shares
+from caperdeck.core.fleet_state import FleetState
 
 from .judgements import FAILING_SHARE_LIMIT, HostCondition
 from .sharing import DIALS_STARTED, DIALS_ENDED, SHARED_ROOM_BUDGET, LocalObservations, SharingFeatures
@@ -19,14 +19,14 @@
 
 
 class SharedIdDecisions:
-    def __init__(self, shares: Shares, uses: SharingFeatures, report: Callable[[News], None]) -> None:
+    def __init__(self, shares: FleetState, uses: SharingFeatures, report: Callable[[Event], None]) -> None:
         self.shares, self.uses, self.report = shares, uses, report
         self.index: dict[int, int] = {}  # by mark
         self.marks: list[int] = []  # by which the index was made
 
     def _host(self, mark: int) -> int | None:
         """The host's index; None for a host that this node's own list has not named."""
-        marks = self.shares.node.mark
+        marks = self.shares.node.stable_id
         if marks != self.marks:
             self.marks = list(marks)
             # Danger: two hosts with one mark would be taken for one; neither is spoken of.
@@ -41,7 +41,7 @@
         return None if h is None else h + 1
 
     def show(self, now: float) -> LocalObservations:
-        node, uses, mark = self.shares.node, self.uses, self.shares.node.mark
+        node, uses, mark = self.shares.node, self.uses, self.shares.node.stable_id
         words = self.shares.words(now) if uses.lost else []
         return LocalObservations(
             self.counts() if uses.weight else [],
@@ -52,14 +52,14 @@
         )
 
     def wants(self, now: float) -> list[tuple[int, float]]:
-        mark = self.shares.node.mark
+        mark = self.shares.node.stable_id
         return [
             (SHARED_ROOM_BUDGET if budget == ROOM_BUDGET else mark[budget - 1], x)
             for budget, x in self.shares.wants(now)
         ]
 
     def counts(self) -> list[tuple[int, int]]:
-        s, mark = self.shares, self.shares.node.mark
+        s, mark = self.shares, self.shares.node.stable_id
         # a host that starts anew is counted anew: all nodes have the same mark and start for it
         cold = [(cold_host_budget(mark[h], born), count) for h, born, count in s.sent_cold()]
         return [(DIALS_STARTED, s.dialled()), (DIALS_ENDED, s.ended()), *cold]
@@ -81,12 +81,12 @@
             self.shares.told_lost(now, h, until)
 
     def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
-        mark = self.shares.node.mark
+        mark = self.shares.node.stable_id
         return [(mark[h], x, at) for h, x, at in self.shares.overfull(now, since)]
 
     def told_full(self, now: float, host: int, figure: float) -> None:
         if (h := self._host(host)) is not None:
-            self.report(Crowded(h, figure))
+            self.report(HostOverloaded(h, figure))
 
     def others_send(self, alike: float | None) -> None:
         self.shares.others_send(alike)
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -41,15 +41,15 @@
 ONE_AIM = {"specifics": {"messageAim": [0.3, "none"]}}
 
 
-class Figures:
+class Metrics:
     """What `Published` counts at a service."""
 
-    invalid = 0
+    rejected_configs = 0
 
 
-class Desk:
+class SessionHandler:
     def __init__(self) -> None:
-        self.figures = Figures()
+        self.metrics = Metrics()
 
 
 class ControlledNode(Published):
@@ -62,7 +62,7 @@
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
         super().__init__(reactor, control, lambda: replace(decode(own, None), own=own), disk)
-        self.put, self.desk = put, Desk()
+        self.put, self.handler = put, SessionHandler()
         self.config = self.first(self.read_own())
 
     @property
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -17,14 +17,14 @@
 import orjson
 from twisted.internet.task import Clock
 
-from caperdeck.core.facade import Balancer, Connect, Looked, Over, Up
-from caperdeck.core.model import Outcome, Report
+from caperdeck.core.facade import Balancer, Connect, DialEnded, ProbeCompleted, SessionEstablished
+from caperdeck.core.model import LoadReport, Outcome
 from caperdeck.lab.scenario import Scenario
 from caperdeck.lab.setup import node_config
 from caperdeck.lifecycle.config import decode_config
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 from .errors import MeasuringError
 from .line import Point
@@ -55,7 +55,7 @@
         )
         self.now = START
         self.balancer = Balancer(config.settings, self.now)
-        self.desk = Desk(
+        self.handler = SessionHandler(
             Clock(), lambda: self.now, self.balancer, config.names, config.limits, Hosts(config.names.zones),
             SocketBudget(SOCKETS, 0),
         )  # fmt: skip
@@ -64,27 +64,27 @@
     def take(self, text: bytes) -> None:
         """A list or a change as discovery's line has it."""
         told = orjson.loads(text)
-        self.desk.listed(told["all"], told["targets"])
+        self.handler.update_roster(told["all"], told["targets"])
 
     def figures(self, hosts: int) -> None:
         """Every host has just been looked at."""
-        told = Report(FIGURE, None, None)
+        told = LoadReport(FIGURE, None, None)
         for host in range(hosts):
-            self.balancer.report(self.now, Looked(host, Outcome.GOOD, told))
+            self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, told))
 
     def place(self) -> int:
         """A session that is placed at once; raises MeasuringError for one that is not."""
         self.made += 1
-        orders = self.balancer.pick(self.now, self.made, 0, 0, WAIT, LOAD)
+        orders = self.balancer.open_session(self.now, self.made, 0, 0, WAIT, LOAD)
         if len(orders) != 1 or not isinstance(orders[0], Connect):
             raise MeasuringError(f"a placement came to {orders}, not to one connection")
         return self.made
 
     def stands(self, session: int) -> None:
-        self.balancer.report(self.now, Up(session))
+        self.balancer.handle_event(self.now, SessionEstablished(session))
 
     def ends(self, session: int) -> None:
-        self.balancer.report(self.now, Over(session, 0, Outcome.GOOD, True))
+        self.balancer.handle_event(self.now, DialEnded(session, 0, Outcome.GOOD, True))
 
 
 def row(number: int, state: str = "Ready") -> dict[str, Any]:
@@ -182,10 +182,10 @@
     node = loaded_node(hosts, small)
 
     def come_due() -> None:
-        node.now = node.balancer.due
+        node.now = node.balancer.next_timer_at
         node.figures(hosts)
 
-    return taken(lambda: node.balancer.tick(node.now), SMALL_REPEATS if small else REPEATS, come_due)
+    return taken(lambda: node.balancer.run_timers(node.now), SMALL_REPEATS if small else REPEATS, come_due)
 
 
 def of_placement(hosts: int, small: bool) -> float:
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -16,7 +16,7 @@
 
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 # from the action to its answer, including the time to connect
 ANSWER_TIMEOUT_S = 1.0
@@ -46,7 +46,7 @@
         self.pending: deque[PendingAction] = deque()  # oldest first
         self.unsent: list[bytes] = []  # actions that wait for the connection
         self.closed = False
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER_TIMEOUT_S)
 
     def send(self, line: bytes, on_reply: ReplyHandler) -> None:
         self.pending.append(
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -13,7 +13,7 @@
 from caperdeck.raft.transport import CALL, REPLY
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 from .config import OwnerEndpoints
 
@@ -31,7 +31,7 @@
     ) -> None:
         self.cluster, self.body, self.on_answer = owners.cluster, body, on_answer
         self.timer = reactor.callLater(ANSWER_TIMEOUT_S, self.finish, None)
-        self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER_TIMEOUT_S)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER_TIMEOUT_S)
 
     def connectionMade(self) -> None:
         self.sendString(frame(self.cluster, CALL, [1, self.body]))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,9 @@
 
 from caperdeck.core.decide import Node
 from caperdeck.core.facade import Balancer
-from caperdeck.core.model import Ask, Dial, Effect, Entry, HostState, Listener, RosterScope, Scope, Settings
+from caperdeck.core.model import (
+    Dial, Effect, HostState, Listener, RosterEntry, RosterScope, Scope, SessionRequest, Settings,
+)  # fmt: skip
 from caperdeck.core.settings import decode_names, decode_settings
 from caperdeck.lifecycle.config import decode_limits, load_config, reload_config
 from caperdeck.lifecycle.logs import Sink
@@ -24,7 +26,7 @@
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
 from caperdeck.wire.client import ClientConnection, ClientFactory, ClientPort
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 START = 1_000_000.0
 
@@ -49,19 +51,19 @@
     return Settings(**(values | changes))
 
 
-def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> Entry:
-    return Entry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
+def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> RosterEntry:
+    return RosterEntry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
 
 
 def node(hosts=4, entries=None, **changes) -> Node:
     n = Node(settings(**changes), START)
-    n.roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
+    n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
     n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
     return n
 
 
-def ask(session, load=10.0, left=1200.0, group=None) -> Ask:
-    return Ask(session, 0, 0, left, load, group)
+def ask(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
+    return SessionRequest(session, 0, 0, left, load, group)
 
 
 def dials(acts):
@@ -80,7 +82,7 @@
 def standing(n, host, loads, since=START - 60000.0, first=100):
     """Connections of these loads that stand on a host since long ago."""
     for i, load in enumerate(loads):
-        n.taken_over(since, ask(first + i, load), host)
+        n.resume_session(since, ask(first + i, load), host)
         n.sessions[first + i].stands = since
     return range(first, first + len(loads))
 
@@ -157,7 +159,7 @@
     return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "east", "state": state, "boot_ms": boot}
 
 
-def desk(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
+def make_handler(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
     """A desk between a reactor, in memory if none is given, and a balancer that knows these hosts."""
     setup = SETUP | {"limits": SETUP["limits"] | limits}
     setup["listeners"] = [SETUP["listeners"][0] | (listener or {})]
@@ -169,8 +171,8 @@
     names = decode_names(setup)
     balancer = Balancer(decode_settings(7, setup), clock())
     budget = SocketBudget(sockets, 10)
-    d = Desk(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
-    d.listed(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
+    d = SessionHandler(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
+    d.update_roster(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
     return d
 
 
@@ -190,9 +192,9 @@
     config = CONFIG | {"admin_addr": "127.0.0.1:9100"} | changes
     environment = write(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
-    service.desk, service.clock = d, d.clock
-    d.look_for_bans = service.ban_calls.look
-    if d.hosts.uid:
+    service.handler, service.clock = d, d.clock
+    d.refresh_bans = service.ban_calls.look
+    if d.hosts.uids:
         service.ban_calls.begin()
     return service
 
@@ -215,7 +217,7 @@
 
 def up(d):
     """A client and the host's side of its session, which stands."""
-    client = connect(d, opening(d.sessions.made))
+    client = connect(d, opening(d.sessions.created_count))
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
     client.transport.clear()
@@ -424,8 +426,8 @@
     def __init__(self, hosts=1, **parts):
         self.reactor = Stepped()
         self.hosts = [Peer() for _ in range(hosts)]
-        self.desk = desk(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
-        self.port = ClientPort(0, ClientFactory(self.desk), 512, "127.0.0.1", self.reactor)
+        self.handler = make_handler(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
+        self.port = ClientPort(0, ClientFactory(self.handler), 512, "127.0.0.1", self.reactor)
         self.port.startListening()
         self.number = self.port.getHost().port
 
@@ -438,26 +440,26 @@
 
     def session(self):
         """The one that the node holds."""
-        (s,) = self.desk.sessions.table.values()
+        (s,) = self.handler.sessions.by_index.values()
         return s
 
     def taken(self, line=OPEN):
         """A client whose line has been read, and its session, whose dial is under way."""
         client = self.client(line)
-        self.reactor.until(lambda: self.desk.sessions.table)
+        self.reactor.until(lambda: self.handler.sessions.by_index)
         return client, self.session()
 
     def hold(self, s):
         """The dial's connection is on its way, not seen to be up yet; returns the host's end of it."""
         self.reactor.runUntilCurrent()
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.removeReader(conn)
         self.reactor.removeWriter(conn)
         self.reactor.until(lambda: any(peer.accept() for peer in self.hosts))
         return next(p for p in self.hosts if ("127.0.0.1", p.port) == tuple(conn.addr)).accepted[-1]
 
     def comes_up(self, s):
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.addReader(conn)
         self.reactor.addWriter(conn)
         self.reactor.settle()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -14,12 +14,15 @@
 import pytest
 from conftest import known_red
 from helpers import (
-    CONFIG, OPEN, SETUP, START, accept, at_host, connect, desk, free_ports, logged, row, serve_lines,
+    CONFIG, OPEN, SETUP, START, accept, at_host, connect, make_handler, free_ports, logged, row, serve_lines,
     serve_list, service_over, settings, up, write,
 )  # fmt: skip
 
-from caperdeck.core.facade import Balancer, Connect, Decline, Left, Listed, Look, Looked, Over, SendAway, Up
-from caperdeck.core.model import Entry, HostState, Outcome, Report
+from caperdeck.core.facade import (
+    Balancer, ClientDisconnected, Connect, DialEnded, ProbeCompleted, ProbeHost, RedirectClient,
+    RefuseSession, RosterUpdated, SessionEstablished,
+)  # fmt: skip
+from caperdeck.core.model import HostState, LoadReport, Outcome, RosterEntry
 from caperdeck.lifecycle.config import ConfigError, load_config
 from caperdeck.lifecycle.logs import MOST_WAITING, Sink
 from caperdeck.state.addresses import Address
@@ -29,48 +32,51 @@
 
 def balancer(hosts=2, **changes):
     b = Balancer(settings(**changes), START)
-    b.report(START, Listed(True, [Entry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)]))
+    b.handle_event(
+        START,
+        RosterUpdated(True, [RosterEntry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)]),
+    )
     return b
 
 
 def test_a_pick_that_waits_for_looks_is_settled_by_their_report():
     b = balancer()
-    looks = b.pick(START, 0, 0, -1, 1200.0)
-    assert {type(order) for order in looks} == {Look} and len(looks) == 2
-    assert b.report(START + 1, Looked(looks[0].host, Outcome.GOOD, Report(0.5))) == []
-    orders = b.report(START + 2, Looked(looks[1].host, Outcome.GOOD, Report(0.2)))
+    looks = b.open_session(START, 0, 0, -1, 1200.0)
+    assert {type(order) for order in looks} == {ProbeHost} and len(looks) == 2
+    assert b.handle_event(START + 1, ProbeCompleted(looks[0].host, Outcome.GOOD, LoadReport(0.5))) == []
+    orders = b.handle_event(START + 2, ProbeCompleted(looks[1].host, Outcome.GOOD, LoadReport(0.2)))
     assert [(type(o), o.dial, o.host) for o in orders] == [(Connect, 0, looks[1].host)]
 
 
 def test_a_pick_whose_looks_stay_away_is_settled_by_a_tick():
     b = balancer(hosts=1, max_dials=2)
-    b.pick(START, 0, 0, -1, 1200.0)
+    b.open_session(START, 0, 0, -1, 1200.0)
     orders, now = [], START
     while not orders and now < START + 1200:
-        now = b.due
-        orders = [o for o in b.tick(now) if not isinstance(o, Look)]
-    assert [type(o) for o in orders] == [Decline]
+        now = b.next_timer_at
+        orders = [o for o in b.run_timers(now) if not isinstance(o, ProbeHost)]
+    assert [type(o) for o in orders] == [RefuseSession]
 
 
 def test_dials_are_numbered_and_a_session_leaves_nothing_behind():
     b = balancer(may_probe=False)
-    first = b.pick(START, 0, 0, -1, 1200.0)[0]
-    second = b.report(START, Over(0, first.dial, Outcome.ERROR, False))[0]
+    first = b.open_session(START, 0, 0, -1, 1200.0)[0]
+    second = b.handle_event(START, DialEnded(0, first.dial, Outcome.ERROR, False))[0]
     assert (first.dial, second.dial) == (0, 1)
-    b.report(START, Up(0))
-    b.report(START, Over(0, 1, Outcome.GOOD, True))
-    b.pick(START, 1, 0, -1, 1200.0)
-    b.report(START, Left(1))
+    b.handle_event(START, SessionEstablished(0))
+    b.handle_event(START, DialEnded(0, 1, Outcome.GOOD, True))
+    b.open_session(START, 1, 0, -1, 1200.0)
+    b.handle_event(START, ClientDisconnected(1))
     assert not b._dials
 
 
 def test_a_host_past_its_headroom_has_clients_sent_away():
     b = balancer()
     for i in range(10):
-        b.resume(START - 60000, i, 0, -1, 0, 10.0)
-    b.tick(START)
-    orders = b.report(START, Looked(0, Outcome.GOOD, Report(1.5)))
-    assert orders and {type(order) for order in orders} == {SendAway}
+        b.resume_session(START - 60000, i, 0, -1, 0, 10.0)
+    b.run_timers(START)
+    orders = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, LoadReport(1.5)))
+    assert orders and {type(order) for order in orders} == {RedirectClient}
 
 
 # ---- configuration
@@ -118,7 +124,7 @@
 
 
 def test_another_discovery_and_other_limits_are_taken_while_sessions_stay(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client, host = up(d)
     service.discovery.start()
@@ -134,7 +140,7 @@
 
 @pytest.mark.parametrize("text", ["", "{", "[]", json.dumps(CONFIG | {"discovery": "nowhere"}), None])
 def test_an_unusable_file_is_named_and_the_old_one_kept(tmp_path, text):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     before = service.config
     (tmp_path / "c").unlink()
@@ -157,7 +163,7 @@
 
 
 def test_an_added_class_has_its_own_rules_and_a_dropped_one_lives_on_in_its_sessions(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     old, host = up(d)
     waiting = connect(d, OPEN.replace(b"9b1f", b"aaaa"))
@@ -172,11 +178,11 @@
     assert new.transport.lines() == [b"ERR"]
     old.dataReceived(b"one\r\n")
     assert host.transport.lines() == [b"one"]
-    assert d.figures.operations == {"chat": [1, 0, 1], "once": [0, 0, 1]} and d.figures.accepted == 1
+    assert d.metrics.answers == {"chat": [1, 0, 1], "once": [0, 0, 1]} and d.metrics.accepted_configs == 1
 
 
 def test_a_connection_taken_up_after_its_class_was_dropped_stands_all_the_same(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client = connect(d, OPEN + b",at=s-0")
     write(tmp_path / "c", classes(ROW | {"name": "other"}))
@@ -217,14 +223,14 @@
     CONFIG | {"settings": SETUP | {"limits": {"mostDials": 3}}},
 ])  # fmt: skip
 def test_a_broken_file_changes_nothing_and_is_counted(tmp_path, text):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     before = service.config, d.names, d.limits, d.balancer._node.set
     write(tmp_path / "c", text)
     with logged() as log:
         service.reload()
     assert before == (service.config, d.names, d.limits, d.balancer._node.set)
-    assert (d.figures.accepted, d.figures.invalid) == (0, 1)
+    assert (d.metrics.accepted_configs, d.metrics.rejected_configs) == (0, 1)
     assert any("reload reason=unusable" in x for x in log)
 
 
@@ -232,7 +238,7 @@
 
 
 def test_at_the_stop_every_session_is_moved_before_the_longest_wait_is_over(tmp_path):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.stopped_at, d.stopping = d.clock(), True
     sessions = [up(d) for _ in range(20)]
@@ -249,18 +255,18 @@
 @pytest.mark.parametrize("longest, first, last", [(300, 450, 650), (1200, 450, 1400), (2000, 1000, 2200),
                                                   (9000, 2000, 3200)])  # fmt: skip
 def test_the_moves_of_a_stop_come_late_and_in_time(tmp_path, monkeypatch, longest, first, last):
-    d = desk(hosts=1)
+    d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
-    service.config = replace(service.config, limits=replace(service.config.limits, longest_wait=longest))
+    service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
     at, clients = [], [up(d)[0] for _ in range(20)]
-    monkeypatch.setattr(d, "move", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
+    monkeypatch.setattr(d, "redirect", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
     service.stop()
     d.reactor.pump([0.01] * 400)
     assert len(at) == len(clients) and first <= at[0] <= first + 20 and at[-1] <= last
 
 
 def test_sweeping_goes_on_after_a_fault(tmp_path, monkeypatch):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path)
     swept = []
     monkeypatch.setattr(service, "sweep", lambda: swept.append(1) or 1 // (len(swept) - 1))
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -10,12 +10,12 @@
 
 import pytest
 from helpers import (
-    CONFIG, SETUP, desk, free_ports, logged, ping_until_ready, row, serve_lines, serve_list, service_over,
-    write,
+    CONFIG, SETUP, free_ports, logged, make_handler, ping_until_ready, row, serve_lines, serve_list,
+    service_over, write,
 )  # fmt: skip
 
 from caperdeck.core.quotas import ROOM_BUDGET
-from caperdeck.core.fleet_state import Shares
+from caperdeck.core.fleet_state import FleetState
 from caperdeck.gossip.shared_decisions import SharedIdDecisions
 from caperdeck.gossip.sharing import SHARED_ROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
@@ -91,7 +91,7 @@
     ({"settings": SETUP | {"me": 1}}, "reason=not-allowed"),
 ])  # fmt: skip
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
-    d = desk()
+    d = make_handler()
     with logged() as lines:
         assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures()) is None
     assert line in lines[0]
@@ -115,7 +115,7 @@
 
 
 def made_port(uses=SharingFeatures()):  # noqa: B008
-    d = desk()
+    d = make_handler()
     port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = Out(), object()
     return d, port
@@ -142,7 +142,7 @@
 
 
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
     service.uses, service.takes = SharingFeatures(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
@@ -159,11 +159,11 @@
 
 
 def shares(cold=False):
-    d = desk()
+    d = make_handler()
     if cold:
-        d.listed(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
-    s = Shares(d.balancer._node)
-    return d, s, SharedIdDecisions(s, SharingFeatures(*[True] * len(SharingFeatures._fields)), d.report)
+        d.update_roster(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
+    s = FleetState(d.balancer._node)
+    return d, s, SharedIdDecisions(s, SharingFeatures(*[True] * len(SharingFeatures._fields)), d.report_event)
 
 
 def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
@@ -203,9 +203,9 @@
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
-    m.told(now, n.mark[0], 0.9, now - 100)
+    m.told(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
-    m.told(now, n.mark[0], 0.1, now - 500)  # older
+    m.told(now, n.stable_id[0], 0.1, now - 500)  # older
     m.told(now, 12345, 0.1, now)  # a host that this node's list does not name
     assert n._load(now, 0) == 0.9 and n._load(now + 5000, 0) == 0.5
 
@@ -214,14 +214,14 @@
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.seen_at = [now - 5000, now]
-    for mark in n.mark[:2]:
+    for mark in n.stable_id[:2]:
         m.told_lost(now, mark, now + 9000)
     assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
 
 
 def test_two_hosts_with_one_mark_are_not_spoken_of():
     d, s, m = shares()
-    s.node.mark[:] = [7, 7]
+    s.node.stable_id[:] = [7, 7]
     assert m.lend(d.clock(), 7, 1.0) == 0.0 and m._host(7) is None
 
 
