--- a/caperdeck/gossip/counters.py
+++ b/caperdeck/gossip/counters.py
@@ -1,7 +1,7 @@
 """Counts that no path can count twice: each is one member's in one life, grows only, merges by the higher.
 
 Source: state-based grow-only counters, Shapiro et al., "A comprehensive study of Convergent and Commutative
-Replicated Data Types" (INRIA RR-7506, 2011), 3.1.1, kept apart by life so that a restart begins a new one.
+Replicated Data Types" (INRIA RR-7506, 2011), 3.1.1, counter apart by life so that a restart begins a new one.
 """
 
 from __future__ import annotations
@@ -26,80 +26,82 @@
 
 
 class _StoredCounter:
-    __slots__ = ("value", "rose_at", "rate", "rated", "rated_at", "timed")
+    __slots__ = ("value", "increased_at", "rate", "rate_base", "rate_base_at", "rate_known")
 
     def __init__(self, value: int, now: float) -> None:
-        self.value, self.rose_at = value, now
-        self.rate, self.rated, self.rated_at, self.timed = 0.0, value, now, False
+        self.value, self.increased_at = value, now
+        self.rate, self.rate_base, self.rate_base_at, self.rate_known = 0.0, value, now, False
 
 
 class CounterStore:
     """All counts heard of, the own among them. Merging is in any order, any number of times."""
 
     def __init__(self) -> None:
-        self.kept: dict[tuple[int, int, int], _StoredCounter] = {}  # by subject, member, life
+        self.stored: dict[tuple[int, int, int], _StoredCounter] = {}  # by subject, member, life
         # the highest life and value left out, by subject and member
-        self.closed: dict[tuple[int, int], tuple[int, int]] = {}
+        self.retired: dict[tuple[int, int], tuple[int, int]] = {}
         self.lives: dict[int, int] = {}  # the highest life heard of
-        self.turns = [0, 0]  # whose counts are passed on next: of the own ones, of others'
+        self.cursors = [0, 0]  # whose counts are passed on next: of the own ones, of others'
 
-    def merge(self, now: float, c: CounterValue) -> str | None:
+    def merge(self, now: float, count: CounterValue) -> str | None:
         """Takes the count in; the reason if it is not taken."""
-        key = c.subject, c.member, c.life
-        kept = self.kept.get(key)
-        if kept is None:
+        key = count.subject, count.member, count.life
+        counter = self.stored.get(key)
+        if counter is None:
             # Danger: a count that was left out and comes again late would be added once more.
-            if (c.life, c.value) <= self.closed.get(key[:2], (0, 0)):
+            if (count.life, count.value) <= self.retired.get(key[:2], (0, 0)):
                 return "closed-life"
-            if len(self.kept) >= MAX_COUNTERS:
-                self.age(now)
-                if len(self.kept) >= MAX_COUNTERS:
+            if len(self.stored) >= MAX_COUNTERS:
+                self.expire(now)
+                if len(self.stored) >= MAX_COUNTERS:
                     return "too-many-counts"
-            self.kept[key] = _StoredCounter(c.value, now)
-            self.lives[c.member] = max(self.lives.get(c.member, 0), c.life)
+            self.stored[key] = _StoredCounter(count.value, now)
+            self.lives[count.member] = max(self.lives.get(count.member, 0), count.life)
             return None
-        if c.value <= kept.value:
+        if count.value <= counter.value:
             return None  # an older one, or the same again
-        if c.value - kept.value > MAX_INCREASE:
+        if count.value - counter.value > MAX_INCREASE:
             return "count-jumps"
-        kept.value, kept.rose_at = c.value, now
-        if now - kept.rated_at >= MIN_RATE_WINDOW_MS:
-            kept.rate = (c.value - kept.rated) / (now - kept.rated_at)
-            kept.rated, kept.rated_at, kept.timed = c.value, now, True
+        counter.value, counter.increased_at = count.value, now
+        if now - counter.rate_base_at >= MIN_RATE_WINDOW_MS:
+            counter.rate = (count.value - counter.rate_base) / (now - counter.rate_base_at)
+            counter.rate_base, counter.rate_base_at, counter.rate_known = count.value, now, True
         return None
 
-    def age(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Leaves out what has not risen for long; it comes back, whole, once it has risen."""
-        for key in [k for k, kept in self.kept.items() if now - kept.rose_at > EXPIRY_MS]:
+        for key in [k for k, counter in self.stored.items() if now - counter.increased_at > EXPIRY_MS]:
             subject, member, life = key
-            value = self.kept.pop(key).value
-            self.closed[subject, member] = max(self.closed.get((subject, member), (0, 0)), (life, value))
+            value = self.stored.pop(key).value
+            self.retired[subject, member] = max(self.retired.get((subject, member), (0, 0)), (life, value))
         # Danger: hosts come and go for as long as a node lives, and each would leave a mark here.
-        while len(self.closed) > MAX_COUNTERS:
-            del self.closed[next(iter(self.closed))]
+        while len(self.retired) > MAX_COUNTERS:
+            del self.retired[next(iter(self.retired))]
 
     def total(self, subject: int) -> int:
-        return sum(kept.value for (p, _, _), kept in self.kept.items() if p == subject)
+        return sum(
+            counter.value for (key_subject, _, _), counter in self.stored.items() if key_subject == subject
+        )
 
-    def rate(self, now: float, subject: int, besides: int) -> tuple[float, int]:
+    def rate(self, now: float, subject: int, excluded_member: int) -> tuple[float, int]:
         """What the members but one add in a millisecond, and from how many of them that is known."""
-        rows = [
-            kept.rate for (p, member, life), kept in self.kept.items()
-            if p == subject and member != besides and life == self.lives[member]
-            and now - kept.rose_at <= EXPIRY_MS and kept.timed
+        rates = [
+            counter.rate for (key_subject, member, life), counter in self.stored.items()
+            if key_subject == subject and member != excluded_member and life == self.lives[member]
+            and now - counter.increased_at <= EXPIRY_MS and counter.rate_known
         ]  # fmt: skip
-        return sum(rows), len(rows)
+        return sum(rates), len(rates)
 
     def own_rate(self, subject: int, member: int, life: int) -> float:
-        kept = self.kept.get((subject, member, life))
-        return 0.0 if kept is None else kept.rate
+        counter = self.stored.get((subject, member, life))
+        return 0.0 if counter is None else counter.rate
 
-    def rows(self, most: int, first: int) -> Iterator[CounterValue]:
+    def rows_to_send(self, limit: int, own_member: int) -> Iterator[CounterValue]:
         """Counts to pass on: the member's own and those of others, each in turn."""
-        own = [k for k in self.kept if k[1] == first]
-        others = [k for k in self.kept if k[1] != first]
-        for which, (keys, rows) in enumerate(((own, -(-most // 2)), (others, most // 2))):
-            for _ in range(min(rows, len(keys))):
-                self.turns[which] += 1
-                key = keys[self.turns[which] % len(keys)]
-                yield CounterValue(*key, self.kept[key].value)
+        own = [k for k in self.stored if k[1] == own_member]
+        others = [k for k in self.stored if k[1] != own_member]
+        for which, (keys, count) in enumerate(((own, -(-limit // 2)), (others, limit // 2))):
+            for _ in range(min(count, len(keys))):
+                self.cursors[which] += 1
+                key = keys[self.cursors[which] % len(keys)]
+                yield CounterValue(*key, self.stored[key].value)
--- a/caperdeck/gossip/judgements.py
+++ b/caperdeck/gossip/judgements.py
@@ -29,7 +29,7 @@
 
 class Judgement(NamedTuple):
     host: int  # its mark
-    kind: HostCondition
+    condition: HostCondition
     member: int  # who says so
     age: float  # milliseconds, of what it rests on, when it was sent
 
@@ -41,53 +41,55 @@
         ] = {}  # by host, member: seen at, from whom
         self.unsound: dict[int, float] = {}  # members that see ill everywhere, and until when they do
 
-    def take(self, now: float, j: Judgement, asked_at: float, informant: int) -> str | None:
+    def record(self, now: float, judgement: Judgement, asked_at: float, informant: int) -> str | None:
         """A word in that node's answer to a question asked at that time, by this node's clock.
 
         Returns the reason if it is not taken.
         """
         # Danger: an age by another node's clock and a datagram minutes late; what was seen is dated back from
         # this node's own question, so it is never taken for newer than it can be.
-        seen = asked_at - j.age
-        if now - seen > VALIDITY_MS:
+        observed_at = asked_at - judgement.age
+        if now - observed_at > VALIDITY_MS:
             return "old-judgement"
-        key = j.host, j.member
+        key = judgement.host, judgement.member
         if key not in self.rows:
             if (
-                sum(member == j.member for _, member in self.rows) >= MAX_JUDGEMENTS_PER_MEMBER
+                sum(member == judgement.member for _, member in self.rows) >= MAX_JUDGEMENTS_PER_MEMBER
                 or len(self.rows) >= MAX_JUDGEMENTS
             ):
                 return "too-many-judgements"
-        elif self.rows[key][1] >= seen:
+        elif self.rows[key][1] >= observed_at:
             return None
-        self.rows[key] = j.kind, seen, informant
+        self.rows[key] = judgement.condition, observed_at, informant
         return None
 
-    def sees_ill_everywhere(self, now: float, member: int) -> None:
+    def mark_unsound(self, now: float, member: int) -> None:
         self.unsound[member] = now + VALIDITY_MS
 
-    def age(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         self.rows = {k: row for k, row in self.rows.items() if now - row[1] <= VALIDITY_MS}
         self.unsound = {m: until for m, until in self.unsound.items() if until > now}
 
-    def lost(self, now: float, hosts: int) -> dict[int, float]:
+    def lost_hosts(self, now: float, hosts: int) -> dict[int, float]:
         """Hosts held for lost by enough of the others, by mark, and until when; of `hosts` listed ones."""
-        self.age(now)
-        against: dict[int, list[tuple[float, int]]] = {}
-        well: dict[int, int] = {}
-        for (host, member), (kind, seen, informant) in self.rows.items():
+        self.expire(now)
+        lost_reports: dict[int, list[tuple[float, int]]] = {}
+        healthy_counts: dict[int, int] = {}
+        for (host, member), (condition, observed_at, informant) in self.rows.items():
             if member in self.unsound:
                 continue
-            if kind is HostCondition.LOST:
-                against.setdefault(host, []).append((seen, informant))
-            elif kind is HostCondition.HEALTHY:
-                well[host] = well.get(host, 0) + 1
+            if condition is HostCondition.LOST:
+                lost_reports.setdefault(host, []).append((observed_at, informant))
+            elif condition is HostCondition.HEALTHY:
+                healthy_counts[host] = healthy_counts.get(host, 0) + 1
         found = []
-        for host, seen in against.items():
-            need = max(MIN_WITNESSES, well.get(host, 0) + 1)
-            if len(seen) >= need and len({informant for _, informant in seen}) >= MIN_INFORMANTS:
+        for host, reports in lost_reports.items():
+            needed = max(MIN_WITNESSES, healthy_counts.get(host, 0) + 1)
+            if len(reports) >= needed and len({informant for _, informant in reports}) >= MIN_INFORMANTS:
                 # it ends when the last word without which there are not enough of them does
-                found.append((-len(seen), host, sorted(seen, reverse=True)[need - 1][0] + VALIDITY_MS))
-        most = math.floor(MAX_LOST_SHARE * hosts)
+                found.append(
+                    (-len(reports), host, sorted(reports, reverse=True)[needed - 1][0] + VALIDITY_MS)
+                )
+        limit = math.floor(MAX_LOST_SHARE * hosts)
         # Danger: a cut that many see would take most hosts out at once; past the part none of them counts.
-        return {} if len(found) > most else {host: until for _, host, until in sorted(found)}
+        return {} if len(found) > limit else {host: until for _, host, until in sorted(found)}
--- a/caperdeck/gossip/message_sections.py
+++ b/caperdeck/gossip/message_sections.py
@@ -26,28 +26,35 @@
 class MessageSections:
     """Pots are hosts' marks, 0 is the room of all; loads in milliseconds of work a second, ages in ms."""
 
-    counts: list[CounterValue] = field(default_factory=list)
-    wants: list[tuple[int, float]] = field(default_factory=list)  # budget, at the most so much
+    counters: list[CounterValue] = field(default_factory=list)
+    requests: list[tuple[int, float]] = field(default_factory=list)  # budget, at the most so much
     grants: list[tuple[int, float]] = field(default_factory=list)  # budget, so much is lent
-    seen: list[tuple[int, float, float]] = field(default_factory=list)  # host, load over capacity, age
-    judged: list[Judgement] = field(default_factory=list)
-    ill_everywhere: bool = False
+    loads: list[tuple[int, float, float]] = field(default_factory=list)  # host, load over capacity, age
+    judgements: list[Judgement] = field(default_factory=list)
+    majority_failing: bool = False
 
 
-def encode(n: MessageSections, room: int) -> bytes:
+def encode(sections: MessageSections, max_bytes: int) -> bytes:
     """What fits in so many bytes: first what moves rights, then counts, judgements and figures."""
     out = bytearray()
     for tag, rows in (
-        (GRANT, n.grants), (REQUEST, n.wants), (FAILING, [()] * n.ill_everywhere), (COUNTER, n.counts),
-        (JUDGEMENT, [(j.host, j.kind, j.member, _age(j.age)) for j in n.judged if j.age <= MAX_AGE_MS]),
-        (LOAD, [(h, min(round(x * 100), 255), _age(age)) for h, x, age in n.seen if age <= MAX_AGE_MS]),
+        (GRANT, sections.grants), (REQUEST, sections.requests), (FAILING, [()] * sections.majority_failing),
+        (COUNTER, sections.counters),
+        (JUDGEMENT, [
+            (j.host, j.condition, j.member, _age_steps(j.age))
+            for j in sections.judgements if j.age <= MAX_AGE_MS
+        ]),
+        (LOAD, [
+            (host, min(round(load * 100), 255), _age_steps(age))
+            for host, load, age in sections.loads if age <= MAX_AGE_MS
+        ]),
     ):  # fmt: skip
-        row = ROW_FORMATS[tag]
-        fit = min(len(rows), MAX_ROWS, (room - len(out) - 2) // max(row.size, 1))
+        row_format = ROW_FORMATS[tag]
+        fit = min(len(rows), MAX_ROWS, (max_bytes - len(out) - 2) // max(row_format.size, 1))
         if fit > 0:
             out += bytes((tag, fit))
-            for x in rows[:fit]:
-                out += row.pack(*x)
+            for row in rows[:fit]:
+                out += row_format.pack(*row)
     return bytes(out)
 
 
@@ -59,47 +66,52 @@
     return sent if sent <= amount else struct.unpack(">f", (bits - 1).to_bytes(4, "big"))[0]
 
 
-def _age(age: float) -> int:
+def _age_steps(age_ms: float) -> int:
     # rounded up: nothing may look newer than it is
-    return min(math.ceil(max(age, 0.0) / AGE_STEP_MS), 255)
+    return min(math.ceil(max(age_ms, 0.0) / AGE_STEP_MS), 255)
 
 
 def decode(data: bytes, members: int) -> MessageSections:
     """Raises DatagramError; nothing of notes with any fault is taken."""
-    n, at = MessageSections(), 0
-    while at < len(data):
-        if at + 2 > len(data):
+    sections, offset = MessageSections(), 0
+    while offset < len(data):
+        if offset + 2 > len(data):
             raise DatagramError("notes-cut-short")
-        tag, count = data[at], data[at + 1]
-        row, at = ROW_FORMATS.get(tag), at + 2
-        if row is None or count > MAX_ROWS:
+        tag, count = data[offset], data[offset + 1]
+        row_format, offset = ROW_FORMATS.get(tag), offset + 2
+        if row_format is None or count > MAX_ROWS:
             raise DatagramError("unknown-notes")
-        end = at + row.size * count
+        end = offset + row_format.size * count
         if end > len(data):
             raise DatagramError("notes-cut-short")
-        rows = [row.unpack_from(data, x) for x in range(at, end, row.size)] if row.size else []
-        at = end
-        _add_section(n, tag, rows, members)
-    return n
+        rows = (
+            [row_format.unpack_from(data, start) for start in range(offset, end, row_format.size)]
+            if row_format.size
+            else []
+        )
+        offset = end
+        _add_section(sections, tag, rows, members)
+    return sections
 
 
-def _add_section(n: MessageSections, tag: int, rows: list[tuple], members: int) -> None:
+def _add_section(sections: MessageSections, tag: int, rows: list[tuple], members: int) -> None:
     if tag == FAILING:
-        n.ill_everywhere = True
+        sections.majority_failing = True
     elif tag == COUNTER:
-        n.counts += [CounterValue(*r) for r in rows]
-        if any(c.member >= members or not c.life for c in n.counts):
+        sections.counters += [CounterValue(*row) for row in rows]
+        if any(c.member >= members or not c.life for c in sections.counters):
             raise DatagramError("no-such-member")
     elif tag in (REQUEST, GRANT):
         # Danger: a number that is none, or is under 0, would take rights away or make them without end.
         if not all(0 <= amount <= MAX_AMOUNT for _, amount in rows):
             raise DatagramError("bad-amount")
-        (n.wants if tag == REQUEST else n.grants).extend(rows)
+        (sections.requests if tag == REQUEST else sections.grants).extend(rows)
     elif tag == LOAD:
-        n.seen += [(h, x / 100, age * AGE_STEP_MS) for h, x, age in rows]
+        sections.loads += [(host, load / 100, age * AGE_STEP_MS) for host, load, age in rows]
     else:
-        if any(kind > HostCondition.FULL or member >= members for _, kind, member, _ in rows):
+        if any(condition > HostCondition.FULL or member >= members for _, condition, member, _ in rows):
             raise DatagramError("no-such-member")
-        n.judged += [
-            Judgement(h, HostCondition(kind), member, age * AGE_STEP_MS) for h, kind, member, age in rows
+        sections.judgements += [
+            Judgement(host, HostCondition(condition), member, age * AGE_STEP_MS)
+            for host, condition, member, age in rows
         ]
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -19,8 +19,10 @@
 
 
 class SharedIdDecisions:
-    def __init__(self, shares: FleetState, uses: SharingFeatures, report: Callable[[Event], None]) -> None:
-        self.shares, self.uses, self.report = shares, uses, report
+    def __init__(
+        self, shares: FleetState, features: SharingFeatures, report: Callable[[Event], None]
+    ) -> None:
+        self.shares, self.features, self.report = shares, features, report
         self.index: dict[int, int] = {}  # by mark
         self.marks: list[int] = []  # by which the index was made
 
@@ -40,8 +42,8 @@
         h = self._host(mark)
         return None if h is None else h + 1
 
-    def show(self, now: float) -> LocalObservations:
-        node, uses, mark = self.shares.node, self.uses, self.shares.node.stable_id
+    def observations(self, now: float) -> LocalObservations:
+        node, uses, mark = self.shares.node, self.features, self.shares.node.stable_id
         words = self.shares.words(now) if uses.lost else []
         return LocalObservations(
             self.counts() if uses.weight else [],
@@ -51,7 +53,7 @@
             len(node.running),
         )
 
-    def wants(self, now: float) -> list[tuple[int, float]]:
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]:
         mark = self.shares.node.stable_id
         return [
             (SHARED_ROOM_BUDGET if budget == ROOM_BUDGET else mark[budget - 1], x)
@@ -72,21 +74,21 @@
         if (own := self._budget(budget)) is not None:
             self.shares.borrow(now, own, amount, until)
 
-    def told(self, now: float, host: int, figure: float, seen: float) -> None:
+    def take_peer_load(self, now: float, host: int, figure: float, seen: float) -> None:
         if (h := self._host(host)) is not None:
             self.shares.told(now, h, figure, seen)
 
-    def told_lost(self, now: float, host: int, until: float) -> None:
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None:
         if (h := self._host(host)) is not None:
             self.shares.told_lost(now, h, until)
 
-    def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
         mark = self.shares.node.stable_id
         return [(mark[h], x, at) for h, x, at in self.shares.overfull(now, since)]
 
-    def told_full(self, now: float, host: int, figure: float) -> None:
+    def relieve_overloaded_host(self, now: float, host: int, figure: float) -> None:
         if (h := self._host(host)) is not None:
             self.report(HostOverloaded(h, figure))
 
-    def others_send(self, alike: float | None) -> None:
+    def set_sender_count(self, alike: float | None) -> None:
         self.shares.others_send(alike)
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -49,81 +49,83 @@
 class LocalObservations(NamedTuple):
     """What the decisions tell of themselves; hosts under their marks."""
 
-    counts: list[tuple[int, int]]  # subject and value, growing: dials, those ended, dials to cold hosts
-    figures: list[tuple[int, float, float]]  # host, load over capacity, seen at
-    words: list[tuple[int, HostCondition, float]]  # host, what, seen at
-    ill_everywhere: bool
-    hosts: int
+    counters: list[tuple[int, int]]  # subject and value, growing: dials, those ended, dials to cold hosts
+    loads: list[tuple[int, float, float]]  # host, load over capacity, seen at
+    conditions: list[tuple[int, HostCondition, float]]  # host, what, seen at
+    majority_failing: bool
+    host_count: int
 
 
 class Decisions(Protocol):
     """The decisions, as far as this part speaks with them."""
 
-    def show(self, now: float) -> LocalObservations: ...
+    def observations(self, now: float) -> LocalObservations: ...
 
-    def wants(self, now: float) -> list[tuple[int, float]]: ...
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]: ...
 
-    def lend(self, now: float, budget: int, most: float) -> float: ...
+    def lend(self, now: float, budget: int, limit: float) -> float: ...
 
     def borrow(self, now: float, budget: int, amount: float, until: float) -> None: ...
 
-    def told(self, now: float, host: int, figure: float, seen: float) -> None: ...
+    def take_peer_load(self, now: float, host: int, load_ratio: float, observed_at: float) -> None: ...
 
-    def told_lost(self, now: float, host: int, until: float) -> None: ...
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None: ...
 
-    def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]: ...
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]: ...
 
-    def told_full(self, now: float, host: int, figure: float) -> None: ...
+    def relieve_overloaded_host(self, now: float, host: int, load_ratio: float) -> None: ...
 
-    def others_send(self, alike: float | None) -> None: ...
+    def set_sender_count(self, senders: float | None) -> None: ...
 
 
 class Sharing:
     def __init__(
         self, decisions: Decisions, me: int, members: int, life: int, seed: int, now: float,
-        uses: SharingFeatures, names: Iterable[str] = (),
+        features: SharingFeatures, names: Iterable[str] = (),
     ) -> None:  # fmt: skip
-        self.decisions, self.uses = decisions, uses
+        self.decisions, self.features = decisions, features
         self.fleet = codec.fleet_id(members, names)
         self.swim = Swim(me, members, life, seed, now)
-        self.counts, self.judgements = CounterStore(), Judgements()
-        self.gate = TokenBucket(MAX_DATAGRAMS_PER_S, now)
-        self.loans = QuotaTransfers(self.swim.last_nonce)
-        self.sent = self.received = self.bytes = 0
-        self.turns = 0
-        self.full: dict[int, dict[int, tuple[float, float]]] = {}  # hosts seen past full: by whom, how, when
-        self.crowded: dict[int, tuple[float, float]] = {}  # hosts to act on: when, and the load
-        self.looked_to, self.telling = now, []
-        self.tells = TokenBucket(MAX_OVERLOAD_REPORTS_PER_S, now)
-        self.next_at = now + SHORTAGE_CHECK_MS * self.swim._random()
-        self.judge_at = now + JUDGE_INTERVAL_MS * self.swim._random()
+        self.counters, self.judgements = CounterStore(), Judgements()
+        self.receive_limit = TokenBucket(MAX_DATAGRAMS_PER_S, now)
+        self.transfers = QuotaTransfers(self.swim.last_nonce)
+        self.sent = self.received = self.bytes_sent = 0
+        self.rotation = 0
+        self.overload_witnesses: dict[
+            int, dict[int, tuple[float, float]]
+        ] = {}  # hosts seen past full: by whom, how, when
+        self.pending_relief: dict[int, tuple[float, float]] = {}  # hosts to act on: when, and the load
+        self.observed_until, self.overload_report = now, []
+        self.report_limit = TokenBucket(MAX_OVERLOAD_REPORTS_PER_S, now)
+        self.next_check_at = now + SHORTAGE_CHECK_MS * self.swim._random()
+        self.next_judgement_at = now + JUDGE_INTERVAL_MS * self.swim._random()
 
     # ---- in and out
 
     @property
     def due(self) -> float:
-        return min(self.swim.due, self.next_at)
+        return min(self.swim.due, self.next_check_at)
 
     def tick(self, now: float) -> list[tuple[int, bytes]]:
         sends = self.swim.tick(now)
-        if now >= self.next_at:
-            self.next_at = now + SHORTAGE_CHECK_MS * (0.75 + self.swim._random() / 2)
-            sends += self._turn(now)
+        if now >= self.next_check_at:
+            self.next_check_at = now + SHORTAGE_CHECK_MS * (0.75 + self.swim._random() / 2)
+            sends += self._run_periodic(now)
         return self._encode(now, sends)
 
-    def datagram(
-        self, now: float, data: bytes, sender: int | None, lay: float = 0.0,
+    def receive_datagram(
+        self, now: float, data: bytes, sender: int | None, read_delay: float = 0.0,
     ) -> list[tuple[int, bytes]]:  # fmt: skip
         """One datagram, from that member's address, that may have lain there so long; what is sent for it."""
         # Danger: a flood costs a look at each; past the bound it costs a comparison.
-        if not self.gate.take(now):
+        if not self.receive_limit.take(now):
             self.swim.drop("flood")
             return []
         try:
             message = codec.decode(data, self.fleet, self.swim.members)
             if sender != message.sender:
                 raise DatagramError("not-its-address")
-            extra = message_sections.decode(message.sections, self.swim.members)
+            sections = message_sections.decode(message.sections, self.swim.members)
         except DatagramError as reason:
             self.swim.drop(str(reason))
             return []
@@ -131,133 +133,144 @@
         sends, heard = self.swim.receive(now, message)
         if message.sender == self.swim.me or message.life != self.swim.life[message.sender]:
             return self._encode(now, sends)
-        for c in extra.counts:
-            if c.member != self.swim.me and (reason := self.counts.merge(now, c)):
+        for counter in sections.counters:
+            if counter.member != self.swim.me and (reason := self.counters.merge(now, counter)):
                 self.swim.drop(reason)
         if heard is not None:
-            self._heard(now, heard, extra)
+            self._apply_answer(now, heard, sections)
         elif message.kind is MessageKind.ASK:
-            sends, grants = self._give(now, message, extra.wants)
+            sends, grants = self._grant(now, message, sections.requests)
             return self._encode(now, sends, grants)
-        elif message.kind is MessageKind.TELL and self.uses.full:
+        elif message.kind is MessageKind.TELL and self.features.full:
             # Danger: read after a sleep, looks told to all that lay there seem to be of this moment.
-            self._crowd(now, message.sender, [(h, x, age + lay) for h, x, age in extra.seen])
+            self._receive_overload_report(
+                now, message.sender, [(h, x, age + read_delay) for h, x, age in sections.loads]
+            )
         elif message.kind is MessageKind.GIVE:
-            self._take(now, message, extra.grants)
+            self._accept_grants(now, message, sections.grants)
         return self._encode(now, sends)
 
     def _encode(self, now: float, sends: list[Send], grants: list | None = None) -> list[tuple[int, bytes]]:
         out = []
         for to, message in sends:
-            riding = self._notes(now, message.kind, grants or [])
-            data = codec.encode(message._replace(sections=riding), self.fleet)
-            self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
+            sections = self._encode_sections(now, message.kind, grants or [])
+            data = codec.encode(message._replace(sections=sections), self.fleet)
+            self.sent, self.bytes_sent = self.sent + 1, self.bytes_sent + len(data)
             out.append((to, data))
         return out
 
     # ---- what is told
 
-    def _notes(self, now: float, kind: MessageKind, grants: list[tuple[int, float]]) -> bytes:
+    def _encode_sections(self, now: float, kind: MessageKind, grants: list[tuple[int, float]]) -> bytes:
         if kind is MessageKind.GOSSIP:
             return b""
         if kind is MessageKind.TELL:
-            return message_sections.encode(MessageSections(seen=self.telling), codec.SECTION_BYTES)
+            return message_sections.encode(MessageSections(loads=self.overload_report), codec.SECTION_BYTES)
         if kind is MessageKind.GIVE:
             return message_sections.encode(MessageSections(grants=grants), codec.SECTION_BYTES)
         if kind is MessageKind.ASK:
             return message_sections.encode(
-                MessageSections(wants=self._some(self._wanted(now), REQUEST_ROWS)), codec.SECTION_BYTES
+                MessageSections(requests=self._rotate(self._wanted_quota(now), REQUEST_ROWS)),
+                codec.SECTION_BYTES,
             )
-        shown, me = self.decisions.show(now), self.swim.me
-        n = MessageSections(ill_everywhere=shown.ill_everywhere)
-        if self.uses.weight:
-            for subject, value in shown.counts:
-                self.counts.merge(now, CounterValue(subject, me, self.swim.life[me], min(value, MAX_VALUE)))
-            n.counts = list(self.counts.rows(COUNTER_ROWS, me))
-        if kind is MessageKind.ACK and self.uses.prior:
+        observations, me = self.decisions.observations(now), self.swim.me
+        sections = MessageSections(majority_failing=observations.majority_failing)
+        if self.features.weight:
+            for subject, value in observations.counters:
+                self.counters.merge(now, CounterValue(subject, me, self.swim.life[me], min(value, MAX_VALUE)))
+            sections.counters = list(self.counters.rows_to_send(COUNTER_ROWS, me))
+        if kind is MessageKind.ACK and self.features.prior:
             # hosts with room are what another lacks; each node tells of those that it has looked at itself
-            low = sorted((x, h, now - at) for h, x, at in shown.figures if now - at <= LOAD_VALIDITY_MS)
-            n.seen = [(h, x, age) for x, h, age in low[:LOAD_ROWS]]
-        if kind is MessageKind.ACK and self.uses.lost:
-            own = [Judgement(h, word, me, now - at) for h, word, at in shown.words if now - at <= VALIDITY_MS]
+            least_loaded = sorted(
+                (x, h, now - at) for h, x, at in observations.loads if now - at <= LOAD_VALIDITY_MS
+            )
+            sections.loads = [(h, x, age) for x, h, age in least_loaded[:LOAD_ROWS]]
+        if kind is MessageKind.ACK and self.features.lost:
+            own = [
+                Judgement(h, condition, me, now - at)
+                for h, condition, at in observations.conditions
+                if now - at <= VALIDITY_MS
+            ]
             others = [
-                Judgement(h, word, member, now - at)
-                for (h, member), (word, at, _) in self.judgements.rows.items() if member != me
+                Judgement(h, condition, member, now - at)
+                for (h, member), (condition, at, _) in self.judgements.rows.items() if member != me
             ]  # fmt: skip
-            n.judged = self._some(own, JUDGEMENT_ROWS) + self._some(others, JUDGEMENT_ROWS)
-        return message_sections.encode(n, codec.SECTION_BYTES)
+            sections.judgements = self._rotate(own, JUDGEMENT_ROWS) + self._rotate(others, JUDGEMENT_ROWS)
+        return message_sections.encode(sections, codec.SECTION_BYTES)
 
-    def _wanted(self, now: float) -> list[tuple[int, float]]:
+    def _wanted_quota(self, now: float) -> list[tuple[int, float]]:
         """Pots that are short, and by how much."""
-        return [w for w in self.decisions.wants(now) if self._allowed(w[0])]
+        return [row for row in self.decisions.wanted_quota(now) if self._may_transfer(row[0])]
 
-    def _some(self, rows: list, most: int) -> list:
+    def _rotate(self, rows: list, limit: int) -> list:
         """So many of the rows, others each time."""
-        if len(rows) <= most:
+        if len(rows) <= limit:
             return rows
-        self.turns += 1
-        first = self.turns * most % len(rows)
-        return (rows + rows)[first : first + most]
+        self.rotation += 1
+        first = self.rotation * limit % len(rows)
+        return (rows + rows)[first : first + limit]
 
     # ---- what is heard
 
-    def _heard(self, now: float, heard: AnswerReceived, n: MessageSections) -> None:
+    def _apply_answer(self, now: float, heard: AnswerReceived, sections: MessageSections) -> None:
         """The answer to a question of this node's: what it says was so after the question was sent."""
-        if self.uses.prior:
-            for host, figure, age in n.seen:
-                if (seen := heard.asked_at - age) > now - LOAD_VALIDITY_MS:
-                    self.decisions.told(now, host, figure, seen)
-        if not self.uses.lost:
+        if self.features.prior:
+            for host, load_ratio, age in sections.loads:
+                if (observed_at := heard.asked_at - age) > now - LOAD_VALIDITY_MS:
+                    self.decisions.take_peer_load(now, host, load_ratio, observed_at)
+        if not self.features.lost:
             return
-        if n.ill_everywhere:
-            self.judgements.sees_ill_everywhere(now, heard.member)
-        for j in n.judged:
-            if j.member != self.swim.me:
-                reason = self.judgements.take(now, j, heard.asked_at, heard.member)
+        if sections.majority_failing:
+            self.judgements.mark_unsound(now, heard.member)
+        for judgement in sections.judgements:
+            if judgement.member != self.swim.me:
+                reason = self.judgements.record(now, judgement, heard.asked_at, heard.member)
                 if reason is not None:
                     self.swim.drop(reason)
 
     # ---- loans
 
-    def _allowed(self, budget: int) -> bool:
-        return self.uses.room if budget == SHARED_ROOM_BUDGET else self.uses.cold
+    def _may_transfer(self, budget: int) -> bool:
+        return self.features.room if budget == SHARED_ROOM_BUDGET else self.features.cold
 
-    def _give(
-        self, now: float, m: Message, wants: list[tuple[int, float]],
+    def _grant(
+        self, now: float, message: Message, requests: list[tuple[int, float]],
     ) -> tuple[list[Send], list[tuple[int, float]]]:  # fmt: skip
         if not self.swim.answer_limit.take(now):
             self.swim.drop("too-many")
             return [], []
 
-        def lend(budget: int, most: float) -> float:
+        def lend(budget: int, limit: float) -> float:
             return (
-                message_sections.round_down_to_wire(self.decisions.lend(now, budget, most))
-                if self._allowed(budget)
+                message_sections.round_down_to_wire(self.decisions.lend(now, budget, limit))
+                if self._may_transfer(budget)
                 else 0.0
             )
 
-        grants = self.loans.give(m.sender, m.life, m.nonce, wants[:REQUEST_ROWS], lend)
-        answer = self.swim.message_without_updates(MessageKind.GIVE, self.swim.me, m.nonce)
-        return ([Send(m.sender, answer)] if grants else []), grants
+        grants = self.transfers.grant(
+            message.sender, message.life, message.nonce, requests[:REQUEST_ROWS], lend
+        )
+        answer = self.swim.message_without_updates(MessageKind.GIVE, self.swim.me, message.nonce)
+        return ([Send(message.sender, answer)] if grants else []), grants
 
-    def _take(self, now: float, m: Message, grants: list[tuple[int, float]]) -> None:
+    def _accept_grants(self, now: float, message: Message, grants: list[tuple[int, float]]) -> None:
         def borrow(budget: int, amount: float, until: float) -> None:
             self.decisions.borrow(now, budget, amount, until)
 
-        since = self.loans.take(now, m.sender, m.nonce, grants, borrow)
-        if since is None:
+        asked_at = self.transfers.accept(now, message.sender, message.nonce, grants, borrow)
+        if asked_at is None:
             self.swim.drop("unasked")
         else:
-            self.swim.record_answer(now, m.sender, since)
+            self.swim.record_answer(now, message.sender, asked_at)
 
     # ---- in its turn
 
-    def _turn(self, now: float) -> list[Send]:
-        if now >= self.judge_at:
-            self.judge_at = now + JUDGE_INTERVAL_MS
-            self._judge(now)
-        sends = self._tell(now) if self.uses.full else []
-        if not (self.uses.room or self.uses.cold) or not self._wanted(now):
+    def _run_periodic(self, now: float) -> list[Send]:
+        if now >= self.next_judgement_at:
+            self.next_judgement_at = now + JUDGE_INTERVAL_MS
+            self._apply_judgements(now)
+        sends = self._report_overload(now) if self.features.full else []
+        if not (self.features.room or self.features.cold) or not self._wanted_quota(now):
             return sends
         member = self.swim.random_live_member(now)
         if member is None:
@@ -266,58 +279,66 @@
             *sends,
             Send(
                 member,
-                self.swim.message_without_updates(MessageKind.ASK, member, self.loans.ask(now, member)),
+                self.swim.message_without_updates(
+                    MessageKind.ASK, member, self.transfers.request(now, member)
+                ),
             ),
         ]
 
-    def _tell(self, now: float) -> list[Send]:
+    def _report_overload(self, now: float) -> list[Send]:
         """Acts on what was told, at a moment of its own; tells the own looks that show a host past full."""
-        for host in [h for h, (at, _) in self.crowded.items() if now >= at]:
-            self.decisions.told_full(now, host, self.crowded.pop(host)[1])
-        looks = self.decisions.overfull(now, self.looked_to)
-        self.looked_to = now
-        new = [(h, x, now - at) for h, x, at in looks if not self._known_full(now, h)]
-        for host, figure, age in new:
-            self._witness(now, self.swim.me, host, figure, age)
-        if not new or self.swim.duplicate_name or not self.tells.take(now):
+        for host in [h for h, (at, _) in self.pending_relief.items() if now >= at]:
+            self.decisions.relieve_overloaded_host(now, host, self.pending_relief.pop(host)[1])
+        overloaded = self.decisions.overloaded_hosts(now, self.observed_until)
+        self.observed_until = now
+        new = [(h, x, now - at) for h, x, at in overloaded if not self._is_confirmed(now, h)]
+        for host, load_ratio, age in new:
+            self._add_witness(now, self.swim.me, host, load_ratio, age)
+        if not new or self.swim.duplicate_name or not self.report_limit.take(now):
             return []
-        self.telling = new[:LOAD_ROWS]
+        self.overload_report = new[:LOAD_ROWS]
         return [Send(EVERYONE, self.swim.message_without_updates(MessageKind.TELL, self.swim.me, 0))]
 
-    def _known_full(self, now: float, host: int) -> bool:
-        return len(recent_observations(now, self.full.get(host, {}))) >= OVERLOAD_WITNESSES
-
-    def _crowd(self, now: float, member: int, rows: list[tuple[int, float, float]]) -> None:
-        for host, figure, age in rows[:LOAD_ROWS]:
-            if age <= OVERLOAD_VALIDITY_MS and figure > 1.0:
-                self._witness(now, member, host, figure, age)
-
-    def _witness(self, now: float, member: int, host: int, figure: float, age: float) -> None:
-        if host not in self.full and len(self.full) >= MAX_OVERLOADED_HOSTS:
-            self.full = {h: new for h, rows in self.full.items() if (new := recent_observations(now, rows))}
-            if len(self.full) >= MAX_OVERLOADED_HOSTS:
+    def _is_confirmed(self, now: float, host: int) -> bool:
+        return len(recent_observations(now, self.overload_witnesses.get(host, {}))) >= OVERLOAD_WITNESSES
+
+    def _receive_overload_report(self, now: float, member: int, rows: list[tuple[int, float, float]]) -> None:
+        for host, load_ratio, age in rows[:LOAD_ROWS]:
+            if age <= OVERLOAD_VALIDITY_MS and load_ratio > 1.0:
+                self._add_witness(now, member, host, load_ratio, age)
+
+    def _add_witness(self, now: float, member: int, host: int, load_ratio: float, age: float) -> None:
+        if host not in self.overload_witnesses and len(self.overload_witnesses) >= MAX_OVERLOADED_HOSTS:
+            self.overload_witnesses = {
+                h: new
+                for h, rows in self.overload_witnesses.items()
+                if (new := recent_observations(now, rows))
+            }
+            if len(self.overload_witnesses) >= MAX_OVERLOADED_HOSTS:
                 return
-        rows = recent_observations(now, self.full.get(host, {}))
-        rows[member] = figure, now - age
-        self.full[host] = rows
+        rows = recent_observations(now, self.overload_witnesses.get(host, {}))
+        rows[member] = load_ratio, now - age
+        self.overload_witnesses[host] = rows
         # Danger: one node that sees wrongly would move connections of all; two have to see it.
-        if len(rows) >= OVERLOAD_WITNESSES and host not in self.crowded:
-            lowest = sorted((x for x, _ in rows.values()), reverse=True)[OVERLOAD_WITNESSES - 1]
-            self.crowded[host] = now + OVERLOAD_SPREAD_MS * self.swim._random(), lowest
-
-    def _judge(self, now: float) -> None:
-        if self.uses.lost:
-            self.judgements.age(now)
-            for host, until in self.judgements.lost(now, self.decisions.show(now).hosts).items():
-                self.decisions.told_lost(now, host, until)
-        if self.uses.weight:
-            self.counts.age(now)
-            self.decisions.others_send(self._alike(now))
-
-    def _alike(self, now: float) -> float | None:
+        if len(rows) >= OVERLOAD_WITNESSES and host not in self.pending_relief:
+            confirmed_ratio = sorted((x for x, _ in rows.values()), reverse=True)[OVERLOAD_WITNESSES - 1]
+            self.pending_relief[host] = now + OVERLOAD_SPREAD_MS * self.swim._random(), confirmed_ratio
+
+    def _apply_judgements(self, now: float) -> None:
+        if self.features.lost:
+            self.judgements.expire(now)
+            for host, until in self.judgements.lost_hosts(
+                now, self.decisions.observations(now).host_count
+            ).items():
+                self.decisions.take_unreachable_report(now, host, until)
+        if self.features.weight:
+            self.counters.expire(now)
+            self.decisions.set_sender_count(self._effective_senders(now))
+
+    def _effective_senders(self, now: float) -> float | None:
         """So many nodes like this one would send what all do together; None where too few have told."""
-        others, known = self.counts.rate(now, DIALS_STARTED, self.swim.me)
-        own = self.counts.own_rate(DIALS_STARTED, self.swim.me, self.swim.life[self.swim.me])
+        others, known = self.counters.rate(now, DIALS_STARTED, self.swim.me)
+        own = self.counters.own_rate(DIALS_STARTED, self.swim.me, self.swim.life[self.swim.me])
         if known < MIN_REPORTING_MEMBERS or not own:
             return None
         # those that have told nothing yet are taken for like the ones that have, silent ones for nothing
@@ -328,24 +349,25 @@
     def lines(self, now: float) -> list[str]:
         """Figures for `caperdeck peers show`."""
         swim = self.swim
-        direct, news = swim.count_heard(now, HEARD_WITHIN_MS)
+        direct, heard_of = swim.count_heard(now, HEARD_WITHIN_MS)
         states = {s.name.lower(): sum(x is s for x in swim.state) for s in codec.MemberState}
         rows = {f"members_{name}": count for name, count in states.items()} | {
             "members_never_heard": sum(not life for life in swim.life),
             "members_returned": sum(swim.restarts),
-            "heard_direct": direct, "heard_of": news, "doubled_name": int(swim.duplicate_name),
+            "heard_direct": direct, "heard_of": heard_of, "doubled_name": int(swim.duplicate_name),
             "life": swim.life[swim.me], "datagrams_sent": self.sent, "datagrams_taken": self.received,
-            "datagram_bytes_sent": self.bytes, "load_lent": round(self.loans.lent, 1),
-            "load_borrowed": round(self.loans.borrowed, 1), "load_too_late": round(self.loans.late, 1),
-            "counts_kept": len(self.counts.kept),
-            "fleet_dials": self.counts.total(DIALS_STARTED),
-            "fleet_held": self.counts.total(DIALS_STARTED) - self.counts.total(DIALS_ENDED),
+            "datagram_bytes_sent": self.bytes_sent, "load_lent": round(self.transfers.lent, 1),
+            "load_borrowed": round(self.transfers.borrowed, 1),
+            "load_too_late": round(self.transfers.late, 1),
+            "counts_kept": len(self.counters.stored),
+            "fleet_dials": self.counters.total(DIALS_STARTED),
+            "fleet_held": self.counters.total(DIALS_STARTED) - self.counters.total(DIALS_ENDED),
             "judgements_kept": len(self.judgements.rows),
         }  # fmt: skip
         lines = [f"app_peers_{name} {value}" for name, value in rows.items()]
-        for subject, value in self.decisions.show(now).counts:
+        for subject, value in self.decisions.observations(now).counters:
             if subject not in (DIALS_STARTED, DIALS_ENDED):
-                sent = max(self.counts.total(subject), value)
+                sent = max(self.counters.total(subject), value)
                 lines.append(f'app_peers_sent_cold{{pot="{subject:08x}"}} {sent}')
         dropped = sorted(swim.dropped.items())
         return lines + [f'app_peers_dropped_total{{reason="{name}"}} {count}' for name, count in dropped]
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -11,38 +11,42 @@
 from typing import Any
 
 from caperdeck.core.quotas import Quotas
-from caperdeck.gossip.quota_transfers import LOAN_MS, QuotaTransfers
+from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS, QuotaTransfers
 
 from .exploration import BrokenError
 
-SAVED = LOAN_MS  # milliseconds; in so long a node mints one right, and it saves one
+SAVED = TRANSFER_VALIDITY_MS  # milliseconds; in so long a node mints one right, and it saves one
 NODES = 3
 
 
 class NodeModel:
     """One node: its rights as the program keeps them, and each in its hands by owner and minting time."""
 
-    __slots__ = ("me", "life", "rights", "loans", "own", "lent", "awake")
+    __slots__ = ("me", "life", "rights", "transfers", "own", "lent", "awake")
 
     def __init__(self, me: int, now: float, life: int = 1) -> None:
         self.me, self.life, self.awake = me, life, True
-        self.rights, self.loans = Quotas(), QuotaTransfers(life * 100)
+        self.rights, self.transfers = Quotas(), QuotaTransfers(life * 100)
         self.rights.grow(now, 0)
         self.own, self.lent = (), ()
 
     def clone(self) -> NodeModel:
         c = object.__new__(type(self))
         c.me, c.life, c.awake, c.own, c.lent = self.me, self.life, self.awake, self.own, self.lent
-        c.rights, c.loans = Quotas(), QuotaTransfers(self.loans.nonce)
+        c.rights, c.transfers = Quotas(), QuotaTransfers(self.transfers.last_nonce)
         for name in ("saved", "at", "loan", "until", "idle_until"):
             setattr(c.rights, name, list(getattr(self.rights, name)))
-        c.loans.asked, c.loans.answered = dict(self.loans.asked), dict(self.loans.answered)
+        c.transfers.pending_requests, c.transfers.answered_requests = (
+            dict(self.transfers.pending_requests),
+            dict(self.transfers.answered_requests),
+        )
         return c
 
     def key(self) -> tuple:
         r = self.rights
         return (self.life, self.awake, self.own, self.lent, r.saved[0], r.at[0], r.loan[0], r.until[0],
-                tuple(self.loans.asked.items()), tuple(self.loans.answered))  # fmt: skip
+                tuple(self.transfers.pending_requests.items()),
+                tuple(self.transfers.answered_requests))  # fmt: skip
 
     def part(self, heard: int) -> float:
         """Of the fleet's rate, what this node mints."""
@@ -85,7 +89,7 @@
             if not n.awake:
                 out.append(("wake", i))
                 continue
-            if self.left["ask"] and not n.loans.asked:
+            if self.left["ask"] and not n.transfers.pending_requests:
                 out += [("ask", i, j) for j in range(NODES) if j != i]
             if n.rights.saved[0] or n.rights.loan[0] or n.rights.at[0] < self.now(i):
                 out.append(("spend", i))
@@ -109,7 +113,7 @@
 
     def ask(self, i: int, j: int) -> None:
         n = self.nodes[i]
-        self.flying += (("ask", i, j, n.life, n.loans.ask(self.now(i), j), 0, ()),)
+        self.flying += (("ask", i, j, n.life, n.transfers.request(self.now(i), j), 0, ()),)
 
     def die(self, i: int) -> None:
         self.nodes[i] = type(self.nodes[i])(i, self.now(i), self.nodes[i].life + 1)
@@ -131,13 +135,13 @@
         n, now = self.nodes[b], self.now(b)
         if what == "ask":
             self.mint(n)
-            grants = n.loans.give(a, life, number, [(0, 1.0)], n.rights.lend)
+            grants = n.transfers.grant(a, life, number, [(0, 1.0)], n.rights.lend)
             if grants:
                 count = round(grants[0][1])
                 given, n.own = tuple((b, x) for x in n.own[:count]), n.own[count:]
                 self.flying += (("give", b, a, life, number, grants[0][1], given),)
         elif n.life == life:  # otherwise no number of this life is the answer's
-            n.loans.take(now, a, number, [(0, amount)], lambda *grant: self.borrow(n, rights, *grant))
+            n.transfers.accept(now, a, number, [(0, amount)], lambda *grant: self.borrow(n, rights, *grant))
 
     def borrow(self, n: NodeModel, rights: tuple, budget: int, amount: float, until: float) -> None:
         n.rights.borrow(self.now(n.me), budget, amount, n.end(until))
@@ -171,5 +175,5 @@
                 raise BrokenError(f"a right of node {owner} is spent twice")
             self.spent |= {(owner, minted)}
             age = self.time - minted / self.rates[owner]
-            if age > (SAVED + LOAN_MS) / min(self.rates) + 1e-9:
+            if age > (SAVED + TRANSFER_VALIDITY_MS) / min(self.rates) + 1e-9:
                 raise BrokenError(f"a right of node {owner} is spent after {age} ms")
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from caperdeck.core.quotas import Quotas
-from caperdeck.gossip.quota_transfers import LOAN_MS
+from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
 from caperdeck.gossip.sharing import Sharing, LocalObservations, SharingFeatures
 
 from .events import Events
@@ -35,10 +35,10 @@
     ill: bool = False
     full: list = field(default_factory=list)
 
-    def show(self, now: float) -> LocalObservations:
+    def observations(self, now: float) -> LocalObservations:
         return LocalObservations([(0, self.dialled)], self.figures, self.words, self.ill, 20)
 
-    def wants(self, now: float) -> list[tuple[int, float]]:
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]:
         return [(0, SAVED * RATE)] if self.short else []
 
     def mint(self, now: float) -> float:
@@ -51,19 +51,19 @@
     def borrow(self, now: float, budget: int, amount: float, until: float) -> None:
         self.rights.borrow(now, budget, amount, until)
 
-    def told(self, now: float, host: int, figure: float, seen: float) -> None:
+    def take_peer_load(self, now: float, host: int, figure: float, seen: float) -> None:
         self.priors[host] = figure, seen
 
-    def told_lost(self, now: float, host: int, until: float) -> None:
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None:
         self.lost[host] = until
 
-    def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
         return [row for row in self.figures if row[2] > since]
 
-    def told_full(self, now: float, host: int, figure: float) -> None:
+    def relieve_overloaded_host(self, now: float, host: int, figure: float) -> None:
         self.full.append((now, host, figure))
 
-    def others_send(self, alike: float | None) -> None:
+    def set_sender_count(self, alike: float | None) -> None:
         self.alike = alike
 
 
@@ -134,7 +134,7 @@
         if i in self.suspended:
             self.inbox[i].append((data, sender))
         elif self.nodes[i] is not None:
-            self.send(i, self.nodes[i].datagram(self.clock(i), data, sender))
+            self.send(i, self.nodes[i].receive_datagram(self.clock(i), data, sender))
 
 
 class Spending:
@@ -197,4 +197,4 @@
 def bound(net: Net, window: float) -> float:
     """docs/ledger-design.md: what all mint in the window and the spans of saving and lending before it."""
     slow, fast = min(net.rates), max(net.rates)
-    return net.members * RATE * fast * (window + (SAVED + LOAN_MS) / slow)
+    return net.members * RATE * fast * (window + (SAVED + TRANSFER_VALIDITY_MS) / slow)
--- a/caperdeck/wire/peers.py
+++ b/caperdeck/wire/peers.py
@@ -47,7 +47,7 @@
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         now = self.clock()
-        self._send(self.sharing.datagram(now, data, self.members.get(address), self.age()))
+        self._send(self.sharing.receive_datagram(now, data, self.members.get(address), self.age()))
         self._say(now)
 
     def _timer_fired(self) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -63,16 +63,16 @@
     (2, 499.0, 0.0, [(0, 4.0, 500.0)]), (2, 500.0, 4.0, []), (1, 100.0, 0.0, []),
 ])  # fmt: skip
 def test_an_answer_is_taken_once_from_whom_was_asked_and_in_time(member, now, late, taken):
-    loans, got = QuotaTransfers(), []
-    number = loans.ask(0.0, 2)
+    transfers, got = QuotaTransfers(), []
+    number = transfers.request(0.0, 2)
     for _ in range(2):
-        loans.take(now, member, number, [(0, 4.0)], lambda *grant: got.append(grant))
-    assert got == taken and loans.late == late
+        transfers.accept(now, member, number, [(0, 4.0)], lambda *grant: got.append(grant))
+    assert got == taken and transfers.late == late
 
 
 def test_a_question_that_comes_twice_is_lent_to_once():
-    loans, r = QuotaTransfers(), rights(saved=10.0)
-    first, second = (loans.give(1, 7, 3, [(0, 4.0)], r.lend) for _ in range(2))
+    transfers, r = QuotaTransfers(), rights(saved=10.0)
+    first, second = (transfers.grant(1, 7, 3, [(0, 4.0)], r.lend) for _ in range(2))
     assert first == [(0, 4.0)] and second == [] and r.saved[0] == 6.0
 
 
@@ -112,7 +112,7 @@
     """A datagram minutes late would count a life once more."""
     c = CounterStore()
     c.merge(0.0, CounterValue(0, 1, 5, 100))
-    c.age(EXPIRY_MS + 1)
+    c.expire(EXPIRY_MS + 1)
     assert c.total(0) == 0 and c.merge(EXPIRY_MS + 2, CounterValue(0, 1, 5, 100)) == "closed-life"
     # Danger: a node that was idle for a while would never be counted again.
     assert c.merge(EXPIRY_MS + 2, CounterValue(0, 1, 5, 101)) is None and c.total(0) == 101
@@ -124,7 +124,7 @@
     assert c.merge(0.0, CounterValue(0, 1, 5, MAX_INCREASE + 2)) == "count-jumps"
     for budget in range(MAX_COUNTERS):
         reason = c.merge(0.0, CounterValue(budget + 1, 1, 5, 1))
-    assert reason == "too-many-counts" and len(c.kept) == MAX_COUNTERS
+    assert reason == "too-many-counts" and len(c.stored) == MAX_COUNTERS
 
 
 def test_what_others_send_is_their_rate():
@@ -132,15 +132,15 @@
     for now in range(0, 5000, 1000):
         for member in (1, 2):
             c.merge(float(now), CounterValue(0, member, 5, now // 100 * member))
-    assert c.rate(5000.0, 0, besides=3) == (pytest.approx(0.03), 2)
-    assert c.rate(5000.0, 0, besides=2) == (pytest.approx(0.01), 1)
+    assert c.rate(5000.0, 0, excluded_member=3) == (pytest.approx(0.03), 2)
+    assert c.rate(5000.0, 0, excluded_member=2) == (pytest.approx(0.01), 1)
 
 
 def test_each_node_passes_on_its_own_counts_and_those_of_others_in_turn():
     c = CounterStore()
     for member in range(1, 6):
         c.merge(0.0, CounterValue(0, member, 5, member))
-    told = [{row.member for row in c.rows(2, 1)} for _ in range(8)]
+    told = [{row.member for row in c.rows_to_send(2, 1)} for _ in range(8)]
     assert all(1 in members for members in told) and set().union(*told) == {1, 2, 3, 4, 5}
 
 
@@ -151,7 +151,7 @@
     """Words as (host, kind, member, informant), each of a moment ago."""
     j = Judgements()
     for host, kind, member, informant in words:
-        j.take(now, Judgement(host, kind, member, 0.0), now, informant)
+        j.record(now, Judgement(host, kind, member, 0.0), now, informant)
     return j
 
 
@@ -170,26 +170,28 @@
     ([(7, HostCondition.FULL, member, member) for member in (1, 2, 3)], False),
 ])  # fmt: skip
 def test_a_host_is_lost_when_enough_say_so_and_more_than_hear_from_it(words, lost):
-    assert bool(judged(words).lost(1000.0, 20)) is lost
+    assert bool(judged(words).lost_hosts(1000.0, 20)) is lost
 
 
 def test_a_node_that_sees_ill_everywhere_is_no_witness():
     """A cut-off node finds every host lost."""
     j = judged(LOST)
-    j.sees_ill_everywhere(1000.0, 3)
-    assert j.lost(1000.0, 20) == {}
+    j.mark_unsound(1000.0, 3)
+    assert j.lost_hosts(1000.0, 20) == {}
 
 
 def test_no_set_of_judgements_takes_out_more_than_a_part_of_the_hosts():
     words = [(host, HostCondition.LOST, member, member) for host in range(6) for member in (1, 2, 3)]
-    assert judged(words).lost(1000.0, 20) == {} and len(judged(words).lost(1000.0, 24)) == 6
+    assert judged(words).lost_hosts(1000.0, 20) == {} and len(judged(words).lost_hosts(1000.0, 24)) == 6
 
 
 def test_a_judgement_ends_by_itself_and_an_old_one_is_not_taken():
     j = judged(LOST)
-    assert j.lost(1000.0, 20) == {7: 1000.0 + VALIDITY_MS} and j.lost(1001.0 + VALIDITY_MS, 20) == {}
+    assert (
+        j.lost_hosts(1000.0, 20) == {7: 1000.0 + VALIDITY_MS} and j.lost_hosts(1001.0 + VALIDITY_MS, 20) == {}
+    )
     # Danger: dated by the time of arrival, a word minutes late would hold from then on.
-    assert j.take(60_000.0, Judgement(7, HostCondition.LOST, 1, 10.0), 1000.0, 1) == "old-judgement"
+    assert j.record(60_000.0, Judgement(7, HostCondition.LOST, 1, 10.0), 1000.0, 1) == "old-judgement"
 
 
 # ---- notes
@@ -199,7 +201,7 @@
 
 @given(st.lists(amounts, max_size=6), st.lists(amounts, max_size=6), st.lists(counts, max_size=3))
 def test_notes_come_back(wants, grants, kept):
-    n = MessageSections(counts=kept, wants=wants, grants=grants, ill_everywhere=True)
+    n = MessageSections(counters=kept, requests=wants, grants=grants, majority_failing=True)
     assert message_sections.decode(message_sections.encode(n, 200), 4) == n
 
 
@@ -226,10 +228,10 @@
 
 
 def test_ages_are_rounded_up_and_the_rest_is_cut():
-    n = MessageSections(seen=[(h, 0.5, 17.0) for h in range(40)])
+    n = MessageSections(loads=[(h, 0.5, 17.0) for h in range(40)])
     data = message_sections.encode(n, codec.SECTION_BYTES)
     assert len(data) <= codec.SECTION_BYTES
-    assert all(age == 32.0 for _, _, age in message_sections.decode(data, 4).seen)
+    assert all(age == 32.0 for _, _, age in message_sections.decode(data, 4).loads)
 
 
 # ---- many copies
@@ -268,7 +270,7 @@
     net = Net(8, 1, ROOM, loss=1.0)
     spending = Spending(net)
     net.run(20_000)
-    assert sum(s.loans.borrowed for s in net.nodes) == 0
+    assert sum(s.transfers.borrowed for s in net.nodes) == 0
     assert sum(x for _, x in spending.spent) > 0.9 * net.members * RATE * 20_000
 
 
@@ -325,10 +327,10 @@
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
         told = Message(codec.MessageKind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
-        sections = message_sections.encode(MessageSections(seen=[(7, 1.5, 0.0)]), 142)
+        sections = message_sections.encode(MessageSections(loads=[(7, 1.5, 0.0)]), 142)
         data = codec.encode(told._replace(sections=sections), node.fleet)
-        node.datagram(now, data, sender, lay=5000.0)
-    assert node.full == {} and node.crowded == {}
+        node.receive_datagram(now, data, sender, read_delay=5000.0)
+    assert node.overload_witnesses == {} and node.pending_relief == {}
 
 
 def test_one_lying_node_moves_nobody():
@@ -345,5 +347,5 @@
     node = net.nodes[0]
     data = codec.encode(Message(codec.MessageKind.PING, 1, node.swim.life[1], 0, 5), node.fleet)
     own = codec.encode(Message(codec.MessageKind.PING, 0, node.swim.life[0], 1, 5), node.fleet)
-    assert node.datagram(net.clock(0), data, 2) == [] and node.swim.dropped["not-its-address"] == 1
-    assert node.datagram(net.clock(0), own, 0) == [] and node.swim.dropped["own-name"] == 1
+    assert node.receive_datagram(net.clock(0), data, 2) == [] and node.swim.dropped["not-its-address"] == 1
+    assert node.receive_datagram(net.clock(0), own, 0) == [] and node.swim.dropped["own-name"] == 1
--- a/tests/test_gossip_bound.py
+++ b/tests/test_gossip_bound.py
@@ -4,7 +4,7 @@
 
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.rights_model import NodeModel, RightsModel
-from caperdeck.gossip.quota_transfers import LOAN_MS
+from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
 
 
 class DividesByTheLiving(NodeModel):
@@ -22,8 +22,9 @@
 
     def clone(self):
         c = super().clone()
-        c.loans.take = lambda now, member, number, grants, borrow: [
-            borrow(budget, amount, c.loans.asked[number][1] + LOAN_MS) for budget, amount in grants
+        c.transfers.accept = lambda now, member, number, grants, borrow: [
+            borrow(budget, amount, c.transfers.pending_requests[number][1] + TRANSFER_VALIDITY_MS)
+            for budget, amount in grants
         ]  # fmt: skip
         return c
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -366,7 +366,7 @@
     node, now = net.nodes[0], net.clock(0)
     life = net.nodes[1].swim.life[1]
     pings = [codec.encode(Message(MessageKind.PING, 1, life, 0, n), node.fleet) for n in range(1000)]
-    answers = sum(len(node.datagram(now, data, 1)) for data in pings)
+    answers = sum(len(node.receive_datagram(now, data, 1)) for data in pings)
     assert 0 < answers <= 20 and node.swim.dropped["flood"] >= 700 and node.swim.dropped["too-many"] > 0
 
 
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -194,19 +194,19 @@
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
-    assert m.wants(now) == []
+    assert m.wanted_quota(now) == []
     n.short_at = now
-    assert m.wants(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wants(now + 1000) == []
+    assert m.wanted_quota(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wanted_quota(now + 1000) == []
 
 
 def test_a_told_figure_stands_in_for_the_mean_and_ends():
     d, s, m = shares()
     n, now = s.node, d.clock()
     n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
-    m.told(now, n.stable_id[0], 0.9, now - 100)
+    m.take_peer_load(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
-    m.told(now, n.stable_id[0], 0.1, now - 500)  # older
-    m.told(now, 12345, 0.1, now)  # a host that this node's list does not name
+    m.take_peer_load(now, n.stable_id[0], 0.1, now - 500)  # older
+    m.take_peer_load(now, 12345, 0.1, now)  # a host that this node's list does not name
     assert n._load(now, 0) == 0.9 and n._load(now + 5000, 0) == 0.5
 
 
@@ -215,7 +215,7 @@
     n, now = s.node, d.clock()
     n.seen_at = [now - 5000, now]
     for mark in n.stable_id[:2]:
-        m.told_lost(now, mark, now + 9000)
+        m.take_unreachable_report(now, mark, now + 9000)
     assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
 
 
