--- a/caperdeck/gossip/message_sections.py
+++ b/caperdeck/gossip/message_sections.py
@@ -8,96 +8,110 @@
 
 from caperdeck.peers.codec import DatagramError
 
-from .counters import Count
-from .judgements import Judgement, Kind
-
-STEP = 16.0  # milliseconds, of an age
-OLDEST = 255 * STEP
-MOST_ROWS = 24
-MOST_AMOUNT = 1e18
-COUNT, WANT, GRANT, SEEN, JUDGED, ILL = range(1, 7)
-ROWS = {
-    COUNT: struct.Struct(">IHII"), WANT: struct.Struct(">If"), GRANT: struct.Struct(">If"),
-    SEEN: struct.Struct(">IBB"), JUDGED: struct.Struct(">IBHB"), ILL: struct.Struct(">"),
+from .counters import CounterValue
+from .judgements import Judgement, HostCondition
+
+AGE_STEP_MS = 16.0  # milliseconds, of an age
+MAX_AGE_MS = 255 * AGE_STEP_MS
+MAX_ROWS = 24
+MAX_AMOUNT = 1e18
+COUNTER, REQUEST, GRANT, LOAD, JUDGEMENT, FAILING = range(1, 7)
+ROW_FORMATS = {
+    COUNTER: struct.Struct(">IHII"), REQUEST: struct.Struct(">If"), GRANT: struct.Struct(">If"),
+    LOAD: struct.Struct(">IBB"), JUDGEMENT: struct.Struct(">IBHB"), FAILING: struct.Struct(">"),
 }  # fmt: skip
 
 
 @dataclass(slots=True)
-class Notes:
+class MessageSections:
     """Pots are hosts' marks, 0 is the room of all; loads in milliseconds of work a second, ages in ms."""
 
-    counts: list[Count] = field(default_factory=list)
-    wants: list[tuple[int, float]] = field(default_factory=list)  # budget, at the most so much
+    counters: list[CounterValue] = field(default_factory=list)
+    requests: list[tuple[int, float]] = field(default_factory=list)  # budget, at the most so much
     grants: list[tuple[int, float]] = field(default_factory=list)  # budget, so much is lent
-    seen: list[tuple[int, float, float]] = field(default_factory=list)  # host, load over capacity, age
-    judged: list[Judgement] = field(default_factory=list)
-    ill_everywhere: bool = False
+    loads: list[tuple[int, float, float]] = field(default_factory=list)  # host, load over capacity, age
+    judgements: list[Judgement] = field(default_factory=list)
+    majority_failing: bool = False
 
 
-def encode(n: Notes, room: int) -> bytes:
+def encode(sections: MessageSections, max_bytes: int) -> bytes:
     """What fits in so many bytes: first what moves rights, then counts, judgements and figures."""
     out = bytearray()
     for tag, rows in (
-        (GRANT, n.grants), (WANT, n.wants), (ILL, [()] * n.ill_everywhere), (COUNT, n.counts),
-        (JUDGED, [(j.host, j.kind, j.member, _age(j.age)) for j in n.judged if j.age <= OLDEST]),
-        (SEEN, [(h, min(round(x * 100), 255), _age(age)) for h, x, age in n.seen if age <= OLDEST]),
+        (GRANT, sections.grants), (REQUEST, sections.requests), (FAILING, [()] * sections.majority_failing),
+        (COUNTER, sections.counters),
+        (JUDGEMENT, [
+            (j.host, j.condition, j.member, _age_steps(j.age))
+            for j in sections.judgements if j.age <= MAX_AGE_MS
+        ]),
+        (LOAD, [
+            (host, min(round(load * 100), 255), _age_steps(age))
+            for host, load, age in sections.loads if age <= MAX_AGE_MS
+        ]),
     ):  # fmt: skip
-        row = ROWS[tag]
-        fit = min(len(rows), MOST_ROWS, (room - len(out) - 2) // max(row.size, 1))
+        row_format = ROW_FORMATS[tag]
+        fit = min(len(rows), MAX_ROWS, (max_bytes - len(out) - 2) // max(row_format.size, 1))
         if fit > 0:
             out += bytes((tag, fit))
-            for x in rows[:fit]:
-                out += row.pack(*x)
+            for row in rows[:fit]:
+                out += row_format.pack(*row)
     return bytes(out)
 
 
-def as_sent(amount: float) -> float:
+def round_down_to_wire(amount: float) -> float:
     """The amount as it arrives, never more than was given."""
-    (bits,) = struct.unpack(">I", struct.pack(">f", min(amount, MOST_AMOUNT)))
+    (bits,) = struct.unpack(">I", struct.pack(">f", min(amount, MAX_AMOUNT)))
     (sent,) = struct.unpack(">f", bits.to_bytes(4, "big"))
     # Danger: rounded up on its way, a loan would be more than its lender gave; the number before it is not.
     return sent if sent <= amount else struct.unpack(">f", (bits - 1).to_bytes(4, "big"))[0]
 
 
-def _age(age: float) -> int:
+def _age_steps(age_ms: float) -> int:
     # rounded up: nothing may look newer than it is
-    return min(math.ceil(max(age, 0.0) / STEP), 255)
+    return min(math.ceil(max(age_ms, 0.0) / AGE_STEP_MS), 255)
 
 
-def decode(data: bytes, members: int) -> Notes:
+def decode(data: bytes, members: int) -> MessageSections:
     """Raises DatagramError; nothing of notes with any fault is taken."""
-    n, at = Notes(), 0
-    while at < len(data):
-        if at + 2 > len(data):
+    sections, offset = MessageSections(), 0
+    while offset < len(data):
+        if offset + 2 > len(data):
             raise DatagramError("notes-cut-short")
-        tag, count = data[at], data[at + 1]
-        row, at = ROWS.get(tag), at + 2
-        if row is None or count > MOST_ROWS:
+        tag, count = data[offset], data[offset + 1]
+        row_format, offset = ROW_FORMATS.get(tag), offset + 2
+        if row_format is None or count > MAX_ROWS:
             raise DatagramError("unknown-notes")
-        end = at + row.size * count
+        end = offset + row_format.size * count
         if end > len(data):
             raise DatagramError("notes-cut-short")
-        rows = [row.unpack_from(data, x) for x in range(at, end, row.size)] if row.size else []
-        at = end
-        _take(n, tag, rows, members)
-    return n
-
-
-def _take(n: Notes, tag: int, rows: list[tuple], members: int) -> None:
-    if tag == ILL:
-        n.ill_everywhere = True
-    elif tag == COUNT:
-        n.counts += [Count(*r) for r in rows]
-        if any(c.member >= members or not c.life for c in n.counts):
+        rows = (
+            [row_format.unpack_from(data, start) for start in range(offset, end, row_format.size)]
+            if row_format.size
+            else []
+        )
+        offset = end
+        _add_section(sections, tag, rows, members)
+    return sections
+
+
+def _add_section(sections: MessageSections, tag: int, rows: list[tuple], members: int) -> None:
+    if tag == FAILING:
+        sections.majority_failing = True
+    elif tag == COUNTER:
+        sections.counters += [CounterValue(*row) for row in rows]
+        if any(c.member >= members or not c.life for c in sections.counters):
             raise DatagramError("no-such-member")
-    elif tag in (WANT, GRANT):
+    elif tag in (REQUEST, GRANT):
         # Danger: a number that is none, or is under 0, would take rights away or make them without end.
-        if not all(0 <= amount <= MOST_AMOUNT for _, amount in rows):
+        if not all(0 <= amount <= MAX_AMOUNT for _, amount in rows):
             raise DatagramError("bad-amount")
-        (n.wants if tag == WANT else n.grants).extend(rows)
-    elif tag == SEEN:
-        n.seen += [(h, x / 100, age * STEP) for h, x, age in rows]
+        (sections.requests if tag == REQUEST else sections.grants).extend(rows)
+    elif tag == LOAD:
+        sections.loads += [(host, load / 100, age * AGE_STEP_MS) for host, load, age in rows]
     else:
-        if any(kind > Kind.FULL or member >= members for _, kind, member, _ in rows):
+        if any(condition > HostCondition.FULL or member >= members for _, condition, member, _ in rows):
             raise DatagramError("no-such-member")
-        n.judged += [Judgement(h, Kind(kind), member, age * STEP) for h, kind, member, age in rows]
+        sections.judgements += [
+            Judgement(host, HostCondition(condition), member, age * AGE_STEP_MS)
+            for host, condition, member, age in rows
+        ]
--- a/caperdeck/leases/table.py
+++ b/caperdeck/leases/table.py
@@ -1,5 +1,6 @@
-"""Who holds which work, as a state machine that the instances agree on. It has no clock: that a lease has
-ended is a command too, proposed by the leader's warden.
+"""The lease table: a replicated state machine that records the holder of each work.
+
+It has no clock: the expiry of a lease is a command too, proposed by the leader's LeaseExpiryMonitor.
 
 Source of the tokens: Burrows, "The Chubby lock service" (OSDI 2006), 2.4: sequencers.
 """
@@ -8,17 +9,17 @@
 
 from typing import Any
 
-MOST_WORKS = 64
-LONGEST_NAME = 64  # characters
-LARGEST_STATE = 64 << 10  # characters of what an owner keeps
-LEAST_SPAN, MOST_SPAN = 200.0, 600_000.0  # milliseconds of a lease
+MAX_WORKS = 64
+MAX_NAME_LENGTH = 64  # characters
+MAX_STATE_LENGTH = 64 << 10  # characters of an owner's saved state
+MIN_SPAN_MS, MAX_SPAN_MS = 200.0, 600_000.0
 
 
-class Table:
-    """Commands and answers are JSON objects; an answer has `ok`, or `no` with its reason."""
+class LeaseTable:
+    """Commands and answers are JSON objects; an answer has `ok`, or `no` with the reason."""
 
     def __init__(self) -> None:
-        self.token = 0  # the highest ever given; grows with every grant and is never given again
+        self.token = 0  # the highest token granted so far; increases with each grant and is never reused
         self.works: dict[str, dict[str, Any]] = {}
 
     def apply(self, command: Any) -> dict[str, Any]:
@@ -30,7 +31,7 @@
         }.get(command.get("do"))  # fmt: skip
         if do is None:
             return {"no": "unknown-command"}
-        if not 0 < len(command["work"]) <= LONGEST_NAME:
+        if not 0 < len(command["work"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
         return do(command["work"], command)
 
@@ -38,7 +39,7 @@
         return {"token": self.token, "works": self.works}
 
     def load(self, state: Any) -> None:
-        # Danger: tokens that begin anew after a snapshot would let an old owner's acts pass as a new one's.
+        # If tokens restarted after a snapshot, actions of an old owner would pass as those of a new one.
         self.token = state["token"] if state else 0
         self.works = {name: dict(row) for name, row in state["works"].items()} if state else {}
 
@@ -49,17 +50,21 @@
 
     def _acquire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
         holder, span = c.get("holder"), c.get("span")
-        if not isinstance(holder, str) or not 0 < len(holder) <= LONGEST_NAME:
+        if not isinstance(holder, str) or not 0 < len(holder) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
-        if isinstance(span, bool) or not isinstance(span, int | float) or not LEAST_SPAN <= span <= MOST_SPAN:
+        if (
+            isinstance(span, bool)
+            or not isinstance(span, int | float)
+            or not MIN_SPAN_MS <= span <= MAX_SPAN_MS
+        ):
             return {"no": "bad-span"}
         row = self.works.get(work)
         if row is None:
-            if len(self.works) >= MOST_WORKS:
+            if len(self.works) >= MAX_WORKS:
                 return {"no": "too-many-works"}
             row = {"holder": None, "heir": None, "token": 0, "span": 0.0, "renewed": 0, "state": None}
             self.works[work] = row
-        # whoever holds it may ask anew, as after an answer that was lost; its older token is out then
+        # the holder may acquire again, e.g. after a lost answer; this invalidates its older token
         if row["holder"] not in (None, holder) or row["heir"] not in (None, holder):
             return {"no": "held", "holder": row["holder"] or row["heir"]}
         return self._grant(row, holder, float(span))
@@ -70,7 +75,7 @@
         return {"ok": True, "token": self.token, "span": span, "state": row["state"]}
 
     def _held(self, work: str, c: dict[str, Any]) -> dict[str, Any] | None:
-        """The row, where the command's token is the one in force."""
+        """Returns the row if the command has the current token."""
         row = self.works.get(work)
         held = row is not None and row["holder"] is not None and row["token"] == c.get("token")
         return row if held else None
@@ -88,24 +93,26 @@
         return {"ok": True}
 
     def _hand(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """Given back, for one other to take; open to all once that one has not come for a lease's span."""
+        """Releases the lease to an heir; others may acquire it once the heir did not come for a span."""
         if (row := self._held(work, c)) is None:
             return {"no": "not-held"}
-        if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= LONGEST_NAME:
+        if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
         row.update(holder=None, heir=c["to"], renewed=row["renewed"] + 1)
         return {"ok": True}
 
     def _expire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
         row = self.works.get(work)
-        # Danger: proposed before a renewal and committed after it, it would end a lease that is held.
+        # A command proposed before a renewal and committed after it must not expire the renewed lease.
         if row is None or row["token"] != c.get("token") or row["renewed"] != c.get("renewed"):
             return {"no": "renewed-since"}
         row.update(holder=None, heir=None)
         return {"ok": True}
 
     def _release(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """An operator's: ended though it is renewed. The owner may still try; its token is refused."""
+        """Ends a lease although it is renewed; for operators. The old owner may still send actions, which are
+        refused.
+        """
         row = self.works.get(work)
         if row is None or row["token"] != c.get("token"):
             return {"no": "not-held"}
@@ -113,11 +120,11 @@
         return {"ok": True}
 
     def _save(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        """What the next owner goes on from; only the owner in force may write it."""
+        """Stores the state that the next owner resumes from; only the current owner may."""
         if (row := self._held(work, c)) is None:
             return {"no": "older-token"}
         state = c.get("state")
-        if not isinstance(state, str) or len(state) > LARGEST_STATE:
+        if not isinstance(state, str) or len(state) > MAX_STATE_LENGTH:
             return {"no": "bad-state"}
         row["state"] = state
         return {"ok": True}
--- a/caperdeck/wire/discovery.py
+++ b/caperdeck/wire/discovery.py
@@ -15,7 +15,7 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from caperdeck.state.backoff import LOST, REFUSED, BackOff, Spans
+from caperdeck.state.backoff import REFUSED, UNREACHABLE, BackOff, BackOffPolicy
 from caperdeck.state.timers import cancel
 
 LINE_END = b"\n"
@@ -148,7 +148,7 @@
     def __init__(
         self, reactor: Any, address: str, rev: int, listed: Callable[[bool, Any], None],
         spoke: Callable[[], None], complain: Callable[[str, str], None], back_off: BackOff,
-        excused: Callable[[], bool] = lambda: False, list_life: float = math.inf,
+        excused: Callable[[], bool] = lambda: False, list_lifetime: float = math.inf,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.address = address
@@ -157,7 +157,7 @@
         self.spoke = spoke  # called for each line, empty ones too
         self.complain = complain
         self.excused = excused  # whether the node has yet to read what came while it was away
-        self.list_life = list_life  # seconds that the list of a watch that has ended is sent by
+        self.list_lifetime = list_lifetime  # seconds that the list of a watch that has ended is sent by
         pool = HTTPConnectionPool(reactor, persistent=False)
         self.agent = Agent.usingEndpointFactory(reactor, _ByAddress(reactor, self.connected), pool)
         self.transport: Any = None  # of the call that is out, or the watch
@@ -205,7 +205,7 @@
         """Whether the list is too old to send by, as its watch has ended: once for each, and asks anew."""
         # Danger: what discovery has counts as told whether or not a watch is open, and the wait for the next
         # watch may be longer than the grace.
-        if self.ended_at is None or self.reactor.seconds() - self.ended_at < self.list_life:
+        if self.ended_at is None or self.reactor.seconds() - self.ended_at < self.list_lifetime:
             return False
         self.ended_at = None
         self.woke()
@@ -224,7 +224,7 @@
         """Watches another discovery from now on; the list last told holds until it speaks."""
         # Danger: another discovery may count its versions anew, and would be asked for none of its changes.
         self.address, self.rev = address, 0
-        self.back_off.heard()
+        self.back_off.reset()
         self.leave()
         cancel(self.retry)
         self.give_up()
@@ -247,7 +247,7 @@
         if self.asked is asked:
             self.asked = None
             self._answered_or_failed()
-            if self.back_off.fresh:  # once for each time that discovery is away
+            if self.back_off.is_reset:  # once for each time that discovery is away
                 self.complain("discovery-unreached", failure.getErrorMessage())
             self.again(None)
 
@@ -256,7 +256,7 @@
         granted = response.code == 200
         if not granted:
             self._answered_or_failed()
-        if not granted and self.back_off.fresh:
+        if not granted and self.back_off.is_reset:
             self.complain("discovery-refused", f"discovery answered {response.code}")
         response.deliverBody(WatchBody(self, granted))
 
@@ -287,7 +287,7 @@
             return
         self.in_progress.given_up(now)
         late = self._late(self.silence)
-        if self.back_off.fresh:
+        if self.back_off.is_reset:
             waited = SILENT if self.body else ANSWER
             self.complain("discovery-silent", f"nothing from discovery for {waited} s")
         self.give_up()
@@ -301,7 +301,7 @@
         # Danger: silence, a wait, a call in vain and a wait, each late by a stall, add up past the bound.
         return max(self.reactor.seconds() - timer.getTime(), 0.0)
 
-    def again(self, body: WatchBody | None, why: Spans = LOST, late: float = 0.0) -> None:
+    def again(self, body: WatchBody | None, policy: BackOffPolicy = UNREACHABLE, late: float = 0.0) -> None:
         """Opens the watch anew a little later, unless that is on the way already."""
         if body is not self.body or self.retry is not None:
             return
@@ -310,7 +310,7 @@
         self.leave()
         cancel(self.silence)
         # Danger: what was told while the node was away counts as told, whether or not it still can read it.
-        wait = BACK if self.excused() else max(self.back_off.next(why) - late, 0.0)
+        wait = BACK if self.excused() else max(self.back_off.next_delay(policy) - late, 0.0)
         self.retry = self.reactor.callLater(wait, self._due)
 
     def _due(self) -> None:
@@ -320,7 +320,7 @@
         self.listen_for(SILENT)
         self._answered_or_failed()
         self.spoke()
-        self.back_off.heard()
+        self.back_off.reset()
         if not line:
             return
         try:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 import tomli_w
-from helpers import CONFIG, Wire, desk, free_ports, service_over, write
+from helpers import CONFIG, Wire, make_handler, free_ports, service_over, write
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
@@ -27,12 +27,12 @@
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import Owned
 from caperdeck.lifecycle.owners import load as load_for_node
-from caperdeck.owner.commands import ask
-from caperdeck.leases.census_state import MOST_NODES
+from caperdeck.owner.commands import call_instance
+from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
-from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
-from caperdeck.owner.node_links import read as read_answer
+from caperdeck.owner.node_links import ANSWER_TIMEOUT_S, NodeLinks, action_line
+from caperdeck.owner.node_links import parse_answer as read_answer
 from caperdeck.ops.admin_server import PATIENCE, Front
 from caperdeck.raft.codec import encode, frame
 from caperdeck.raft.core import TakeOver
@@ -66,7 +66,7 @@
     ({"instances": {"0": "localhost:1"}}, "instances.0"), ({"nodes": {"n0": "127.0.0.1"}}, "nodes.n0"),
     ({"nodes": {"n0": "127.0.0.1:1", "n1": "127.0.0.1:1"}}, "twice"),
     ({"nodes": {"": "127.0.0.1:1"}}, "nodes"),
-    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MOST_NODES + 1)}}, "over"),
+    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MAX_NODES + 1)}}, "over"),
     ({"nodes": {"n17546": "127.0.0.1:1", "n2152930": "127.0.0.1:2"}}, "one digest"),
     ({"first": [0, 0, 1]}, "first"), ({"first": [5]}, "first"), ({"first": []}, "first"),
     ({"works": ["bake"]}, "works"), ({"works": ["hosts", "hosts"]}, "works"),
@@ -176,31 +176,31 @@
 def test_acts_at_a_node_go_over_one_connection_and_each_has_the_answer_in_its_turn():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1), "n1": ("127.0.0.1", 2)})
-    links.act("n0", b"act census 7 {}\n", said.append)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     conn, wire = link_up(reactor)
     conn.dataReceived(b'ACK {"life":1}\r\nNAK older')
     conn.dataReceived(b"-token\r\n")
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     assert wire.value() == b"act census 7 {}\nact hosts 9 {}\nact census 7 {}\n"
     assert said == [{"life": 1}, {"no": "older-token"}] and len(reactor.tcpClients) == 1
     conn.connectionLost(Failure(ConnectionDone()))  # as by a node that was idle, or of an older program
     assert said[2:] == [None]
-    links.act("n0", b"act census 7 {}\n", said.append)
-    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.over
+    links.send("n0", b"act census 7 {}\n", said.append)
+    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.closed
 
 
 def test_after_an_answer_that_did_not_come_in_time_no_later_one_is_taken_for_another():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1)})
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     conn, wire = link_up(reactor)
-    reactor.advance(ANSWER / 2)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
-    reactor.advance(ANSWER)
-    assert said == [None, None] and conn.over
+    reactor.advance(ANSWER_TIMEOUT_S / 2)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
+    reactor.advance(ANSWER_TIMEOUT_S)
+    assert said == [None, None] and conn.closed
     conn.dataReceived(b'ACK {"life":1}\r\n')
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     assert said == [None, None] and len(reactor.tcpClients) == 2
 
 
@@ -210,7 +210,7 @@
     front = Front(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), Wire()
     conn.makeConnection(wire)
-    line = line_of("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
+    line = action_line("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
         conn.dataReceived(line)
         d.reactor.advance(PATIENCE - 1)
@@ -245,7 +245,7 @@
     made.driver.tick()
     assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
     answers = []
-    made._call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
+    made._handle_call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
     assert answers in ([], [None])
     made.closed = True
     made.storage.close()
@@ -254,7 +254,7 @@
 def config_members(config):
     from caperdeck.raft.log import Members
 
-    return Members(config.first)
+    return Members(config.initial_voters)
 
 
 def at_once(reactor, pool, do, *args):
@@ -271,12 +271,12 @@
 
 
 def owned_node(tmp_path):
-    d = desk(hosts=8)
+    d = make_handler(hosts=8)
     service = service_over(d, tmp_path)
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
     owned = service.owned = Owned(d.reactor, d, owners, "n0", 4, service.bans_of)
     for work in ("hosts", "census"):
-        owned.target.fence.learned(work, 0)
+        owned.target.fence.record_token(work, 0)
     return d, service, owned
 
 
@@ -287,7 +287,7 @@
 
 
 def turned(d, uid):
-    return d.hosts.index[uid] in d.balancer._node.banned_at
+    return d.hosts.index_by_uid[uid] in d.balancer._node.banned_at
 
 
 def test_a_host_is_out_by_the_fleets_word_until_it_ends_or_by_hand(tmp_path):
@@ -306,7 +306,7 @@
 
 def test_what_lay_there_while_the_node_slept_is_refused(tmp_path):
     d, _, owned = owned_node(tmp_path)
-    d.turn_at = d.clock()
+    d.last_turn_at = d.clock()
     d.reactor.rightNow += 30.0
     assert act(owned, "census", 1, {"epoch": 0, "share": 0.0, "living": 0, "nodes": 4}) == "NAK was-away"
 
@@ -320,13 +320,13 @@
 
 
 def test_a_line_of_the_longest_lists_is_taken(tmp_path):
-    from caperdeck.leases.outlier_ejection import HELD, LONGEST_LIST, short
+    from caperdeck.leases.outlier_ejection import EJECTION_LEASE_MS, MAX_UID_CHARACTERS, truncate_uids
     from caperdeck.ops.admin_server import LONGEST_CALL
 
-    uids = short([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
-    body = {"number": 123456, "out": uids, "ms": HELD, "ask": uids}
-    line = line_of("hosts", 1 << 40, body)
-    assert sum(map(len, uids)) <= LONGEST_LIST and len(line) <= LONGEST_CALL
+    uids = truncate_uids([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
+    body = {"number": 123456, "out": uids, "ms": EJECTION_LEASE_MS, "ask": uids}
+    line = action_line("hosts", 1 << 40, body)
+    assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= LONGEST_CALL
     d, service, owned = owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest)
     said = []
@@ -376,7 +376,7 @@
 
     def held(work):
         for port in ports[:3]:
-            s = ask(("127.0.0.1", port), "t", {"do": "status"})
+            s = call_instance(("127.0.0.1", port), "t", {"do": "status"})
             if s and work in s["holds"]:
                 return s["me"], s["holds"][work]["token"]
         return None
@@ -410,8 +410,8 @@
                                      timeout=30, check=False)  # fmt: skip
         assert again_on_it.returncode == 2 and b"another instance runs on it" in again_on_it.stderr
         assert say("remove", "2")[0] == 0
-        until(lambda: any((s := ask(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] == [0, 1]
-                          for p in ports[:2]))  # fmt: skip
+        until(lambda: any((s := call_instance(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] ==
+                          [0, 1] for p in ports[:2]))  # fmt: skip
         processes[0].send_signal(signal.SIGTERM)
         assert processes[0].wait(10) == 0
     finally:
