--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -366,7 +366,8 @@
     return (
         len(d.sessions.by_index), len(d.sessions.ids), len(d.sessions.unanswered), len(d.idle_clients),
         d.budget.client_connections, d.budget.session_count, len(n.sessions), sum(n.connections),
-        sum(n.pending_dials), sum(map(len, n.established)), len(n.used_hosts), len(d.balancer._dials), sum(map(len, n.probe_waiters)),
+        sum(n.pending_dials), sum(map(len, n.established)), len(n.used_hosts), len(d.balancer._dials),
+        sum(map(len, n.probe_waiters)),
     )  # fmt: skip
 
 
