--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
     return RosterEntry(host, state, size, zone, cell, started_at, 0x9E3779B1 * (host + 1) % 2**32, started_at)
 
 
-def node(hosts=4, entries=None, **changes) -> Node:
+def make_node(hosts=4, entries=None, **changes) -> Node:
     n = Node(settings(**changes), START)
     n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
     n.probed_at = [START] * len(n.state)  # their answers to a probe are fresh
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,41 +1,41 @@
-"""The terms of the full fleet that one node can break alone."""
+"""Rules of the whole fleet that a single node can break."""
 
 import pytest
-from helpers import OPEN, SETUP, accept, connect, make_handler, lost, row
+from helpers import OPEN, SETUP, accept, connect, lost, make_handler, row
 from twisted.internet.error import ConnectionRefusedError as Refused
 from twisted.python.failure import Failure
 
 
-def once_only(d):
-    """The desk's listener with effects that may not happen twice."""
+def make_once_only(d):
+    """Makes the listener one whose sessions must not run twice."""
     listener = d.balancer._node.settings.listeners[0]
     object.__setattr__(listener, "effect", type(listener.effect).ONCE_ONLY)
     return d
 
 
-def refused_by_all(d):
+def refuse_all_dials(d):
     while d.reactor.tcpClients and d.sessions.by_index:
         d.reactor.tcpClients.pop()[2].clientConnectionFailed(None, Failure(Refused()))
         d.reactor.advance(0.11)
 
 
-def test_a_session_never_sent_on_is_refused_with_a_back_off_and_not_failed():
-    d = once_only(make_handler())
+def test_a_session_never_sent_to_a_host_is_refused_with_a_back_off_and_not_failed():
+    d = make_once_only(make_handler())
     client = connect(d, OPEN)
-    refused_by_all(d)
+    refuse_all_dials(d)
     (line,) = client.transport.lines()
     assert line.startswith(b"BUSY ") and 500 <= int(line[5:]) <= 1000
 
 
-def test_a_once_only_session_whose_answer_is_lost_fails_and_is_sent_to_nobody_else():
-    d = once_only(make_handler())
+def test_a_once_only_session_whose_answer_is_lost_fails_and_is_sent_to_no_other_host():
+    d = make_once_only(make_handler())
     client = connect(d, OPEN)
     lost(accept(d), clean=False)
     assert client.transport.lines() == [b"ERR"] and len(d.reactor.tcpClients) == 1
 
 
 @pytest.mark.parametrize("late", [b"UP r1\r\n", b"\x00\xff spoilt\r\n", b"BUSY\r\n", b""])
-def test_what_a_host_says_after_the_dial_timeout_reaches_nobody(late):
+def test_what_a_host_sends_after_the_dial_timeout_is_dropped(late):
     d = make_handler(mostDials=1)
     client = connect(d, OPEN)
     host = accept(d)
@@ -45,7 +45,7 @@
     assert len(answered) == 1 and client.transport.lines() == answered and not d.sessions.by_index
 
 
-def test_an_answer_is_not_held_back_once_it_is_given_up():
+def test_a_session_without_a_host_is_refused_by_its_handshake_target():
     d = make_handler(hosts=1)
     d.update_roster(False, [row("s-0", "Terminating")])
     client = connect(d, OPEN)
@@ -53,7 +53,7 @@
     assert client.transport.lines()[0].startswith(b"BUSY ")
 
 
-def test_a_client_that_comes_again_with_its_id_is_served_each_time_and_held_once():
+def test_a_client_that_reconnects_with_its_id_is_served_each_time_and_kept_once():
     d = make_handler()
     for _ in range(50):
         client = connect(d, OPEN)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""A node whose list has thousands of servers: what it keeps and does for each must not cost its clients."""
+"""Fleets of thousands of hosts: the work and memory for each host must not affect the node's clients."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, at_host, entry, free_ports, make_handler, node, opening, opening_at,
+    CONFIG, START, UP_WITHIN, Wire, at_host, entry, free_ports, make_handler, make_node, opening, opening_at,
     ping_until_ready, row, serve_lines, serve_list, session_request, write,
 )  # fmt: skip
 from node_processes import connected
@@ -20,13 +20,13 @@
 from caperdeck.state.backoff import BackOff
 from caperdeck.wire.discovery import Discovery, LineInProgress, WatchBody
 
-STANDING = 60  # connections from before the start
-OVER_STANDING = 512  # descriptors over two for each of those, the least that deployments give
+ESTABLISHED = 60  # connections from before the start
+SPARE_DESCRIPTORS = 512  # beyond two for each of those, the minimum of deployments
 READY_WITHIN = 30.0  # seconds, the stated target for a node's start
 
 
 class LargeFleet:
-    """A node as a process; all servers of its list are one stand-in."""
+    """A node as a process; all hosts of its list are one simulated host."""
 
     def __init__(self, folder, servers):
         port = serve_lines(at_host)
@@ -35,7 +35,7 @@
         config = CONFIG | {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{serve_list(*rows)}",
-            "limits": {"sockets": OVER_STANDING + 2 * STANDING},
+            "limits": {"sockets": SPARE_DESCRIPTORS + 2 * ESTABLISHED},
             "known": {"rev": 41, "all": True, "targets": rows},
         }
         self.sockets = []
@@ -45,12 +45,12 @@
             )
 
     def client(self, line):
-        """A client that has sent this first line."""
+        """Connects a client that sends this first line."""
         self.sockets.append(connected(self.port))
         self.sockets[-1].sendall(line + b"\r\n")
 
     def answers(self, until):
-        """The answer of each client so far, or b"" where none has come by then."""
+        """The answer of each client, or b"" if none has come by this time."""
         return [answer_of(sock, until) for sock in self.sockets]
 
     def end(self):
@@ -75,27 +75,27 @@
     made.end()
 
 
-# guards against: lost connections that stood before a node's start, where its list has thousands of servers
+# Guards against losing the connections established before a node's start in a fleet of thousands of hosts.
 @pytest.mark.parametrize("fleet", [1200, 3200], indirect=True)
-def test_connections_that_stood_before_come_up_in_a_fleet_of_thousands_of_servers(fleet):
+def test_earlier_connections_are_resumed_in_a_fleet_of_thousands_of_hosts(fleet):
     until = time.monotonic() + UP_WITHIN
     ping_until_ready(fleet.port, until)
-    for i in range(STANDING):
+    for i in range(ESTABLISHED):
         fleet.client(opening_at(i, f"s-{7 * i:08x}"))
-    assert fleet.answers(until) == [b"UP r1\r\n"] * STANDING
+    assert fleet.answers(until) == [b"UP r1\r\n"] * ESTABLISHED
 
 
-# guards against: new clients refused for want of descriptors, where the list has thousands of servers
+# Guards against refusing new clients for lack of descriptors in a fleet of thousands of hosts.
 @pytest.mark.parametrize("fleet", [1200, 3200], indirect=True)
-def test_new_clients_are_served_in_a_fleet_of_thousands_of_servers(fleet):
+def test_new_clients_are_served_in_a_fleet_of_thousands_of_hosts(fleet):
     ping_until_ready(fleet.port, time.monotonic() + READY_WITHIN)
-    for i in range(STANDING):
+    for i in range(ESTABLISHED):
         fleet.client(opening(i))
-    assert fleet.answers(time.monotonic() + 5.0) == [b"UP r1\r\n"] * STANDING
+    assert fleet.answers(time.monotonic() + 5.0) == [b"UP r1\r\n"] * ESTABLISHED
 
 
-def looked_at(d, host, answers=True):
-    """The desk has probed the host, whose answer has come where it gives one."""
+def probe_host(d, host, answers=True):
+    """Lets the handler probe the host, which answers unless told otherwise."""
     d.probes.probe(host, d.hosts.addresses[host])
     if answers:
         conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
@@ -103,21 +103,22 @@
         conn.dataReceived(b"PONG x0=0.2\r\n")
 
 
-# guards against: a descriptor in use for each of thousands of servers that were probed once
-def test_probes_of_thousands_of_servers_rest_on_a_bounded_number_of_connections():
-    d = make_handler(hosts=3200, sockets=OVER_STANDING, mayProbe=True)
+# Guards against keeping a descriptor open for each of thousands of hosts that were probed once.
+def test_probes_of_thousands_of_hosts_use_a_bounded_number_of_connections():
+    d = make_handler(hosts=3200, sockets=SPARE_DESCRIPTORS, mayProbe=True)
     room = d.budget.session_headroom
     for host in range(3200):
-        looked_at(d, host)
+        probe_host(d, host)
     assert len(d.probes.connections) == d.budget.max_probes and d.budget.session_headroom == room
     assert list(d.probes.connections)[-1] == 3199 and min(d.balancer._node.probed_at) > 0
 
 
-# guards against: servers held to be ill, and connections moved off them, as the node lacks a descriptor
-def test_a_probe_that_finds_no_descriptor_says_nothing_about_its_server():
+# Guards against treating hosts as failing, and moving sessions off them, when the node has no free
+# descriptor.
+def test_a_probe_that_finds_no_descriptor_says_nothing_about_its_host():
     d = make_handler(hosts=40, sockets=64, mayProbe=True)
     for host in range(d.budget.max_probes):
-        looked_at(d, host, answers=False)
+        probe_host(d, host, answers=False)
     d.budget.client_connections += d.budget.free_descriptors
     dialed = len(d.reactor.tcpClients)
     d.probes.probe(39, d.hosts.addresses[39])
@@ -126,11 +127,11 @@
     assert not any(node.failure_score) and not node.no_probe_until[39] and not node.probe_sent_at[39]
 
 
-GROWTH = 1.4  # the stated target for a node's processor time at sixteen times the servers
+GROWTH = 1.4  # the stated target for a node's processor time at sixteen times the hosts
 
 
 def calls_made(work):
-    """How many calls of functions the work takes: a measure of processor time that does not scatter."""
+    """The number of function calls that the work makes: a reproducible measure of processor time."""
     made = [0]
 
     def count(frame, event, argument):
@@ -145,38 +146,40 @@
 
 
 def busy_node(servers, cold):
-    """A node of a fleet of 200 in a release; more servers are smaller ones, all together do the same."""
-    born = [START - 2000.0] * cold + [0.0] * (servers - cold)
-    n = node(nodes=200, entries=[entry(h, zone=h % 3, started_at=born[h]) for h in range(servers)])
+    """A node of a fleet of 200 during a release; with more hosts each is smaller, at the same total load."""
+    started_at = [START - 2000.0] * cold + [0.0] * (servers - cold)
+    node = make_node(
+        nodes=200, entries=[entry(h, zone=h % 3, started_at=started_at[h]) for h in range(servers)]
+    )
     for h in range(0, servers, servers // 60):
-        n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
+        node.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
     for i in range(40):
-        n.resume_session(START, session_request(1000 + i), i * servers // 40)
-    n.timer_fired(START, TICK_TOKEN)
-    return n
+        node.resume_session(START, session_request(1000 + i), i * servers // 40)
+    node.timer_fired(START, TICK_TOKEN)
+    return node
 
 
-def serve_for_a_second(n, start):
-    """20 sessions of groups of their own come, look, and leave; two ticks."""
+def serve_for_a_second(node, start):
+    """20 sessions, each of its own group, arrive, wait for probes and leave; with two ticks."""
     for i in range(20):
         now, number = start + 50.0 * i, int(start) + i
-        n.open_session(now, session_request(number, group=number))
-        n.timer_fired(now + 20.0, number)
-        n.client_disconnected(now + 40.0, number)
+        node.open_session(now, session_request(number, group=number))
+        node.timer_fired(now + 20.0, number)
+        node.client_disconnected(now + 40.0, number)
         if i % 10 == 9:
-            n.timer_fired(now, TICK_TOKEN)
+            node.timer_fired(now, TICK_TOKEN)
 
 
 def calls_in_service(servers, cold):
-    """Of a second after one in which the node has met the servers that have started."""
-    n = busy_node(servers, cold)
-    serve_for_a_second(n, START)
-    return calls_made(lambda: serve_for_a_second(n, START + 1000.0))
+    """The calls of a second, after a first second in which the node has met the started hosts."""
+    node = busy_node(servers, cold)
+    serve_for_a_second(node, START)
+    return calls_made(lambda: serve_for_a_second(node, START + 1000.0))
 
 
-# guards against: processor time that grows with the servers, most of all with those in slow start
+# Guards against processor time that grows with the number of hosts, in particular of those in slow start.
 @pytest.mark.parametrize("cold", [0, 100])
-def test_sessions_take_hardly_more_work_at_sixteen_times_the_servers(cold):
+def test_sessions_take_hardly_more_work_at_sixteen_times_the_hosts(cold):
     assert calls_in_service(3200, 16 * cold) <= GROWTH * calls_in_service(200, cold)
 
 
@@ -185,17 +188,17 @@
     return orjson.dumps({"rev": 9, "all": True, "targets": rows}) + b"\n"
 
 
-def watch_of(reactor, heard):
+def make_watch(reactor, heard):
     return Discovery(
         reactor, "127.0.0.1:8500", 4, lambda whole, rows: heard.append(len(rows)), lambda: None,
         lambda *_: None, BackOff(7, 200),
     )  # fmt: skip
 
 
-def read_in_pieces(servers, size):
-    """Processor seconds to read the list of so many servers in pieces of that size."""
+def seconds_to_read_in_pieces(servers, size):
+    """Processor seconds to read a list of this many hosts in pieces of this size."""
     heard, text = [], large_list(servers)
-    body = WatchBody(watch_of(MemoryReactorClock(), heard))
+    body = WatchBody(make_watch(MemoryReactorClock(), heard))
     body.makeConnection(Wire())
     began = time.process_time()
     for at in range(0, len(text), size):
@@ -204,14 +207,14 @@
     return time.process_time() - began
 
 
-# guards against: processor time for a list in small pieces that grows with the square of its length
-def test_a_list_in_pieces_takes_time_by_its_length():
-    few, many = (min(read_in_pieces(servers, 16) for _ in range(3)) for servers in (400, 3200))
+# Guards against processor time that grows with the square of a list's length if it arrives in small pieces.
+def test_the_time_to_read_a_list_in_pieces_grows_with_its_length_only():
+    few, many = (min(seconds_to_read_in_pieces(servers, 16) for _ in range(3)) for servers in (400, 3200))
     assert many < 2 * 8 * few
 
 
-def arrives_over(seconds, agent):
-    """The answer to the last call, the list of a large fleet in it, comes evenly over that time."""
+def send_list_over(seconds, agent):
+    """Sends the answer to the last call, with the list of a large fleet, evenly over this time."""
     sock, text, watch = agent.accepted[-1], large_list(3200), agent.watch
     sock.send(HEADERS + b"%x\r\n" % len(text))
     agent.reactor.until(lambda: watch.body)
@@ -219,12 +222,12 @@
     for i in range(steps):
         end = len(text) * (i + 1) // steps
         sock.send(text[len(text) * i // steps : end])
-        # the kernel takes real time, which the reactor's clock does not tell
+        # the kernel takes real time, which the reactor's clock does not show
         agent.reactor.until(lambda end=end: not watch.body or agent.told or watch.body.length >= end)
         agent.step("hangs", 0.1)
 
 
-# guards against: a list never read, as it takes longer to arrive than a node waits for the end of a line
+# Guards against never reading a list that takes longer to arrive than a node waits for the end of a line.
 @pytest.mark.parametrize("seconds", [2.8, 5.0])
 def test_a_list_that_arrives_slowly_is_read(seconds):
     agent = Agent()
@@ -232,7 +235,7 @@
     agent.step("hangs", 0.1)
     for _ in range(4):
         with suppress(OSError):
-            arrives_over(seconds, agent)
+            send_list_over(seconds, agent)
         agent.step("hangs", 1.5)
         if agent.told:
             break
@@ -240,8 +243,8 @@
     assert len(agent.told) == 1
 
 
-# guards against: the time that a line may take counted from the beginning of an earlier one
-def test_each_line_of_a_watch_has_its_own_time():
+# Guards against counting the time that a line may take from the beginning of an earlier one.
+def test_each_line_of_a_watch_has_its_own_time_limit():
     line = LineInProgress()
     line.heard(0.0, ended=False, unfinished=True)
     line.heard(5.0, ended=True, unfinished=True)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start and stop: configuration, the facade's calls, logging, and a node as a process."""
+"""Configuration, the facade's calls, logging, reloads, the stop, and a node as a process."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 import pytest
 from conftest import known_red
 from helpers import (
-    CONFIG, OPEN, SETUP, START, accept, at_host, connect, make_handler, free_ports, logged, row, serve_lines,
+    CONFIG, OPEN, SETUP, START, accept, at_host, connect, free_ports, logged, make_handler, row, serve_lines,
     serve_list, service_over, settings, up, write,
 )  # fmt: skip
 
@@ -39,23 +39,23 @@
     return b
 
 
-def test_a_pick_that_waits_for_looks_is_settled_by_their_report():
+def test_a_session_that_waits_for_probes_is_placed_by_their_results():
     b = balancer()
-    looks = b.open_session(START, 0, 0, -1, 1200.0)
-    assert {type(order) for order in looks} == {ProbeHost} and len(looks) == 2
-    assert b.handle_event(START + 1, ProbeCompleted(looks[0].host, Outcome.GOOD, LoadReport(0.5))) == []
-    orders = b.handle_event(START + 2, ProbeCompleted(looks[1].host, Outcome.GOOD, LoadReport(0.2)))
-    assert [(type(o), o.dial, o.host) for o in orders] == [(Connect, 0, looks[1].host)]
+    probes = b.open_session(START, 0, 0, -1, 1200.0)
+    assert {type(command) for command in probes} == {ProbeHost} and len(probes) == 2
+    assert b.handle_event(START + 1, ProbeCompleted(probes[0].host, Outcome.GOOD, LoadReport(0.5))) == []
+    commands = b.handle_event(START + 2, ProbeCompleted(probes[1].host, Outcome.GOOD, LoadReport(0.2)))
+    assert [(type(c), c.dial, c.host) for c in commands] == [(Connect, 0, probes[1].host)]
 
 
-def test_a_pick_whose_looks_stay_away_is_settled_by_a_tick():
+def test_a_session_whose_probes_are_not_answered_is_refused_by_a_timer():
     b = balancer(hosts=1, max_dials=2)
     b.open_session(START, 0, 0, -1, 1200.0)
-    orders, now = [], START
-    while not orders and now < START + 1200:
+    commands, now = [], START
+    while not commands and now < START + 1200:
         now = b.next_timer_at
-        orders = [o for o in b.run_timers(now) if not isinstance(o, ProbeHost)]
-    assert [type(o) for o in orders] == [RefuseSession]
+        commands = [c for c in b.run_timers(now) if not isinstance(c, ProbeHost)]
+    assert [type(c) for c in commands] == [RefuseSession]
 
 
 def test_dials_are_numbered_and_a_session_leaves_nothing_behind():
@@ -70,19 +70,19 @@
     assert not b._dials
 
 
-def test_a_host_past_its_headroom_has_clients_sent_away():
+def test_clients_of_an_overloaded_host_are_redirected():
     b = balancer()
     for i in range(10):
         b.resume_session(START - 60000, i, 0, -1, 0, 10.0)
     b.run_timers(START)
-    orders = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, LoadReport(1.5)))
-    assert orders and {type(order) for order in orders} == {RedirectClient}
+    commands = b.handle_event(START, ProbeCompleted(0, Outcome.GOOD, LoadReport(1.5)))
+    assert commands and {type(command) for command in commands} == {RedirectClient}
 
 
 # ---- configuration
 
 
-def test_a_configuration_is_read_whole(tmp_path):
+def test_a_configuration_is_read_completely(tmp_path):
     config = load_config(write(tmp_path / "c", CONFIG))
     assert (config.listen, config.sockets, config.rev) == (Address("127.0.0.1", 9000), 256, 41)
     assert config.settings.seed == 0x8C1F30D27A5BE964 and config.names.listeners == {"chat": 0}
@@ -99,7 +99,7 @@
         load_config(write(tmp_path / "c", change if isinstance(change, str) else CONFIG | change))
 
 
-def test_without_a_configuration_the_node_says_so():
+def test_a_missing_configuration_is_named():
     with pytest.raises(ConfigError, match="EDGE_CONFIG"):
         load_config({})
     with pytest.raises(ConfigError, match="No such file"):
@@ -109,7 +109,7 @@
 # ---- logging
 
 
-def test_a_log_that_nobody_reads_neither_blocks_nor_grows():
+def test_a_log_that_is_not_read_neither_blocks_nor_grows():
     read, written = os.pipe()
     os.set_blocking(written, False)
     sink = Sink(written)
@@ -123,7 +123,7 @@
 # ---- a new configuration
 
 
-def test_another_discovery_and_other_limits_are_taken_while_sessions_stay(tmp_path):
+def test_a_reload_applies_another_discovery_and_other_limits_and_keeps_the_sessions(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client, host = up(d)
@@ -158,11 +158,11 @@
 
 
 def classes(*rows, **limits):
-    """A file with these classes."""
+    """A configuration with these listeners."""
     return CONFIG | {"settings": SETUP | {"listeners": list(rows), "limits": SETUP["limits"] | limits}}
 
 
-def test_an_added_class_has_its_own_rules_and_a_dropped_one_lives_on_in_its_sessions(tmp_path):
+def test_an_added_listener_has_its_own_rules_and_sessions_keep_a_removed_one(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     old, host = up(d)
@@ -171,7 +171,9 @@
     write(tmp_path / "c", classes(once, mostDials=1))
     service.reload()
     assert connect(d, OPEN.replace(b"9b1f", b"bbbb")).transport.lines() == [b"ERR"]
-    accept(d).dataReceived(b"ERR\r\n")  # the class of the one that waits was repeatable, with three dials
+    accept(d).dataReceived(
+        b"ERR\r\n"
+    )  # the waiting session began under a repeatable listener with three dials
     assert not waiting.transport.lines() and len(d.reactor.tcpClients) == 3
     new = connect(d, OPEN.replace(b"9b1f", b"cccc").replace(b"c=chat", b"c=once"))
     accept(d).dataReceived(b"ERR\r\n")
@@ -181,7 +183,7 @@
     assert d.metrics.answers == {"chat": [1, 0, 1], "once": [0, 0, 1]} and d.metrics.accepted_configs == 1
 
 
-def test_a_connection_taken_up_after_its_class_was_dropped_stands_all_the_same(tmp_path):
+def test_a_connection_is_resumed_although_its_listener_was_removed(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     client = connect(d, OPEN + b",at=s-0")
@@ -203,7 +205,7 @@
     (rules(fall=0), "invariants.fall"), (rules(fallMultiple=-2), "invariants.fallMultiple"),
     (rules(askEvery=0), "invariants.askEvery"),
 ])  # fmt: skip
-def test_a_window_a_wait_or_a_budget_that_cannot_be_is_named(tmp_path, config, field):
+def test_a_value_out_of_range_is_named(tmp_path, config, field):
     text = json.dumps(config).replace("NaN", '"NaN"')
     with pytest.raises(ConfigError, match=field.replace("[", r"\[")):
         load_config(write(tmp_path / "c", text))
@@ -237,7 +239,7 @@
 # ---- the stop
 
 
-def test_at_the_stop_every_session_is_moved_before_the_longest_wait_is_over(tmp_path):
+def test_a_stopping_node_moves_every_session_before_the_longest_wait_is_over(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.stopped_at, d.stopping = d.clock(), True
@@ -254,7 +256,7 @@
 
 @pytest.mark.parametrize("longest, first, last", [(300, 450, 650), (1200, 450, 1400), (2000, 1000, 2200),
                                                   (9000, 2000, 3200)])  # fmt: skip
-def test_the_moves_of_a_stop_come_late_and_in_time(tmp_path, monkeypatch, longest, first, last):
+def test_a_stopping_node_moves_its_sessions_late_but_in_time(tmp_path, monkeypatch, longest, first, last):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
@@ -265,7 +267,7 @@
     assert len(at) == len(clients) and first <= at[0] <= first + 20 and at[-1] <= last
 
 
-def test_sweeping_goes_on_after_a_fault(tmp_path, monkeypatch):
+def test_sweeping_continues_after_an_exception(tmp_path, monkeypatch):
     d = make_handler()
     service = service_over(d, tmp_path)
     swept = []
@@ -300,7 +302,7 @@
             assert answers.readline() == b"UP r1\r\n"
             client.sendall(b"hello\r\n")
             assert answers.readline() == b"hello\r\n"
-            assert len(os.listdir(f"/proc/{node.pid}/task")) == 1  # no look-ups in threads
+            assert len(os.listdir(f"/proc/{node.pid}/task")) == 1  # no name resolution in threads
             node.send_signal(signal.SIGHUP)
             assert b"reload discovery=" in next(line for line in node.stderr if b"end " not in line)
             client.sendall(b"still\r\n")
@@ -317,7 +319,7 @@
         node.wait()
 
 
-def test_a_sigterm_that_comes_as_a_node_ends_does_not_make_it_look_killed(tmp_path):
+def test_a_sigterm_during_the_exit_does_not_change_the_exit_code(tmp_path):
     (port,) = free_ports(1)
     environment = os.environ | write(tmp_path / "c", CONFIG | {"listen": f"127.0.0.1:{port}"})
     node = subprocess.Popen(
@@ -345,7 +347,7 @@
     ("\n".join(LINE.replace("_x", f"_{n}") for n in range(4)), "4 lines"),
     ("tests/a.py::b | cause", "a line is"), ("a | | issue 1", "a line is"), (f"{LINE}\n{LINE}", "twice"),
 ])  # fmt: skip
-def test_a_list_of_known_failures_that_cannot_be_fails_the_run(text, wrong):
+def test_an_invalid_list_of_known_failures_fails_the_run(text, wrong):
     with pytest.raises(pytest.UsageError, match=wrong):
         known_red(text)
 
@@ -357,7 +359,7 @@
     (RED + GREEN, "test_a.py::test_red", 0), (GREEN, "test_a.py::test_green", 1), (RED, "", 1),
     (GREEN, "test_a.py::test_none", 4), (GREEN, "test_b.py::test_green", 4),
 ])  # fmt: skip
-def test_only_a_failure_that_is_listed_passes(tmp_path, tests, name, code):
+def test_only_a_listed_failure_passes(tmp_path, tests, name, code):
     (tmp_path / "t").mkdir()
     (tmp_path / "t" / "conftest.py").write_text(Path(conftest.__file__).read_text())
     (tmp_path / "t" / "test_a.py").write_text(tests)
@@ -371,8 +373,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_start_waits_for_nothing_and_loads_all_that_it_needs_before_it_serves(tmp_path):
-    # Danger: a client of a new process waits while it loads; half of a second of that is loading as it is.
+def test_a_start_waits_for_nothing_and_loads_all_modules_before_it_serves(tmp_path):
+    # Clients of a new process wait while it loads its modules, which takes half a second as it is.
     code = """
 import sys, time
 waits = []
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,8 +2,8 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Wire, accept, connect, dials, entry, establish_sessions, lost, make_handler, node, opening,
-    report_loads, row, service_over, session_request, up,
+    OPEN, START, Wire, accept, connect, dials, entry, establish_sessions, lost, make_handler, make_node,
+    opening, report_loads, row, service_over, session_request, up,
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -228,7 +228,7 @@
 
 
 def test_a_host_called_back_is_cold_and_soon_tried():
-    n = node(12)
+    n = make_node(12)
     report_loads(n, [0.2] * 12)
     n.set_ban(START, 5, True)
     assert 5 not in {dials(n.open_session(START, session_request(i)))[0].host for i in range(30)}
@@ -246,7 +246,7 @@
 @pytest.mark.parametrize("others", [[0.9, 0.9, 0.9, 0.5], [0.85, 0.8, 0.8, 0.6]])
 def test_a_host_called_back_is_looked_at_though_the_mean_is_full_and_another_host_has_room(others):
     # Danger: full by the mean alone it was sent nothing, and looked at by nobody, while any host had room.
-    n = node(5, nodes=2)
+    n = make_node(5, nodes=2)
     n.unit_capacity, n.mean_hint, n.request_count = 1200.0, 10.0, 1000
     report_loads(n, [0.1, *others])
     n.set_ban(START - 4000, 0, True)
@@ -264,7 +264,7 @@
 
 
 def test_a_host_taken_out_again_before_it_took_a_session_is_not_tried():
-    n = node(3)
+    n = make_node(3)
     report_loads(n, [0.2] * 3)
     for out in (True, False, True):
         n.set_ban(START, 1, out)
@@ -275,7 +275,7 @@
 
 @pytest.mark.parametrize("listed_born, born", [(0.0, 2000.0), (500.0, 2000.0), (1500.0, 1500.0)])
 def test_a_host_called_back_is_as_old_as_its_latest_restart_or_the_call(listed_born, born):
-    n = node(2)
+    n = make_node(2)
     n.set_ban(START + 1000, 0, True)
     n.update_roster(
         START + 1600, RosterScope.CHANGES, [entry(0, started_at=START + listed_born if listed_born else 0.0)]
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("held", [40, 60, 20, 200])
 def test_a_host_that_starts_again_is_filled_by_what_it_bore_itself(held, figure=0.4):
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
@@ -303,7 +303,7 @@
 
 
 def test_what_a_cold_host_bears_is_no_measure_of_it():
-    n = node(entries=[entry(0, started_at=START - 1000.0), entry(1)])
+    n = make_node(entries=[entry(0, started_at=START - 1000.0), entry(1)])
     for h in range(2):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
@@ -312,7 +312,7 @@
 
 
 def test_a_cold_budget_goes_by_those_that_stand_not_by_those_that_ask_again():
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
@@ -340,7 +340,7 @@
 
 
 def test_what_stands_on_a_host_taken_out_is_left_there():
-    n = node(3)
+    n = make_node(3)
     establish_sessions(n, 0, [10.0] * 20)
     report_loads(n, [0.3, 0.3, 0.1])
     n.set_ban(START, 0, True)
@@ -350,7 +350,7 @@
 
 
 def test_with_every_host_taken_out_a_session_is_refused_with_a_back_off():
-    n = node(2, may_probe=False)
+    n = make_node(2, may_probe=False)
     for h in range(2):
         n.set_ban(START, h, True)
     n.open_session(START, session_request(1, time_left=50.0))
