--- a/caperdeck/distribution/server.py
+++ b/caperdeck/distribution/server.py
@@ -13,7 +13,7 @@
 
 from caperdeck.raft.core import Role
 from caperdeck.raft.driver import Driver
-from caperdeck.raft.transport import Net, Then
+from caperdeck.raft.transport import Network, AnswerCallback
 
 from .confirmation import Confirming
 from .messages import HIGHEST_NUMBER
@@ -25,26 +25,26 @@
 
 LARGEST_COMMAND = LARGEST_CHANGES + 4096  # bytes; in base 64 it fits into a frame between instances
 
-AtLeader = Callable[[dict[str, Any], Then], bool]  # False: the call has gone on to the leader
+AtLeader = Callable[[dict[str, Any], AnswerCallback], bool]  # False: the call has gone on to the leader
 
 
 class Distribution:
     """`versions` is the instance's own copy; `command` makes a command of the agreed machine for it."""
 
     def __init__(
-        self, driver: Driver, net: Net, versions: Versions, name: str, at_leader: AtLeader,
+        self, driver: Driver, net: Network, versions: Versions, name: str, at_leader: AtLeader,
         command: Callable[[dict[str, Any]], dict[str, Any]],
     ) -> None:  # fmt: skip
         self.driver, self.net, self.versions = driver, net, versions
         self.at_leader, self.command, self.clock = at_leader, command, driver.clock
         self.publisher = Publisher(name, versions, self.clock())
         self.confirming = Confirming(self.publisher)
-        self.watches = Watches(self.publisher, net.cluster, self.clock, net.drop, most_watches())
+        self.watches = Watches(self.publisher, net.cluster, self.clock, net.count_drop, most_watches())
         self.published = versions.newest.revision  # that was told to the publisher
         self.calls = {
             "versions": self._on_versions, "publish": self._on_publish, "distribution": self._on_status,
         }  # fmt: skip
-        net.takers[WATCH] = self.watches.take
+        net.handlers[WATCH] = self.watches.take
 
     @property
     def due(self) -> float:
@@ -68,14 +68,14 @@
 
     # ---- confirmation
 
-    def _read(self, then: Then) -> None:
+    def _read(self, then: AnswerCallback) -> None:
         leader = self.driver.raft.leader
         if self.driver.raft.role is Role.LEADER:
             self._read_here(False, then)
         elif leader is not None:
-            self.net.ask(leader, {"do": "versions", "passed": True}, then)
+            self.net.call(leader, {"do": "versions", "passed": True}, then)
 
-    def _read_here(self, whole: bool, then: Then) -> None:
+    def _read_here(self, whole: bool, then: AnswerCallback) -> None:
         self.driver.read(lambda machine: then(None if machine is None else newest_of(self.versions, whole)))
 
     def _confirmed(self, asked: float, answer: Any) -> None:
@@ -85,11 +85,11 @@
 
     # ---- calls
 
-    def _on_versions(self, body: dict[str, Any], then: Then) -> None:
+    def _on_versions(self, body: dict[str, Any], then: AnswerCallback) -> None:
         if self.at_leader(body, then):
             self._read_here(body.get("document") is True, then)
 
-    def _on_publish(self, body: dict[str, Any], then: Then) -> None:
+    def _on_publish(self, body: dict[str, Any], then: AnswerCallback) -> None:
         client, serial = body["client"], body["serial"]
         if not all(type(number) is int and 0 < number < HIGHEST_NUMBER for number in (client, serial)):
             raise ValueError
@@ -105,7 +105,7 @@
             return
         self.driver.propose(data, client, serial, lambda result: then(told(result)))
 
-    def _on_status(self, body: dict[str, Any], then: Then) -> None:
+    def _on_status(self, body: dict[str, Any], then: AnswerCallback) -> None:
         then(encode_status(self.publisher.status(self.clock())))
 
 
--- a/caperdeck/distribution/stream.py
+++ b/caperdeck/distribution/stream.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from caperdeck.raft.codec import FrameError, frame, unwrap
+from caperdeck.raft.codec import FrameError, encode_frame, decode_frame
 
 from .document import LARGEST_DOCUMENT
 from .messages import FromNode, FromPublisher, Message, MessageError, message_of
@@ -24,8 +24,8 @@
 
 
 def encode(message: Message, cluster: str) -> bytes:
-    """The whole frame, its length first."""
-    data = frame(cluster, WATCH, orjson.Fragment(encode_message(message)))
+    """The whole encode_frame, its length first."""
+    data = encode_frame(cluster, WATCH, orjson.Fragment(encode_message(message)))
     return LENGTH.pack(len(data)) + data
 
 
@@ -33,7 +33,7 @@
     """The message of a frame without its length; raises FrameError."""
     if len(data) > LONGEST_FROM_PUBLISHER:
         raise FrameError("too-long")
-    name, fields = unwrap(data, cluster)
+    name, fields = decode_frame(data, cluster)
     return _message(name, fields, FromPublisher)
 
 
--- a/caperdeck/distribution/watch_server.py
+++ b/caperdeck/distribution/watch_server.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperdeck.raft.codec import FrameError
-from caperdeck.raft.transport import Frames
+from caperdeck.raft.transport import FrameConnection
 
 from .messages import Busy, Closed, FromNode, FromPublisher, Subscribe
 from .publisher import BUSY_WAIT, Publisher, Send
@@ -33,7 +33,7 @@
 class Watch:
     """One connection that a node opened; a push producer of its transport."""
 
-    def __init__(self, watches: Watches, connection: Frames) -> None:
+    def __init__(self, watches: Watches, connection: FrameConnection) -> None:
         self.watches, self.connection = watches, connection
         self.key: Key | None = None  # until its Subscribe has come
         self.full = self.ending = False
@@ -109,7 +109,7 @@
         self.subscribed: dict[Key, Watch] = {}
         self.newest: dict[str, Watch] = {}  # by node: a node has one subscription, whatever it has opened
 
-    def take(self, connection: Frames) -> Watch:
+    def take(self, connection: FrameConnection) -> Watch:
         """A connection's first frame is of a watch; raises FrameError."""
         if len(self.open) >= self.most + TURNED_AWAY:
             raise FrameError("too-many-watches")
--- a/caperdeck/lab/raft_simulation.py
+++ b/caperdeck/lab/raft_simulation.py
@@ -45,14 +45,14 @@
     """What one instance finds when it starts again."""
 
     def __init__(self, members: Members) -> None:
-        self.term, self.vote = 0, None
+        self.term, self.voted_for = 0, None
         self.log = Log(Snapshot(0, 0, members))
 
     def write(self, save: Save) -> None:
-        self.term, self.vote = save.term, save.vote
+        self.term, self.voted_for = save.term, save.voted_for
         if save.snapshot is not None:
             self.log.compact(save.snapshot)
-        self.log.put(save.first, save.entries)
+        self.log.replace_from(save.first, save.entries)
 
 
 class Instance(Suspendable):
@@ -80,7 +80,7 @@
         disk, self.life = self.world.disks[self.me], self.life + 1
         log = Log(disk.log.snapshot, disk.log.entries)
         seed = self.world.seed * 101 + self.me * 13 + self.life
-        raft = self.world.kind(self.me, disk.term, disk.vote, log, seed, self.now())
+        raft = self.world.kind(self.me, disk.term, disk.voted_for, log, seed, self.now())
         machine = Sessions(Line())
         machine.load(log.snapshot.data)
         self.driver = Driver(
@@ -93,7 +93,7 @@
 
     def die(self) -> None:
         self.up = False
-        self.driver.end()
+        self.driver.close()
 
     def tick(self, life: int) -> None:
         if life == self.life:
@@ -180,7 +180,7 @@
         for index, entry in self.entries.items():
             if term <= self.committed[index]:
                 continue
-            if index > log.snapshot.index and (index > log.last or log.entry(index) != entry):
+            if index > log.snapshot.index and (index > log.last_index or log.entry_at(index) != entry):
                 raise BrokenError(f"leader completeness: {me} leads term {term} without entry {index}")
 
     def applied(self, me: int, index: int, entry: Entry) -> None:
@@ -193,12 +193,12 @@
         logs = [(i.me, i.raft.log) for i in self.instances if i.up]
         for k, (a, one) in enumerate(logs):
             for b, other in logs[k + 1 :]:
-                same = min(one.last, other.last)
+                same = min(one.last_index, other.last_index)
                 first = max(one.snapshot.index, other.snapshot.index)
-                while same > first and one.term(same) != other.term(same):
+                while same > first and one.term_at(same) != other.term_at(same):
                     same -= 1
                 for index in range(first + 1, same + 1):
-                    if one.entry(index) != other.entry(index):
+                    if one.entry_at(index) != other.entry_at(index):
                         raise BrokenError(f"log matching: {a} and {b} differ at {index} before {same}")
 
     def leader(self) -> Instance | None:
@@ -261,7 +261,7 @@
         elif what == "one-way":
             world.cut = {(i, b) for b in range(size)}
         elif what == "transfer" and (leader := world.leader()) is not None:
-            leader.raft.transfer(leader.now(), i)
+            leader.raft.transfer_leadership(leader.now(), i)
         else:
             world.cut = set()
         world.run(draw.uniform(20, 600))
--- a/caperdeck/lab/slopes/instances.py
+++ b/caperdeck/lab/slopes/instances.py
@@ -15,7 +15,7 @@
 
 from caperdeck.lab.ports import Ports
 from caperdeck.owner.commands import LENGTH, ask
-from caperdeck.raft.codec import frame, unwrap
+from caperdeck.raft.codec import encode_frame, decode_frame
 from caperdeck.raft.transport import CALL
 from caperdeck.state.addresses import Address
 
@@ -171,13 +171,13 @@
         self.connection.close()
 
     def send(self, number: int, body: dict[str, Any]) -> None:
-        data = frame(CLUSTER, CALL, [number, body])
+        data = encode_frame(CLUSTER, CALL, [number, body])
         self.connection.sendall(LENGTH.pack(len(data)) + data)
 
     def receive(self) -> tuple[int, Any]:
         """The number of a call and its answer; raises OSError where the connection has ended."""
         length = LENGTH.unpack(self._exactly(LENGTH.size))[0]
-        number, answer = unwrap(self._exactly(length), CLUSTER)[1]
+        number, answer = decode_frame(self._exactly(length), CLUSTER)[1]
         return number, answer
 
     def _exactly(self, size: int) -> bytes:
--- a/caperdeck/owner/commands.py
+++ b/caperdeck/owner/commands.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from caperdeck.raft.codec import LONGEST, FrameError, frame, unwrap
+from caperdeck.raft.codec import MAX_FRAME_BYTES, FrameError, encode_frame, decode_frame
 from caperdeck.raft.transport import CALL
 from caperdeck.state.addresses import Address
 
@@ -115,15 +115,15 @@
 
 def ask(address: Address, cluster: str, body: dict[str, Any], wait: float = WAIT) -> Any:
     """The answer; None if none came."""
-    data = frame(cluster, CALL, [1, body])
+    data = encode_frame(cluster, CALL, [1, body])
     try:
         with socket.create_connection(address, WAIT) as conn:
             conn.settimeout(wait)
             conn.sendall(LENGTH.pack(len(data)) + data)
             length = LENGTH.unpack(_exactly(conn, LENGTH.size))[0]
-            if length > LONGEST:
+            if length > MAX_FRAME_BYTES:
                 return None
-            return unwrap(_exactly(conn, length), cluster)[1][1]
+            return decode_frame(_exactly(conn, length), cluster)[1][1]
     except (OSError, FrameError, LookupError, TypeError):
         return None
 
--- a/caperdeck/owner/config.py
+++ b/caperdeck/owner/config.py
@@ -9,11 +9,11 @@
 from caperdeck.leases.table import MOST_SPAN
 from caperdeck.leases.target import CENSUS, HOSTS
 from caperdeck.lifecycle.toml import TomlError, check_keys, loopback_address, name_of, read_toml
-from caperdeck.raft.core import ELECTION
+from caperdeck.raft.core import ELECTION_TIMEOUT_MS
 from caperdeck.state.addresses import Address
 
 SPAN = 1500.0  # milliseconds of a lease
-LEAST_SPAN = 2 * ELECTION  # a shorter one ends before a new leader can be found to renew it
+LEAST_SPAN = 2 * ELECTION_TIMEOUT_MS  # a shorter one ends before a new leader can be found to renew it
 MOST_INSTANCES, HIGHEST_NUMBER = 9, 999
 WORKS = (HOSTS, CENSUS)
 LONGEST = 64  # characters of a name
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -27,7 +27,7 @@
 from caperdeck.raft.log import Entry, Members
 from caperdeck.raft.sessions import Sessions
 from caperdeck.raft.storage import Storage, StorageError
-from caperdeck.raft.transport import Net, Then
+from caperdeck.raft.transport import Network, AnswerCallback
 from caperdeck.state.timers import cancel
 
 from .replicated_state import Agreed, for_versions, is_for_leases
@@ -60,10 +60,10 @@
         self.machine = Sessions(self.agreed)
         log, now = self.storage.log, clock()
         self.machine.load(log.snapshot.data)
-        raft = Raft(config.me, self.storage.term, self.storage.vote, log_copy(log), self.seed, now)
+        raft = Raft(config.me, self.storage.term, self.storage.voted_for, log_copy(log), self.seed, now)
         self.pool = ThreadPool(1, 1, "disk")
         self.driver = Driver(raft, self.machine, clock, self._write, self._send, self._became, self._applied)
-        self.net = Net(
+        self.net = Network(
             reactor, config.cluster, config.me, config.instances, self._receive, self._call, self._chance,
         )  # fmt: skip
         self.distribution = Distribution(
@@ -81,24 +81,26 @@
         self.clients = {w: int.from_bytes(os.urandom(6), "big") * 2 + 2 for w in self.runners}
         self.timer: Any = None
         self.calling = 0
-        self.watching: list[tuple[str, int, float, Then]] = []  # work, token known, until when, who waits
+        self.watching: list[
+            tuple[str, int, float, AnswerCallback]
+        ] = []  # work, token known, until when, who waits
         self.turn_at = now
         self.closed = False
         self.counted: dict[str, int] = {}
 
     def start(self) -> None:
         self.pool.start()
-        if self.storage.cut_off:
-            logger.warning("owner reason=torn-tail bytes={}", self.storage.cut_off)
+        if self.storage.torn_bytes:
+            logger.warning("owner reason=torn-tail bytes={}", self.storage.torn_bytes)
         self.net.listen(self.config.listen)
         logger.info("owner start cluster={} me=o{} members={} log={}", self.config.cluster, self.config.me,
-                    ",".join(map(str, self.raft.members.all)), self.raft.log.last)  # fmt: skip
+                    ",".join(map(str, self.raft.members.all)), self.raft.log.last_index)  # fmt: skip
         self._turn()
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.driver.end()
+            self.driver.close()
             self.net.close()
             self.nodes.close()
             self.distribution.close()
@@ -201,16 +203,16 @@
 
     # ---- proposals and reads, here or at the leader
 
-    def _submit(self, command: dict[str, Any], client: int, serial: int, then: Then) -> None:
+    def _submit(self, command: dict[str, Any], client: int, serial: int, then: AnswerCallback) -> None:
         if self.raft.role is Role.LEADER:
             self.driver.propose(orjson.dumps(command), client, serial, then)
         elif self.raft.leader is not None:
             body = {"do": "propose", "command": command, "client": client, "serial": serial}
-            self.net.ask(self.raft.leader, body, then)
+            self.net.call(self.raft.leader, body, then)
         else:
             then(None)
 
-    def _call(self, body: Any, then: Then) -> None:
+    def _call(self, body: Any, then: AnswerCallback) -> None:
         """A call from another instance, a node or an operator; None is the answer where nobody knows."""
         do = body.get("do") if isinstance(body, dict) else None
         handler = {
@@ -238,17 +240,17 @@
         except (KeyError, TypeError, ValueError):
             answer({"no": "bad-call"})
 
-    def _at_leader(self, body: dict[str, Any], then: Then) -> bool:
+    def _at_leader(self, body: dict[str, Any], then: AnswerCallback) -> bool:
         """Whether this one leads; otherwise the call has gone on to the one that does, once."""
         if self.raft.role is Role.LEADER:
             return True
         if body.get("passed") or self.raft.leader is None:
             then(None)
         else:
-            self.net.ask(self.raft.leader, body | {"passed": True}, then)
+            self.net.call(self.raft.leader, body | {"passed": True}, then)
         return False
 
-    def _on_propose(self, body: dict[str, Any], then: Then) -> None:
+    def _on_propose(self, body: dict[str, Any], then: AnswerCallback) -> None:
         client, serial = body["client"], body["serial"]
         if not all(isinstance(x, int) and 0 <= x < 1 << 53 for x in (client, serial)):
             raise ValueError
@@ -261,7 +263,7 @@
         else:
             then(None)
 
-    def _on_token(self, body: dict[str, Any], then: Then) -> None:
+    def _on_token(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """The highest token given for a work, as of after the call."""
         work = body["work"]
         if not isinstance(work, str):
@@ -271,14 +273,14 @@
                 lambda agreed: then(None if agreed is None else {"token": token_of(agreed.leases, work)})
             )
 
-    def _on_status(self, body: dict[str, Any], then: Then) -> None:
+    def _on_status(self, body: dict[str, Any], then: AnswerCallback) -> None:
         raft, now = self.raft, self.clock()
         # one that has been kept from running may have a lease that ended and have yet to see it
         held = {w: r for w, r in self.runners.items() if r.token and r.holder.may_act(now)}
         then({
             "me": self.config.me, "role": raft.role.name.lower(), "term": raft.term, "leader": raft.leader,
-            "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last,
-            "commit": raft.commit, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
+            "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last_index,
+            "commit": raft.commit_index, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
             "events": self.counted, "watches": self.distribution.watches.figures(),
             # its own copy of the table below may lag behind what it was told
             "holds": {w: {"token": r.token, "left": round(r.holder.until - now)} for w, r in held.items()},
@@ -289,7 +291,7 @@
             },
         })  # fmt: skip
 
-    def _on_watch(self, body: dict[str, Any], then: Then) -> None:
+    def _on_watch(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Answered once the work is another's than the one said, as this instance knows, or in a while."""
         work, known = body["work"], body.get("token", 0)
         if not isinstance(work, str) or isinstance(known, bool) or not isinstance(known, int):
@@ -306,7 +308,7 @@
             else:
                 then({"holder": row["holder"], "token": row["token"]})
 
-    def _on_leave(self, body: dict[str, Any], then: Then) -> None:
+    def _on_leave(self, body: dict[str, Any], then: AnswerCallback) -> None:
         runner = self.runners.get(body["work"])
         to = body.get("to")
         if runner is None or not (to is None or isinstance(to, str)):
@@ -314,7 +316,7 @@
         reason = runner.leave(to)
         then({"no": reason} if reason else {"ok": True})
 
-    def _on_release(self, body: dict[str, Any], then: Then) -> None:
+    def _on_release(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Ends a lease whatever its owner does; the owner's acts are refused once another has the work."""
         row = self.table.row(body["work"])
         if row is None:
@@ -324,7 +326,7 @@
             command = {"do": "release", "work": body["work"], "token": row["token"]}
             self.driver.propose(orjson.dumps(command), 0, 0, then)
 
-    def _on_members(self, body: dict[str, Any], then: Then) -> None:
+    def _on_members(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """One instance more as a learner, a learner to a voter, or one less."""
         number, add = body["number"], body["add"]
         if isinstance(number, bool) or not isinstance(number, int) or number not in self.config.instances:
@@ -335,12 +337,12 @@
                 voters = (*voters, number)
             elif add:
                 learners = (*learners, number)
-            reason = self.driver.change(Members(voters, learners))
+            reason = self.driver.change_members(Members(voters, learners))
             then({"no": reason} if reason else {"voters": voters, "learners": learners})
 
-    def _on_transfer(self, body: dict[str, Any], then: Then) -> None:
+    def _on_transfer(self, body: dict[str, Any], then: AnswerCallback) -> None:
         if self._at_leader(body, then):
-            reason = self.raft.transfer(self.clock(), body["number"])
+            reason = self.raft.transfer_leadership(self.clock(), body["number"])
             then({"no": reason} if reason else {"ok": True})
 
     # ---- the driver's hands
@@ -356,7 +358,7 @@
 
     def _failed(self, failure: Any) -> None:
         # Danger: whatever rests on a write that may not be there must never be said.
-        self.driver.end()
+        self.driver.close()
         known = failure.check(StorageError) is not None
         self.ended(str(failure.value) if known else one_line(failure))
 
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -9,7 +9,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 
 from caperdeck.core.seeded_random import chance
-from caperdeck.raft.codec import LONGEST, FrameError, frame, unwrap
+from caperdeck.raft.codec import MAX_FRAME_BYTES, FrameError, encode_frame, decode_frame
 from caperdeck.raft.transport import CALL, REPLY
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
@@ -22,7 +22,7 @@
 
 
 class Question(Int32StringReceiver):
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self, reactor: Any, owners: Owners, address: Address, body: Any, then: Callable) -> None:
         self.cluster, self.body, self.then = owners.cluster, body, then
@@ -30,11 +30,11 @@
         self.connector = reactor.connectTCP(*address, OneConnection(self), ANSWER)
 
     def connectionMade(self) -> None:
-        self.sendString(frame(self.cluster, CALL, [1, self.body]))
+        self.sendString(encode_frame(self.cluster, CALL, [1, self.body]))
 
     def stringReceived(self, data: bytes) -> None:
         try:
-            name, fields = unwrap(data, self.cluster)
+            name, fields = decode_frame(data, self.cluster)
         except FrameError:
             name, fields = "", None
         self.end(fields[1] if name == REPLY and isinstance(fields, list) and len(fields) == 2 else None)
--- a/caperdeck/raft/__init__.py
+++ b/caperdeck/raft/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement among a few instances: Raft as a pure state machine, without I/O or a clock; and its storage."""
+"""Raft consensus as a pure state machine, and its driver, network and stable storage."""
--- a/caperdeck/raft/actions.py
+++ b/caperdeck/raft/actions.py
@@ -1,4 +1,4 @@
-"""What an instance of Raft has its driver do, in order."""
+"""Actions that a Raft instance requests from its driver, to be carried out in order."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 class Role(IntEnum):
     FOLLOWER = 0
-    ASKING = 1  # a pre-vote is out
+    ASKING = 1  # pre-candidate: a pre-vote is in progress
     CANDIDATE = 2
     LEADER = 3
 
 
 class Save(NamedTuple):
-    """To disk, before all that follows: term and vote; entries from an index on, in place of what stands
-    there; a snapshot in place of what it covers.
+    """Write to stable storage before any later action is carried out.
+
+    `entries` replace the log from index `first` on; `snapshot` replaces the entries that it covers.
     """
 
     term: int
-    vote: int | None
+    voted_for: int | None
     first: int
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None = None
@@ -34,36 +35,36 @@
 
 
 class Apply(NamedTuple):
-    """Committed; to be applied in order, each once."""
+    """Apply a committed entry to the state machine. Entries come in order, each once."""
 
     index: int
     entry: Entry
 
 
 class Restore(NamedTuple):
-    """The state machine is this one from now on."""
+    """Replace the state machine's state by that of the snapshot."""
 
     snapshot: Snapshot
 
 
-class Readable(NamedTuple):
-    """A read may be answered from the state up to what has been applied."""
+class ReadReady(NamedTuple):
+    """The read may be answered from the state as of the last applied entry."""
 
-    number: int
+    read_id: int
 
 
-class Unreadable(NamedTuple):
-    """A read cannot be answered here."""
+class ReadFailed(NamedTuple):
+    """The read cannot be answered by this instance."""
 
-    number: int
+    read_id: int
 
 
-class Became(NamedTuple):
-    """The instance has another role, term or leader."""
+class RoleChanged(NamedTuple):
+    """The role, the term or the known leader of the instance has changed."""
 
     role: Role
     term: int
     leader: int | None
 
 
-Action = Save | Send | Apply | Restore | Readable | Unreadable | Became
+Action = Save | Send | Apply | Restore | ReadReady | ReadFailed | RoleChanged
--- a/caperdeck/raft/codec.py
+++ b/caperdeck/raft/codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances as bytes: a JSON value a frame, checked whole before anything of it is taken."""
+"""Wire format of messages between instances: one JSON value a frame, validated in full before it is used."""
 
 from __future__ import annotations
 
@@ -7,114 +7,124 @@
 
 import orjson
 
-from .messages import Append, Appended, Ask, Install, Installed, Message, TakeOver, Voted
+from .messages import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    InstallSnapshotRequest,
+    InstallSnapshotResponse,
+    Message,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
+)
 from .log import Entry, Kind, Members
 
-VERSION = 1
-LONGEST = 4 << 20  # bytes of a frame
-HIGHEST = 1 << 53  # of a term or an index
-KINDS: dict[str, type] = {
-    "ask": Ask, "voted": Voted, "append": Append, "appended": Appended, "install": Install,
-    "installed": Installed, "takeover": TakeOver,
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 4 << 20
+MAX_NUMBER = 1 << 53  # of a term or an index; a JSON number holds it exactly
+MESSAGE_TYPES: dict[str, type] = {
+    "ask": VoteRequest, "voted": VoteResponse, "append": AppendEntriesRequest,
+    "appended": AppendEntriesResponse, "install": InstallSnapshotRequest,
+    "installed": InstallSnapshotResponse, "takeover": TimeoutNow,
 }  # fmt: skip
-NAMES = {kind: name for name, kind in KINDS.items()}
-MOST_MEMBERS, MOST_ENTRIES = 16, 1024
-SIGNED = ("offset",)  # fields that may be -1
+MESSAGE_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
+MAX_MEMBERS, MAX_ENTRIES = 16, 1024
+SIGNED_FIELDS = ("offset",)  # fields that may be -1
 
 
 class FrameError(ValueError):
-    """What came is no message of this cluster; the text is the reason, one of a few words."""
+    """The frame is not a valid message of this cluster. The text is a short reason, such as `no-json`."""
 
 
 def encode(message: Message, cluster: str) -> bytes:
-    return frame(cluster, NAMES[type(message)], [_plain(value) for value in message])
+    return encode_frame(cluster, MESSAGE_NAMES[type(message)], [_to_json(value) for value in message])
 
 
-def frame(cluster: str, name: str, fields: Any) -> bytes:
-    return orjson.dumps([VERSION, cluster, name, fields])
+def encode_frame(cluster: str, name: str, fields: Any) -> bytes:
+    return orjson.dumps([PROTOCOL_VERSION, cluster, name, fields])
 
 
-def _plain(value: Any) -> Any:
+def _to_json(value: Any) -> Any:
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     if isinstance(value, Members | tuple):
-        return [_plain(x) for x in value]
+        return [_to_json(x) for x in value]
     return int(value) if isinstance(value, Kind) else value
 
 
 def decode(data: bytes, cluster: str, me: int) -> Message:
     """Raises FrameError."""
-    return message_of(*unwrap(data, cluster), me)
+    return decode_message(*decode_frame(data, cluster), me)
 
 
-def unwrap(data: bytes, cluster: str) -> tuple[Any, Any]:
-    """A frame's name and fields; raises FrameError."""
-    if len(data) > LONGEST:
+def decode_frame(data: bytes, cluster: str) -> tuple[Any, Any]:
+    """A frame's name and fields. Raises FrameError."""
+    if len(data) > MAX_FRAME_BYTES:
         raise FrameError("too-long")
     try:
-        whole = orjson.loads(data)
+        frame = orjson.loads(data)
     except orjson.JSONDecodeError:
         raise FrameError("no-json") from None
-    if not isinstance(whole, list) or len(whole) != 4:
+    if not isinstance(frame, list) or len(frame) != 4:
         raise FrameError("no-frame")
-    version, of, name, fields = whole
-    if version != VERSION:
+    version, frame_cluster, name, fields = frame
+    if version != PROTOCOL_VERSION:
         raise FrameError("other-version")
-    if of != cluster:
+    if frame_cluster != cluster:
         raise FrameError("other-cluster")
     return name, fields
 
 
-def message_of(name: Any, fields: Any, me: int) -> Message:
+def decode_message(name: Any, fields: Any, me: int) -> Message:
     """Raises FrameError."""
-    kind = KINDS.get(name) if isinstance(name, str) else None
+    kind = MESSAGE_TYPES.get(name) if isinstance(name, str) else None
     if kind is None:
         raise FrameError("unknown-kind")
     if not isinstance(fields, list) or len(fields) != len(kind._fields):
         raise FrameError("wrong-fields")
     try:
-        message = kind(*(_field(kind, n, v) for n, v in zip(kind._fields, fields, strict=True)))
+        message = kind(*(_decode_field(kind, n, v) for n, v in zip(kind._fields, fields, strict=True)))
     except (TypeError, ValueError) as error:
         reason = str(error) if isinstance(error, FrameError) else "wrong-fields"
         raise FrameError(reason) from None
     if message.sender == me:
         raise FrameError("own-name")
-    if isinstance(message, Append):
-        terms = [message.index_term, *(e.term for e in message.entries)]
-        # Danger: terms that go down, or past the sender's own, are of no log that there can be.
+    if isinstance(message, AppendEntriesRequest):
+        terms = [message.prev_log_term, *(entry.term for entry in message.entries)]
+        # Terms never decrease along a log and never exceed the term of the leader that sends it.
         if terms != sorted(terms) or terms[-1] > message.term:
             raise FrameError("impossible-terms")
     return message
 
 
-def _field(kind: type, name: str, value: Any) -> Any:
-    if name in ("before", "transfer", "granted", "ok", "last") and not (kind is Ask and name == "last"):
+def _decode_field(kind: type, name: str, value: Any) -> Any:
+    if name in ("pre_vote", "leadership_transfer", "granted", "success", "done"):
         if not isinstance(value, bool):
             raise FrameError("wrong-fields")
         return value
     if name == "data":
         return base64.b64decode(value, validate=True)
     if name == "members":
-        voters, learners = ([_number(x) for x in ids] for ids in value)
-        if not 0 < len(voters) + len(learners) <= MOST_MEMBERS or not voters:
+        voters, learners = ([_decode_number(x) for x in ids] for ids in value)
+        if not 0 < len(voters) + len(learners) <= MAX_MEMBERS or not voters:
             raise FrameError("impossible-members")
         return Members(tuple(voters), tuple(learners))
     if name == "entries":
-        if len(value) > MOST_ENTRIES:
+        if len(value) > MAX_ENTRIES:
             raise FrameError("too-many-entries")
-        return tuple(_entry(row) for row in value)
-    return _number(value, -1 if name in SIGNED else 0)
+        return tuple(_decode_entry(row) for row in value)
+    return _decode_number(value, -1 if name in SIGNED_FIELDS else 0)
 
 
-def _entry(row: Any) -> Entry:
+def _decode_entry(row: Any) -> Entry:
     term, kind, data, client, serial = row
     body = base64.b64decode(data, validate=True)
-    return Entry(_number(term, 1), Kind(kind), body, _number(client), _number(serial))
+    return Entry(_decode_number(term, 1), Kind(kind), body, _decode_number(client), _decode_number(serial))
 
 
-def _number(value: Any, least: int = 0) -> int:
+def _decode_number(value: Any, minimum: int = 0) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise FrameError("wrong-fields")
-    if not least <= value <= HIGHEST:
+    if not minimum <= value <= MAX_NUMBER:
         raise FrameError("impossible-number")
     return value
--- a/caperdeck/raft/core.py
+++ b/caperdeck/raft/core.py
@@ -1,150 +1,167 @@
-"""Raft: one instance as a pure state machine. Events and time in; writes, messages, committed entries out.
+"""Raft: one instance as a pure state machine, with events and times as input and actions as output.
 
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and
 Ongaro, "Consensus: Bridging Theory and Practice" (Stanford 2014): 3 (elections, log, commitment), 3.10
-(leadership transfer), 4 (members one at a time, learners), 5 (snapshots), 6.2 (check-quorum), 6.4
+(leadership transfer), 4 (membership changes one at a time, learners), 5 (snapshots), 6.2 (check-quorum), 6.4
 (ReadIndex), 9.6 (pre-vote). Times are float milliseconds on the instance's own clock.
 
-Every event returns actions in order. A Save has to be durable before the actions after it are carried out;
-the driver then calls `saved`. What rests on a write (votes, answers to appends, the leader's own share of a
-quorum) therefore never leaves before it.
+Every event returns actions in order. A Save must be durable before the actions after it are carried out; the
+driver then calls `saved`. Whatever depends on a write (votes, AppendEntries responses, the leader's own share
+of a quorum) therefore never leaves before it.
 
-Here are the events. What they bring about is in `election`, `replication` (the leader) and `follower`, over
-what `state` holds.
+This module has the events. `election`, `replication` (the leader) and `follower` handle them, on the state in
+`state`.
 """
 
 from __future__ import annotations
 
-from .actions import Action, Apply, Became, Readable, Restore, Role, Save, Send, Unreadable
+from .actions import Action, Apply, ReadFailed, ReadReady, Restore, Role, RoleChanged, Save, Send
 from .election import Election
-from .follower import Following
+from .follower import Follower
 from .log import Entry, Kind, Members, Snapshot, encode_members
-from .membership import reason_against
-from .messages import Append, Appended, Ask, Install, Installed, Message, TakeOver, Voted
+from .membership import rejection_reason
+from .messages import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    InstallSnapshotRequest,
+    InstallSnapshotResponse,
+    Message,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
+)
 from .replication import Replication
-from .state import ELECTION
+from .state import ELECTION_TIMEOUT_MS
 
 __all__ = [
-    "ELECTION", "Action", "Append", "Appended", "Apply", "Ask", "Became", "Install", "Installed", "Message",
-    "Raft", "Readable", "Restore", "Role", "Save", "Send", "TakeOver", "Unreadable", "Voted",
+    "ELECTION_TIMEOUT_MS", "Action", "AppendEntriesRequest", "AppendEntriesResponse", "Apply", "VoteRequest",
+    "RoleChanged", "InstallSnapshotRequest", "InstallSnapshotResponse", "Message", "Raft", "ReadReady",
+    "Restore", "Role", "Save", "Send", "TimeoutNow", "ReadFailed", "VoteResponse",
 ]  # fmt: skip
 
 
-class Raft(Election, Replication, Following):
-    """One instance. `term`, `vote`, `log` are what its disk holds."""
+class Raft(Election, Replication, Follower):
+    """One instance. `term`, `voted_for` and `log` start as read from stable storage."""
 
     @property
     def due(self) -> float:
-        """When the next tick is wanted."""
-        return self.heartbeat_at if self.role is Role.LEADER else self.deadline
+        """When `tick` has to be called next."""
+        return self.next_heartbeat_at if self.role is Role.LEADER else self.election_deadline
 
     def tick(self, now: float) -> list[Action]:
         if self.role is Role.LEADER:
-            if now >= self.heartbeat_at:
+            if now >= self.next_heartbeat_at:
                 self._check_quorum(now)
-            if self.role is Role.LEADER and now >= self.heartbeat_at:
-                self._heartbeat(now)
-        elif now >= self.deadline:
-            self._campaign(now, before=True)
-        return self._done()
+            if self.role is Role.LEADER and now >= self.next_heartbeat_at:
+                self._send_heartbeats(now)
+        elif now >= self.election_deadline:
+            self._campaign(now, pre_vote=True)
+        return self._take_actions()
 
     # ---- messages
 
-    def receive(self, now: float, m: Message) -> list[Action]:
-        """A message of a member; one of an older term is answered with the newer one, or dropped."""
-        if isinstance(m, Ask):
-            self._asked(now, m)
-        elif isinstance(m, Voted) and m.before and m.granted:
-            self._voted(now, m)  # carries the term that was asked for, which nobody has yet
+    def receive(self, now: float, message: Message) -> list[Action]:
+        """Handles a message from a member. One of an older term is answered with this term, or dropped."""
+        if isinstance(message, VoteRequest):
+            self._on_vote_request(now, message)
+        elif isinstance(message, VoteResponse) and message.pre_vote and message.granted:
+            # A granted pre-vote carries the requested term, which no instance is in yet.
+            self._on_vote_response(now, message)
         else:
-            if m.term > self.term:
-                self._follow(now, m.term, m.sender if isinstance(m, Append | Install) else None)
-            if m.term < self.term:
-                self._outdated(m)
+            if message.term > self.term:
+                self._become_follower(
+                    now,
+                    message.term,
+                    message.sender
+                    if isinstance(message, AppendEntriesRequest | InstallSnapshotRequest)
+                    else None,
+                )
+            if message.term < self.term:
+                self._answer_stale(message)
             else:
-                self._received(now, m)
-        return self._done()
-
-    def _received(self, now: float, m: Message) -> None:
-        match m:
-            case Voted():
-                self._voted(now, m)
-            case Append():
-                self._append(now, m)
-            case Appended():
-                self._appended(now, m)
-            case Install():
-                self._install(now, m)
-            case Installed():
-                self._installed(now, m)
-            case TakeOver():
+                self._dispatch(now, message)
+        return self._take_actions()
+
+    def _dispatch(self, now: float, message: Message) -> None:
+        match message:
+            case VoteResponse():
+                self._on_vote_response(now, message)
+            case AppendEntriesRequest():
+                self._on_append_entries_request(now, message)
+            case AppendEntriesResponse():
+                self._on_append_entries_response(now, message)
+            case InstallSnapshotRequest():
+                self._on_install_snapshot_request(now, message)
+            case InstallSnapshotResponse():
+                self._on_install_snapshot_response(now, message)
+            case TimeoutNow():
                 if self.me in self.members.voters and self.role is not Role.LEADER:
-                    self._campaign(now, before=False, transfer=True)
-
-    def _outdated(self, m: Message) -> None:
-        # Danger: a leader that was cut off goes on leading, as nobody tells it of the newer term.
-        if isinstance(m, Append):
-            self._send(m.sender, Appended(self.term, self.me, False, 0, 0, 0))
-        elif isinstance(m, Install):
-            self._send(m.sender, Installed(self.term, self.me, 0, 0, 0))
-
-    # ---- the disk
-
-    def saved(self, now: float, last: int, term: int) -> list[Action]:
-        """The log is on disk up to that index, whose entry is of that term."""
-        # Danger: the entry may have been replaced since; what is on disk there is another one's.
-        if self.log.term(last) == term:
-            self.durable = max(self.durable, last)
+                    self._campaign(now, pre_vote=False, leadership_transfer=True)
+
+    def _answer_stale(self, message: Message) -> None:
+        """Tells a leader that was partitioned of the newer term; otherwise it would go on as a leader."""
+        if isinstance(message, AppendEntriesRequest):
+            self._send(message.sender, AppendEntriesResponse(self.term, self.me, False, 0, 0, 0))
+        elif isinstance(message, InstallSnapshotRequest):
+            self._send(message.sender, InstallSnapshotResponse(self.term, self.me, 0, 0, 0))
+
+    # ---- stable storage
+
+    def saved(self, now: float, last_index: int, term: int) -> list[Action]:
+        """The log was written up to `last_index`, whose entry was then of that term."""
+        # The entry may have been replaced since the write began; the new one is not on disk yet.
+        if self.log.term_at(last_index) == term:
+            self.durable_index = max(self.durable_index, last_index)
         if self.role is Role.LEADER:
-            self._advance(now)
-        return self._done()
+            self._maybe_commit(now)
+        return self._take_actions()
 
     def compact(self, snapshot: Snapshot) -> list[Action]:
-        """The state up to an applied index was written down: the log before it is dropped."""
+        """Drops the log that a snapshot of the state up to an applied index covers."""
         self._save()
-        if self.log.snapshot.index < snapshot.index <= self.applied:
+        if self.log.snapshot.index < snapshot.index <= self.last_applied:
             self.log.compact(snapshot)
-            self.acts.append(Save(self.term, self.vote, self.log.last + 1, (), snapshot))
-        return self._done()
+            self.actions.append(Save(self.term, self.voted_for, self.log.last_index + 1, (), snapshot))
+        return self._take_actions()
 
     # ---- requests
 
     def propose(
         self, now: float, data: bytes, client: int = 0, serial: int = 0,
     ) -> tuple[int | None, list[Action]]:  # fmt: skip
-        """The index that the command has if it is committed in this term; None if it is not taken."""
-        if self.role is not Role.LEADER or self.transferee is not None:
+        """The index of the command if it is committed in this term; None if it was not accepted."""
+        if self.role is not Role.LEADER or self.transfer_target is not None:
             return None, []
-        index = self._add(Entry(self.term, Kind.COMMAND, data, client, serial))
+        index = self._append_to_log(Entry(self.term, Kind.COMMAND, data, client, serial))
         self._replicate(now)
-        return index, self._done()
+        return index, self._take_actions()
 
-    def change(self, now: float, members: Members) -> tuple[str | None, list[Action]]:
-        """Other members; the reason if it is not taken. One voter at a time, as a learner first."""
-        reason = reason_against(self, members)
+    def change_members(self, now: float, members: Members) -> tuple[str | None, list[Action]]:
+        """Starts a membership change; returns the reason if it was rejected."""
+        reason = rejection_reason(self, members)
         if reason is None:
-            self._add(Entry(self.term, Kind.MEMBERS, encode_members(members)))
-            self._take_members(now)
+            self._append_to_log(Entry(self.term, Kind.MEMBERS, encode_members(members)))
+            self._refresh_members(now)
             self._replicate(now)
-        return reason, self._done()
+        return reason, self._take_actions()
 
-    def read(self, now: float, number: int) -> list[Action]:
-        """A linearizable read: Readable or Unreadable follows with its number."""
-        own = self.log.term(self.commit) == self.term
-        if self.role is not Role.LEADER or not own or self.reads.full:
-            self.acts.append(Unreadable(number))
+    def read(self, now: float, read_id: int) -> list[Action]:
+        """Starts a linearizable read. ReadReady or ReadFailed follows with its id."""
+        committed_own_term = self.log.term_at(self.commit_index) == self.term
+        if self.role is not Role.LEADER or not committed_own_term or self.pending_reads.full:
+            self.actions.append(ReadFailed(read_id))
         else:
-            self.reads.add(number, self.commit, self.turn + 1)
-            self._heartbeat(now)
-            self._answer_reads()
-        return self._done()
+            self.pending_reads.add(read_id, self.commit_index, self.heartbeat_round + 1)
+            self._send_heartbeats(now)
+            self._complete_reads()
+        return self._take_actions()
 
-    def transfer(self, now: float, to: int) -> str | None:
-        """Begins to hand leadership over; the reason if it cannot. The next tick goes on with it."""
+    def transfer_leadership(self, now: float, target: int) -> str | None:
+        """Starts a leadership transfer, which the next tick continues; returns the reason if it cannot."""
         if self.role is not Role.LEADER:
             return "not-the-leader"
-        if to not in self.members.voters or to == self.me:
+        if target not in self.members.voters or target == self.me:
             return "not-another-voter"
-        self.transferee, self.transfer_until = to, now + ELECTION
-        self.heartbeat_at = now
+        self.transfer_target, self.transfer_deadline = target, now + ELECTION_TIMEOUT_MS
+        self.next_heartbeat_at = now
         return None
--- a/caperdeck/raft/follower.py
+++ b/caperdeck/raft/follower.py
@@ -1,103 +1,140 @@
-"""The follower: entries and snapshots of the leader taken into its log."""
+"""The follower: takes the leader's entries and snapshots into its log."""
 
 from __future__ import annotations
 
 from .actions import Restore, Role, Save
 from .log import Entry, Snapshot
-from .messages import Append, Appended, Install, Installed
+from .messages import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    InstallSnapshotRequest,
+    InstallSnapshotResponse,
+)
 from .state import RaftState
 
 
 class IncomingSnapshot:
-    """A snapshot that comes in chunks."""
+    """A snapshot that is being received in chunks."""
 
     def __init__(self, index: int, term: int) -> None:
         self.index, self.term = index, term
         self.data = bytearray()
 
-    def is_that_of(self, m: Install) -> bool:
-        return (self.index, self.term) == (m.index, m.index_term)
+    def matches(self, message: InstallSnapshotRequest) -> bool:
+        return (self.index, self.term) == (message.last_included_index, message.last_included_term)
 
-    def take(self, m: Install) -> bool:
-        """Whether the chunk is the next one; it is kept then."""
-        if m.offset != len(self.data):
+    def append_chunk(self, message: InstallSnapshotRequest) -> bool:
+        """Keeps the chunk if it is the next one; returns whether it was."""
+        if message.offset != len(self.data):
             return False
-        self.data += m.data
+        self.data += message.data
         return True
 
 
-class Following(RaftState):
-    """What a follower does."""
+class Follower(RaftState):
+    """Handling of the leader's messages."""
 
     incoming: IncomingSnapshot | None = None
 
-    def _hear_leader(self, now: float, leader: int) -> None:
+    def _on_leader_contact(self, now: float, leader: int) -> None:
         if self.role is not Role.FOLLOWER or self.leader != leader:
-            self._follow(now, self.term, leader)
-        self.heard_at = now
-        self._await_leader(now)
+            self._become_follower(now, self.term, leader)
+        self.leader_heard_at = now
+        self._reset_election_timer(now)
 
     # ---- entries
 
-    def _append(self, now: float, m: Append) -> None:
-        self._hear_leader(now, m.sender)
-        first, entries = m.index, m.entries
-        if first < self.log.snapshot.index:
-            # what the snapshot covers is committed and alike at all
-            entries, first = entries[self.log.snapshot.index - first :], self.log.snapshot.index
-            if m.index + len(m.entries) < first:
-                self._send(m.sender, Appended(self.term, self.me, True, first, 0, m.turn))
+    def _on_append_entries_request(self, now: float, message: AppendEntriesRequest) -> None:
+        self._on_leader_contact(now, message.sender)
+        previous, entries = message.prev_log_index, message.entries
+        if previous < self.log.snapshot.index:
+            # Entries that the snapshot covers are committed, so they match the leader's.
+            entries, previous = entries[self.log.snapshot.index - previous :], self.log.snapshot.index
+            if message.prev_log_index + len(message.entries) < previous:
+                self._send(
+                    message.sender,
+                    AppendEntriesResponse(self.term, self.me, True, previous, 0, message.heartbeat_round),
+                )
                 return
-        elif self.log.term(first) != m.index_term:
-            at = self.log.may_agree_up_to(first, m.index_term)
-            self._send(m.sender, Appended(self.term, self.me, False, at, self.log.term(at) or 0, m.turn))
+        elif self.log.term_at(previous) != message.prev_log_term:
+            hint = self.log.conflict_hint(previous, message.prev_log_term)
+            self._send(
+                message.sender,
+                AppendEntriesResponse(
+                    self.term, self.me, False, hint, self.log.term_at(hint) or 0, message.heartbeat_round
+                ),
+            )
             return
-        self._take(now, first, entries)
-        confirmed = first + len(entries)
-        if min(m.commit, confirmed) > self.commit:
-            self._commit(now, min(m.commit, confirmed))
-        self._send(m.sender, Appended(self.term, self.me, True, confirmed, 0, m.turn))
-
-    def _take(self, now: float, first: int, entries: tuple[Entry, ...]) -> None:
-        """Adds what is new; what conflicts is cut, never what agrees."""
-        # Danger: a late message with fewer entries would cut off later ones that are confirmed already.
-        known = self.log.agreeing(first, entries)
+        self._append_entries(now, previous, entries)
+        confirmed = previous + len(entries)
+        if min(message.leader_commit, confirmed) > self.commit_index:
+            self._commit(now, min(message.leader_commit, confirmed))
+        self._send(
+            message.sender,
+            AppendEntriesResponse(self.term, self.me, True, confirmed, 0, message.heartbeat_round),
+        )
+
+    def _append_entries(self, now: float, previous: int, entries: tuple[Entry, ...]) -> None:
+        """Appends new entries. Truncates the log only from the first conflicting entry on.
+
+        Truncating at every message would let a delayed one with fewer entries remove later entries that are
+        confirmed already.
+        """
+        known = self.log.matching_prefix(previous, entries)
         if known == len(entries):
             return
-        index = first + known + 1
-        if index <= self.log.last:
-            assert index > self.commit, "a committed entry would be replaced"
-            self.log.cut(index)
-            self.durable = min(self.durable, index - 1)
+        index = previous + known + 1
+        if index <= self.log.last_index:
+            assert index > self.commit_index, "a committed entry would be replaced"
+            self.log.truncate_from(index)
+            self.durable_index = min(self.durable_index, index - 1)
         self.first_unsaved = min(self.first_unsaved, index)
         self.log.entries.extend(entries[known:])
         self.unsaved = True
-        self._take_members(now)
+        self._refresh_members(now)
 
     # ---- snapshots
 
-    def _install(self, now: float, m: Install) -> None:
-        self._hear_leader(now, m.sender)
-        if m.index <= self.commit:
-            self._send(m.sender, Installed(self.term, self.me, m.index, -1, m.turn))
+    def _on_install_snapshot_request(self, now: float, message: InstallSnapshotRequest) -> None:
+        self._on_leader_contact(now, message.sender)
+        if message.last_included_index <= self.commit_index:
+            self._send(
+                message.sender,
+                InstallSnapshotResponse(
+                    self.term, self.me, message.last_included_index, -1, message.heartbeat_round
+                ),
+            )
             return
-        if self.incoming is None or not self.incoming.is_that_of(m):
-            self.incoming = IncomingSnapshot(m.index, m.index_term)
-        taken, data = self.incoming.take(m), self.incoming.data
-        if not taken or not m.last:
-            self._send(m.sender, Installed(self.term, self.me, m.index, len(data), m.turn))
+        if self.incoming is None or not self.incoming.matches(message):
+            self.incoming = IncomingSnapshot(message.last_included_index, message.last_included_term)
+        taken, data = self.incoming.append_chunk(message), self.incoming.data
+        if not taken or not message.done:
+            self._send(
+                message.sender,
+                InstallSnapshotResponse(
+                    self.term, self.me, message.last_included_index, len(data), message.heartbeat_round
+                ),
+            )
             return
         self.incoming = None
-        self._restore(now, Snapshot(m.index, m.index_term, m.members, bytes(data)))
-        self._send(m.sender, Installed(self.term, self.me, m.index, -1, m.turn))
+        self._restore(
+            now,
+            Snapshot(message.last_included_index, message.last_included_term, message.members, bytes(data)),
+        )
+        self._send(
+            message.sender,
+            InstallSnapshotResponse(
+                self.term, self.me, message.last_included_index, -1, message.heartbeat_round
+            ),
+        )
 
     def _restore(self, now: float, snapshot: Snapshot) -> None:
-        """Puts it in place of what it covers, in the log and in the state machine."""
+        """Installs the snapshot in the log and in the state machine, in place of what it covers."""
         self.log.compact(snapshot)
-        self.commit = self.applied = snapshot.index
-        self._take_members(now)
+        self.commit_index = self.last_applied = snapshot.index
+        self._refresh_members(now)
         entries = tuple(self.log.entries)
-        self.acts.append(Save(self.term, self.vote, snapshot.index + 1, entries, snapshot))
-        self._all_saved()
-        self.durable = self.log.last
-        self.acts.append(Restore(snapshot))
+        self.actions.append(Save(self.term, self.voted_for, snapshot.index + 1, entries, snapshot))
+        self._mark_saved()
+        self.durable_index = self.log.last_index
+        self.actions.append(Restore(snapshot))
--- a/caperdeck/raft/log.py
+++ b/caperdeck/raft/log.py
@@ -1,4 +1,4 @@
-"""The replicated log: entries after a snapshot. Indices begin at 1; 0 is before everything."""
+"""The replicated log: a snapshot followed by entries. Indices begin at 1; 0 stands before the first entry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Kind(IntEnum):
-    NOTHING = 0  # a new leader's first entry
+    NO_OP = 0  # the first entry of a new leader
     COMMAND = 1
     MEMBERS = 2
 
@@ -17,12 +17,12 @@
     term: int
     kind: Kind
     data: bytes = b""
-    client: int = 0  # whose command it is, and its number there; 0 for none
-    serial: int = 0
+    client: int = 0  # id of the client session that proposed the command; 0 for none
+    serial: int = 0  # sequence number of the command in that session
 
 
 class Members(NamedTuple):
-    """Voters decide; learners are sent the log and do not."""
+    """The cluster's members. Voters form quorums; learners only receive the log."""
 
     voters: tuple[int, ...]
     learners: tuple[int, ...] = ()
@@ -36,12 +36,12 @@
         return len(self.voters) // 2 + 1
 
     def has_quorum(self, numbers: set[int]) -> bool:
-        """Whether these hold a quorum of the voters."""
+        """Whether `numbers` include a quorum of the voters."""
         return len(numbers.intersection(self.voters)) >= self.quorum
 
 
 class Snapshot(NamedTuple):
-    """The applied state up to an index, and the members as of then."""
+    """The state machine's state up to an index, and the members as of that index."""
 
     index: int
     term: int
@@ -55,77 +55,78 @@
         self.entries = list(entries or [])
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         return self.entries[-1].term if self.entries else self.snapshot.term
 
-    def term(self, index: int) -> int | None:
-        """The term of the entry there; None where it is not known, before the snapshot or past the end."""
+    def term_at(self, index: int) -> int | None:
+        """The term at an index; None before the snapshot and past the end, where it is not known."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        if self.snapshot.index < index <= self.last:
+        if self.snapshot.index < index <= self.last_index:
             return self.entries[index - self.snapshot.index - 1].term
         return None
 
-    def entry(self, index: int) -> Entry:
+    def entry_at(self, index: int) -> Entry:
         return self.entries[index - self.snapshot.index - 1]
 
-    def after(self, index: int, most: int) -> list[Entry]:
-        """At most so many entries past that index, which is not before the snapshot."""
-        at = index - self.snapshot.index
-        return self.entries[at : at + most]
+    def entries_after(self, index: int, limit: int) -> list[Entry]:
+        """Up to `limit` entries after an index, which must not be before the snapshot."""
+        start = index - self.snapshot.index
+        return self.entries[start : start + limit]
 
-    def cut(self, index: int) -> None:
-        """Drops that entry and all after it."""
+    def truncate_from(self, index: int) -> None:
+        """Removes the entry at an index and all after it."""
         del self.entries[index - self.snapshot.index - 1 :]
 
-    def put(self, first: int, entries: Sequence[Entry]) -> None:
-        """Entries from that index on, in place of what stands there; nothing where there are none."""
+    def replace_from(self, first: int, entries: Sequence[Entry]) -> None:
+        """Replaces the log from index `first` on by `entries`; does nothing if there are none."""
         if entries:
-            if first <= self.last:
-                self.cut(first)
+            if first <= self.last_index:
+                self.truncate_from(first)
             self.entries.extend(entries)
 
-    def first_of(self, term: int, before: int) -> int:
-        """The first index known with that term, going back from an index that has it."""
-        while before - 1 > self.snapshot.index and self.term(before - 1) == term:
-            before -= 1
-        return before
-
-    def last_up_to(self, term: int, before: int) -> int:
-        """The last index up to `before` whose term is at most that one."""
-        while before > self.snapshot.index and (self.term(before) or 0) > term:
-            before -= 1
-        return before
-
-    def may_agree_up_to(self, index: int, term: int) -> int:
-        """Where a log may agree with this one that has an entry of that term at an index, where this one has
-        another or none; not before the snapshot.
+    def first_index_of_term(self, term: int, index: int) -> int:
+        """The first known index of a term, searched backwards from an index that has this term."""
+        while index - 1 > self.snapshot.index and self.term_at(index - 1) == term:
+            index -= 1
+        return index
+
+    def last_index_up_to_term(self, term: int, index: int) -> int:
+        """The last index, at or before `index`, whose term is at most `term`."""
+        while index > self.snapshot.index and (self.term_at(index) or 0) > term:
+            index -= 1
+        return index
+
+    def conflict_hint(self, index: int, term: int) -> int:
+        """The last index at which this log can match one that has `term` at `index`.
+
+        This log has another term there, or no entry. The result is not before the snapshot.
         """
-        at = max(self.last_up_to(term, min(index, self.last)), self.snapshot.index)
-        if at == index:
-            at = max(self.first_of(self.term(index) or 0, index) - 1, self.snapshot.index)
-        return at
+        hint = max(self.last_index_up_to_term(term, min(index, self.last_index)), self.snapshot.index)
+        if hint == index:
+            hint = max(self.first_index_of_term(self.term_at(index) or 0, index) - 1, self.snapshot.index)
+        return hint
 
-    def agreeing(self, index: int, entries: Sequence[Entry]) -> int:
-        """How many of these, which follow that index, stand here already, up to the first that does not."""
+    def matching_prefix(self, index: int, entries: Sequence[Entry]) -> int:
+        """How many of the entries that follow `index` are in this log, up to the first that is not."""
         for k, entry in enumerate(entries):
-            if self.term(index + k + 1) != entry.term:
+            if self.term_at(index + k + 1) != entry.term:
                 return k
         return len(entries)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Puts the snapshot in place of what it covers; entries past it stay if they follow on from it."""
-        if self.term(snapshot.index) == snapshot.term:
+        """Replaces what the snapshot covers; later entries stay if the log has the snapshot's last entry."""
+        if self.term_at(snapshot.index) == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
         else:
             self.entries = []
         self.snapshot = snapshot
 
-    def members(self) -> tuple[Members, int]:
+    def latest_members(self) -> tuple[Members, int]:
         """The latest members, committed or not, and the index of their entry."""
         for i in range(len(self.entries) - 1, -1, -1):
             if self.entries[i].kind is Kind.MEMBERS:
--- a/caperdeck/raft/messages.py
+++ b/caperdeck/raft/messages.py
@@ -1,4 +1,7 @@
-"""What instances of Raft say to each other. `term` is the sender's, `sender` its number."""
+"""Raft RPCs between instances. `term` is the sender's term and `sender` its number.
+
+The order of the fields is part of the wire format (see `codec`).
+"""
 
 from __future__ import annotations
 
@@ -7,78 +10,80 @@
 from .log import Entry, Members
 
 
-class Ask(NamedTuple):
-    """RequestVote, or a pre-vote: would you vote for me in this term?"""
+class VoteRequest(NamedTuple):
+    """RequestVote, or a pre-vote, which asks whether the receiver would vote in that term."""
 
     term: int
     sender: int
-    last: int
-    last_term: int
-    before: bool  # a pre-vote: nobody's term or vote changes
-    transfer: bool = False  # the leader hands over: its followers vote too
-
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool  # no term and no vote changes
+    leadership_transfer: bool = False  # sent at the leader's request, so its followers vote as well
 
-class Voted(NamedTuple):
-    """The answer to `Ask`."""
 
+class VoteResponse(NamedTuple):
     term: int
     sender: int
     granted: bool
-    before: bool
+    pre_vote: bool
 
 
-class Append(NamedTuple):
-    """AppendEntries; without entries a heartbeat."""
+class AppendEntriesRequest(NamedTuple):
+    """AppendEntries; a heartbeat if it has no entries."""
 
     term: int
     sender: int
-    index: int  # of the entry before these
-    index_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    commit: int
-    turn: int  # the leader's count of its rounds, echoed
+    leader_commit: int
+    heartbeat_round: int  # the leader's count of its heartbeat rounds; the response echoes it
 
 
-class Appended(NamedTuple):
-    """The answer to `Append`."""
-
+class AppendEntriesResponse(NamedTuple):
     term: int
     sender: int
-    ok: bool
-    index: int  # confirmed up to here; if not ok, where to go on from
-    index_term: int
-    turn: int
+    success: bool
+    index: int  # the match index; after a failure, the index from which the leader should retry
+    index_term: int  # after a failure, the follower's term at `index`
+    heartbeat_round: int
 
 
-class Install(NamedTuple):
-    """InstallSnapshot: one chunk of it."""
+class InstallSnapshotRequest(NamedTuple):
+    """InstallSnapshot: one chunk of the snapshot."""
 
     term: int
     sender: int
-    index: int
-    index_term: int
+    last_included_index: int
+    last_included_term: int
     members: Members
     offset: int
     data: bytes
-    last: bool
-    turn: int
-
+    done: bool  # this is the last chunk
+    heartbeat_round: int
 
-class Installed(NamedTuple):
-    """The answer to `Install`."""
 
+class InstallSnapshotResponse(NamedTuple):
     term: int
     sender: int
-    index: int
-    offset: int  # wanted next; -1 once the snapshot is in
-    turn: int
+    last_included_index: int
+    offset: int  # the next byte that is wanted; -1 once the snapshot is installed
+    heartbeat_round: int
 
 
-class TakeOver(NamedTuple):
-    """TimeoutNow: stand for election at once."""
+class TimeoutNow(NamedTuple):
+    """Asks the receiver to start an election at once (leadership transfer)."""
 
     term: int
     sender: int
 
 
-Message = Ask | Voted | Append | Appended | Install | Installed | TakeOver
+Message = (
+    VoteRequest
+    | VoteResponse
+    | AppendEntriesRequest
+    | AppendEntriesResponse
+    | InstallSnapshotRequest
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
--- a/caperdeck/raft/progress.py
+++ b/caperdeck/raft/progress.py
@@ -1,41 +1,48 @@
-"""How far another member's log follows the leader's."""
+"""The leader's view of how far another member's log has caught up."""
 
 from __future__ import annotations
 
-MOST_WINDOW = 256  # entries sent ahead of what a follower has confirmed
+MAX_IN_FLIGHT_ENTRIES = 256  # entries sent beyond the match index
 
 
 class Progress:
-    """What a leader keeps of another member."""
-
-    __slots__ = ("match", "next", "heard_at", "turn", "offset", "sent")
-
-    def __init__(self, following: int, now: float) -> None:
-        self.match, self.next = 0, following
-        self.heard_at = now
-        self.turn = 0  # the highest that it has echoed
-        self.offset: int | None = None  # in a snapshot that is under way
-        self.sent = 0  # the highest index sent to it
-
-    def hear(self, now: float, turn: int) -> None:
-        self.heard_at, self.turn = now, max(self.turn, turn)
+    """Replication state that a leader keeps for one other member."""
+
+    __slots__ = (
+        "match_index",
+        "next_index",
+        "last_heard_at",
+        "echoed_round",
+        "snapshot_offset",
+        "sent_index",
+    )
+
+    def __init__(self, next_index: int, now: float) -> None:
+        self.match_index, self.next_index = 0, next_index
+        self.last_heard_at = now
+        self.echoed_round = 0  # the highest heartbeat round that the member has echoed
+        self.snapshot_offset: int | None = None  # next byte of a snapshot that is being transferred
+        self.sent_index = 0  # the highest index sent
+
+    def record_contact(self, now: float, heartbeat_round: int) -> None:
+        self.last_heard_at, self.echoed_round = now, max(self.echoed_round, heartbeat_round)
 
     def confirm(self, index: int) -> None:
-        """Its log is the leader's up to there."""
-        self.match, self.next = max(self.match, index), max(self.next, index + 1)
+        """The member's log matches the leader's up to `index`."""
+        self.match_index, self.next_index = max(self.match_index, index), max(self.next_index, index + 1)
 
-    def go_back(self, index: int) -> None:
-        """Its log may be the leader's up to there, and was not where it was taken to be."""
-        self.next = max(index, self.match) + 1
-        self.sent = self.match
+    def back_off_to(self, index: int) -> None:
+        """A consistency check failed; the logs can match up to `index` at the most."""
+        self.next_index = max(index, self.match_index) + 1
+        self.sent_index = self.match_index
 
     def forget_unconfirmed(self) -> None:
-        """What was sent and not confirmed may be lost."""
-        self.sent = min(self.sent, self.match)
-
-    def send_after(self, last: int) -> int:
-        """The index after which it is sent entries of a log that ends with `last`."""
-        ahead = max(self.next - 1, self.sent)
-        if ahead - self.match > MOST_WINDOW or ahead > last:
-            return self.next - 1
+        """Entries that were sent and not confirmed may be lost, so they are sent again."""
+        self.sent_index = min(self.sent_index, self.match_index)
+
+    def send_after(self, last_index: int) -> int:
+        """The index after which entries are sent next, from a log that ends at `last_index`."""
+        ahead = max(self.next_index - 1, self.sent_index)
+        if ahead - self.match_index > MAX_IN_FLIGHT_ENTRIES or ahead > last_index:
+            return self.next_index - 1
         return ahead
--- a/caperdeck/raft/read_index.py
+++ b/caperdeck/raft/read_index.py
@@ -1,45 +1,45 @@
-"""Linearizable reads without entries in the log (dissertation, 6.4, ReadIndex)."""
+"""Linearizable reads without log entries: ReadIndex (dissertation, 6.4)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-MOST_READS = 256  # that wait at once
+MAX_PENDING_READS = 256
 
 
 class PendingRead(NamedTuple):
-    number: int
-    index: int  # that has to be applied
-    turn: int  # of the leader's rounds, that a quorum has to echo
+    read_id: int
+    index: int  # must be applied before the read is answered
+    heartbeat_round: int  # must be echoed by a quorum before the read is answered
 
 
 class ReadIndex:
-    """The reads of a leader that wait until it is known to have led after they came."""
+    """Reads at the leader that wait until a quorum confirms that it still led after they arrived."""
 
     def __init__(self) -> None:
         self.pending: list[PendingRead] = []
 
     @property
     def full(self) -> bool:
-        return len(self.pending) >= MOST_READS
+        return len(self.pending) >= MAX_PENDING_READS
 
-    def add(self, number: int, index: int, turn: int) -> None:
-        self.pending.append(PendingRead(number, index, turn))
+    def add(self, read_id: int, index: int, heartbeat_round: int) -> None:
+        self.pending.append(PendingRead(read_id, index, heartbeat_round))
 
-    def take_confirmed(self, applied: int, quorum_echoed: Callable[[int], bool]) -> list[int]:
-        """The numbers of those that may be answered now, in the order in which they came."""
-        confirmed, left = [], []
+    def pop_confirmed(self, last_applied: int, quorum_echoed: Callable[[int], bool]) -> list[int]:
+        """Removes the reads that may be answered now; returns their ids in order of arrival."""
+        confirmed, remaining = [], []
         for read in self.pending:
-            if quorum_echoed(read.turn) and applied >= read.index:
-                confirmed.append(read.number)
+            if quorum_echoed(read.heartbeat_round) and last_applied >= read.index:
+                confirmed.append(read.read_id)
             else:
-                left.append(read)
-        self.pending = left
+                remaining.append(read)
+        self.pending = remaining
         return confirmed
 
-    def take_all(self) -> list[int]:
-        """The numbers of all that wait; none does after that."""
-        numbers = [read.number for read in self.pending]
+    def pop_all(self) -> list[int]:
+        """Removes all pending reads; returns their ids."""
+        read_ids = [read.read_id for read in self.pending]
         self.pending = []
-        return numbers
+        return read_ids
--- a/caperdeck/raft/sessions.py
+++ b/caperdeck/raft/sessions.py
@@ -1,4 +1,4 @@
-"""Client sessions over a state machine: a command proposed again is applied once (dissertation, 6.3)."""
+"""Client sessions over a state machine: a retried command is applied once (dissertation, 6.3)."""
 
 from __future__ import annotations
 
@@ -8,11 +8,15 @@
 
 from .log import Entry, Kind
 
-MOST_CLIENTS = 1024  # the one that was silent longest is forgotten, at every instance alike
+MAX_CLIENTS = 1024  # past this, every instance forgets the client that was silent for longest
 
 
 class Machine(Protocol):
-    """What is replicated: alike at every instance after the same commands; no clock, no chance."""
+    """A replicated state machine.
+
+    It must be deterministic: after the same commands it is equal at every instance, so it uses neither a
+    clock nor random numbers.
+    """
 
     def apply(self, command: Any) -> Any: ...
 
@@ -22,33 +26,34 @@
 
 
 class Sessions:
-    """Commands and results are JSON values."""
+    """Applies entries to a state machine. Commands and results are JSON values."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
-        self.done: dict[int, tuple[int, Any]] = {}  # by client, the longest silent first: serial, result
+        # By client, the one that was silent for longest first: its last serial and the result.
+        self.last_results: dict[int, tuple[int, Any]] = {}
 
     def apply(self, entry: Entry) -> Any:
-        """The command's result; of one that was applied before, what it came to then."""
+        """The result of the command; of one that was applied before, the result that it had then."""
         if entry.kind is not Kind.COMMAND:
             return None
-        last = self.done.pop(entry.client, None) if entry.client else None
+        last = self.last_results.pop(entry.client, None) if entry.client else None
         if last is not None and entry.serial <= last[0]:
-            self.done[entry.client] = last
-            # Danger: an older number than the last; applied now it would undo what followed.
+            self.last_results[entry.client] = last
+            # A command older than the client's last one must not be applied: it would undo what followed.
             return last[1] if entry.serial == last[0] else None
         result = self.machine.apply(orjson.loads(entry.data))
         if entry.client:
-            if len(self.done) >= MOST_CLIENTS:
-                del self.done[next(iter(self.done))]
-            self.done[entry.client] = entry.serial, result
+            if len(self.last_results) >= MAX_CLIENTS:
+                del self.last_results[next(iter(self.last_results))]
+            self.last_results[entry.client] = entry.serial, result
         return result
 
     def dump(self) -> bytes:
-        clients = [[client, serial, result] for client, (serial, result) in self.done.items()]
+        clients = [[client, serial, result] for client, (serial, result) in self.last_results.items()]
         return orjson.dumps({"clients": clients, "state": self.machine.dump()})
 
     def load(self, data: bytes) -> None:
-        whole = orjson.loads(data) if data else {"clients": [], "state": None}
-        self.done = {client: (serial, result) for client, serial, result in whole["clients"]}
-        self.machine.load(whole["state"])
+        content = orjson.loads(data) if data else {"clients": [], "state": None}
+        self.last_results = {client: (serial, result) for client, serial, result in content["clients"]}
+        self.machine.load(content["state"])
--- a/caperdeck/raft/transport.py
+++ b/caperdeck/raft/transport.py
@@ -1,8 +1,9 @@
-"""Frames between instances on sockets, and calls with an answer: one port for both.
+"""Messages and calls between instances over TCP: one port for both.
 
-A frame is four bytes of length and a JSON value (codec.py). An instance opens one connection to each other
-one, for what it sends; what comes in on others' connections is read. Nothing waits: what cannot go out now is
-dropped, as the protocol bears that, and a call that gets no answer in time has None for one.
+A frame is four bytes of length and a JSON value (see `codec`). Each instance opens one connection to each
+other instance and sends on it; it reads on connections that others open. Nothing blocks: a message that
+cannot be sent now is dropped, which the protocol tolerates, and a call that is not answered in time is
+answered None.
 """
 
 from __future__ import annotations
@@ -18,240 +19,259 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort
 
-from .codec import LONGEST, FrameError, encode, frame, message_of, unwrap
+from .codec import MAX_FRAME_BYTES, FrameError, decode_frame, decode_message, encode, encode_frame
 from .messages import Message
 
-BACKLOG = 256  # many nodes may come at once
-MOST_CONNECTIONS = 96  # that others opened
-MOST_CALLS = 256  # of one connection that wait for their answers
-CONNECT = 1.0  # seconds
-VANISHED = 5000  # milliseconds that written bytes may go unconfirmed
-AGAIN = (0.1, 0.3)  # seconds until the next try, drawn
-ANSWER = 1.0  # seconds that a call waits
+ACCEPT_BACKLOG = 256  # many nodes may connect at once
+MAX_INBOUND_CONNECTIONS = 96
+MAX_PENDING_CALLS = 256  # per connection
+CONNECT_TIMEOUT_S = 1.0
+TCP_USER_TIMEOUT_MS = 5000  # how long written bytes may stay unacknowledged
+RECONNECT_DELAY_S = (0.1, 0.3)  # the delay is drawn from this range
+CALL_TIMEOUT_S = 1.0
 CALL, REPLY = "call", "reply"
 
-Then = Callable[[Any], None]
+AnswerCallback = Callable[[Any], None]  # takes the answer of a call; None if there is none
 
 
-class Taker(Protocol):
-    """Who has taken over a connection that others opened, from the first frame of its kind on."""
+class FrameHandler(Protocol):
+    """Takes over an inbound connection, from the first frame of its kind on."""
 
     def frame(self, name: Any, fields: Any, size: int) -> None:
-        """Raises FrameError: the connection ends."""
+        """Handles one frame. If it raises FrameError the connection is closed."""
 
     def lost(self) -> None:
-        """The connection has ended, whoever ended it."""
+        """The connection has ended, whichever side closed it."""
 
 
-class Frames(Int32StringReceiver):
-    """Either side of a connection. What is no frame of this cluster is counted and ends the connection."""
+class FrameConnection(Int32StringReceiver):
+    """Either side of a connection. An invalid frame is counted and closes the connection."""
 
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, net: Net, link: Link | None = None) -> None:
-        self.net, self.link = net, link
-        self.full = False  # more waits to go out than should
-        self.taker: Taker | None = None
+    def __init__(self, network: Network, link: Link | None = None) -> None:
+        self.network, self.link = network, link
+        self.paused = False  # the send buffer is full
+        self.handler: FrameHandler | None = None
         self.aborted = False
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        # Danger: bytes for a machine that has vanished would hold its link for a quarter of an hour.
-        self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, VANISHED)
+        # Without this, unsent bytes keep the connection to a lost machine open for a quarter of an hour.
+        self.transport.getHandle().setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+        )
         self.transport.registerProducer(self, True)
         if self.link is not None:
-            self.link.up(self)
+            self.link.connected(self)
         else:
-            self.net.open[self] = None
+            self.network.inbound[self] = None
 
     def pauseProducing(self) -> None:
-        self.full = True
+        self.paused = True
 
     def resumeProducing(self) -> None:
-        self.full = False
+        self.paused = False
 
     def stopProducing(self) -> None:
         self.transport.unregisterProducer()
 
-    def put(self, data: bytes) -> bool:
-        # Danger: what is kept for one that sleeps grows without end, and is old when it is read.
-        if self.full or not self.connected or len(data) > LONGEST:
+    def send_frame(self, data: bytes) -> bool:
+        """Whether the frame was written.
+
+        A buffer for a suspended peer would grow without bound, and be out of date when it is read.
+        """
+        if self.paused or not self.connected or len(data) > MAX_FRAME_BYTES:
             return False
         self.sendString(data)
         return True
 
     def stringReceived(self, data: bytes) -> None:
         if self.aborted:
-            return  # it came in one piece with what was no frame
+            return  # arrived in the same read as the frame that caused the abort
         try:
-            name, fields = unwrap(data, self.net.cluster)
-            if self.taker is None and self.link is None:
-                self.taker = self.net.taken(self, name)
-            if self.taker is not None:
-                self.taker.frame(name, fields, len(data))
+            name, fields = decode_frame(data, self.network.cluster)
+            if self.handler is None and self.link is None:
+                self.handler = self.network.handler_for(self, name)
+            if self.handler is not None:
+                self.handler.frame(name, fields, len(data))
             else:
-                self.net.came(self, name, fields)
+                self.network.frame_received(self, name, fields)
         except FrameError as error:
-            self.net.drop(str(error))
+            self.network.count_drop(str(error))
             self.abort()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.net.drop("too-long")
+        self.network.count_drop("too-long")
         self.abort()
 
     def abort(self) -> None:
-        """Ends it at once; nothing more of it is taken."""
+        """Closes the connection at once; frames that were already received are ignored."""
         self.aborted = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any) -> None:
-        if self.taker is not None:
-            self.taker.lost()
+        if self.handler is not None:
+            self.handler.lost()
         if self.link is not None:
-            self.link.down()
-        self.net.open.pop(self, None)
+            self.link.disconnected()
+        self.network.inbound.pop(self, None)
 
 
 class Link(ClientFactory):
-    """The connection to one other instance; there again a while after it went."""
+    """The outbound connection to one other instance. After a loss it is reopened on demand, with a delay."""
 
     noisy = False
 
-    def __init__(self, net: Net, address: Address) -> None:
-        self.net, self.address = net, address
-        self.conn: Frames | None = None
-        self.trying = False
-        self.timer: Any = None
-        self.calls: dict[int, tuple[Then, Any]] = {}  # by number: who waits, and the timer
-
-    def put(self, data: bytes) -> bool:
-        if self.conn is not None:
-            return self.conn.put(data)
-        if not self.trying and self.timer is None and not self.net.closed:
-            self.trying = True
-            self.net.reactor.connectTCP(*self.address, self, CONNECT)
+    def __init__(self, network: Network, address: Address) -> None:
+        self.network, self.address = network, address
+        self.connection: FrameConnection | None = None
+        self.connecting = False
+        self.reconnect_timer: Any = None
+        self.pending_calls: dict[int, tuple[AnswerCallback, Any]] = {}  # by number: callback and timer
+
+    def send_frame(self, data: bytes) -> bool:
+        """Whether the frame was written; connects if there is no connection."""
+        if self.connection is not None:
+            return self.connection.send_frame(data)
+        if not self.connecting and self.reconnect_timer is None and not self.network.closed:
+            self.connecting = True
+            self.network.reactor.connectTCP(*self.address, self, CONNECT_TIMEOUT_S)
         return False
 
-    def buildProtocol(self, addr: Any) -> Frames:
-        return Frames(self.net, self)
+    def buildProtocol(self, addr: Any) -> FrameConnection:
+        return FrameConnection(self.network, self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.down()
-
-    def up(self, conn: Frames) -> None:
-        self.trying, self.conn = False, conn
-
-    def down(self) -> None:
-        self.trying, self.conn = False, None
-        for number in list(self.calls):
-            self.answered(number, None)
-        if self.timer is None and not self.net.closed:
-            low, high = AGAIN
-            wait = low + (high - low) * self.net.chance()
-            self.timer = self.net.reactor.callLater(wait, self._rested)
-
-    def _rested(self) -> None:
-        self.timer = None
-
-    def ask(self, body: Any, then: Then) -> None:
-        number = self.net.number()
-        if len(self.calls) >= MOST_CALLS or not self.put(frame(self.net.cluster, CALL, [number, body])):
-            then(None)
+        self.disconnected()
+
+    def connected(self, connection: FrameConnection) -> None:
+        self.connecting, self.connection = False, connection
+
+    def disconnected(self) -> None:
+        self.connecting, self.connection = False, None
+        for number in list(self.pending_calls):
+            self.complete_call(number, None)
+        if self.reconnect_timer is None and not self.network.closed:
+            shortest, longest = RECONNECT_DELAY_S
+            delay = shortest + (longest - shortest) * self.network.chance()
+            self.reconnect_timer = self.network.reactor.callLater(delay, self._allow_reconnect)
+
+    def _allow_reconnect(self) -> None:
+        self.reconnect_timer = None
+
+    def call(self, body: Any, callback: AnswerCallback) -> None:
+        number = self.network.next_call_number()
+        if len(self.pending_calls) >= MAX_PENDING_CALLS or not self.send_frame(
+            encode_frame(self.network.cluster, CALL, [number, body])
+        ):
+            callback(None)
             return
-        timer = self.net.reactor.callLater(ANSWER, self.answered, number, None)
-        self.calls[number] = then, timer
+        timer = self.network.reactor.callLater(CALL_TIMEOUT_S, self.complete_call, number, None)
+        self.pending_calls[number] = callback, timer
 
-    def answered(self, number: int, value: Any) -> None:
-        then, timer = self.calls.pop(number, (None, None))
+    def complete_call(self, number: int, value: Any) -> None:
+        callback, timer = self.pending_calls.pop(number, (None, None))
         cancel(timer)
-        if then is not None:
-            then(value)
+        if callback is not None:
+            callback(value)
 
     def close(self) -> None:
-        cancel(self.timer)
-        if self.conn is not None:
-            self.conn.transport.abortConnection()
+        cancel(self.reconnect_timer)
+        if self.connection is not None:
+            self.connection.transport.abortConnection()
+
 
+class Network(ServerFactory):
+    """All connections of one instance.
 
-class Net(ServerFactory):
-    """All connections of one instance. `receive` takes a message, `call` a call and who takes its answer."""
+    `on_message` takes a Raft message; `on_call` takes the body of a call and a callback for its answer.
+    """
 
     noisy = False
 
     def __init__(
         self, reactor: Any, cluster: str, me: int, addresses: dict[int, Address],
-        receive: Callable[[Message], None], call: Callable[[Any, Then], None], chance: Callable[[], float],
+        on_message: Callable[[Message], None], on_call: Callable[[Any, AnswerCallback], None],
+        chance: Callable[[], float],
     ) -> None:  # fmt: skip
         self.reactor, self.cluster, self.me = reactor, cluster, me
-        self.receive, self.call, self.chance = receive, call, chance
-        self.links = {i: Link(self, a) for i, a in addresses.items() if i != me}
-        self.open: dict[Frames, None] = {}
-        self.takers: dict[str, Callable[[Frames], Taker]] = {}  # by kind of frame
-        self.dropped: dict[str, int] = {}
-        self.calls = 0
+        self.on_message, self.on_call, self.chance = on_message, on_call, chance
+        self.links = {i: Link(self, address) for i, address in addresses.items() if i != me}
+        self.inbound: dict[FrameConnection, None] = {}
+        # By the name of a connection's first frame: what takes the connection over.
+        self.handlers: dict[str, Callable[[FrameConnection], FrameHandler]] = {}
+        self.dropped: dict[str, int] = {}  # by reason
+        self.last_call_number = 0
         self.closed = False
         self.port: Any = None
 
     def listen(self, address: Address) -> None:
-        self.port = BoundedPort(address.port, self, BACKLOG, address.host, self.reactor)
+        self.port = BoundedPort(address.port, self, ACCEPT_BACKLOG, address.host, self.reactor)
         self.port.startListening()
 
     @property
     def acceptable(self) -> int:
-        return max(MOST_CONNECTIONS - len(self.open), 1)
+        """How many connections may be accepted now."""
+        return max(MAX_INBOUND_CONNECTIONS - len(self.inbound), 1)
 
-    def buildProtocol(self, addr: Any) -> Frames | None:
-        if len(self.open) >= MOST_CONNECTIONS:
-            self.drop("too-many-connections")
+    def buildProtocol(self, addr: Any) -> FrameConnection | None:
+        if len(self.inbound) >= MAX_INBOUND_CONNECTIONS:
+            self.count_drop("too-many-connections")
             return None
-        return Frames(self)
+        return FrameConnection(self)
 
-    def number(self) -> int:
-        self.calls += 1
-        return self.calls
+    def next_call_number(self) -> int:
+        self.last_call_number += 1
+        return self.last_call_number
 
-    def drop(self, reason: str) -> None:
+    def count_drop(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     def send(self, to: int, message: Message) -> None:
+        """Sends a message, or drops it if it cannot be written now."""
         link = self.links.get(to)
-        if link is None or not link.put(encode(message, self.cluster)):
-            self.drop("unsent")
+        if link is None or not link.send_frame(encode(message, self.cluster)):
+            self.count_drop("unsent")
 
-    def ask(self, to: int, body: Any, then: Then) -> None:
+    def call(self, to: int, body: Any, callback: AnswerCallback) -> None:
+        """Calls another instance; the answer is None if there is none within CALL_TIMEOUT_S."""
         link = self.links.get(to)
         if link is None:
-            then(None)
+            callback(None)
         else:
-            link.ask(body, then)
+            link.call(body, callback)
 
-    def taken(self, conn: Frames, name: Any) -> Taker | None:
-        """Who takes that connection over from now on, if anybody; raises FrameError."""
-        take = self.takers.get(name) if isinstance(name, str) and not self.closed else None
-        if take is None:
+    def handler_for(self, connection: FrameConnection, name: Any) -> FrameHandler | None:
+        """Hands the connection to the handler for frames of that name, if any. Raises FrameError."""
+        accept = self.handlers.get(name) if isinstance(name, str) and not self.closed else None
+        if accept is None:
             return None
-        taker = take(conn)
-        del self.open[conn]
-        return taker
+        handler = accept(connection)
+        del self.inbound[connection]
+        return handler
 
-    def came(self, conn: Frames, name: Any, fields: Any) -> None:
-        """Raises FrameError."""
+    def frame_received(self, connection: FrameConnection, name: Any, fields: Any) -> None:
+        """Handles a message, a call or a reply. Raises FrameError."""
         if self.closed:
             return
         if name not in (CALL, REPLY):
-            message = message_of(name, fields, self.me)
+            message = decode_message(name, fields, self.me)
             if message.sender not in self.links:
                 raise FrameError("unknown-instance")
-            self.receive(message)
+            self.on_message(message)
             return
         if not isinstance(fields, list) or len(fields) != 2 or not isinstance(fields[0], int):
             raise FrameError("wrong-fields")
         number, value = fields
         if name == REPLY:
-            if conn.link is not None:
-                conn.link.answered(number, value)
+            if connection.link is not None:
+                connection.link.complete_call(number, value)
         else:
-            self.call(value, lambda answer: conn.put(frame(self.cluster, REPLY, [number, answer])))
+            self.on_call(
+                value,
+                lambda answer: connection.send_frame(encode_frame(self.cluster, REPLY, [number, answer])),
+            )
 
     def close(self) -> None:
         self.closed = True
@@ -259,5 +279,5 @@
             self.port.stopListening()
         for link in self.links.values():
             link.close()
-        for conn in list(self.open):
-            conn.transport.abortConnection()
+        for connection in list(self.inbound):
+            connection.transport.abortConnection()
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -26,7 +26,7 @@
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.published import Published
 from caperdeck.lifecycle.service import Service
-from caperdeck.raft.codec import unwrap
+from caperdeck.raft.codec import decode_frame
 from caperdeck.state.addresses import Address
 
 
@@ -92,7 +92,7 @@
 
     def receive(self, frame, write):
         """The frame of a node without its length, and what writes to that node."""
-        message = message_from_node(*unwrap(frame, "t"), len(frame))
+        message = message_from_node(*decode_frame(frame, "t"), len(frame))
         self.heard.append(message)
         if isinstance(message, Subscribe):
             self.send_to[message.node] = write
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -27,7 +27,7 @@
 from caperdeck.owner.commands import ask
 from caperdeck.owner.config import load_owners
 from caperdeck.owner.process import steady
-from caperdeck.raft.codec import frame
+from caperdeck.raft.codec import encode_frame
 
 ROOT = Path(__file__).parents[1]
 VERSION = {"discovery": CONFIG["discovery"], "settings": {"listeners": CONFIG["settings"]["listeners"]}}
@@ -328,7 +328,7 @@
     (encode(Subscribe("x", "a", "b", 1, 0, "0" * 32, False), "other"), "other-cluster"),
     (encode(Acknowledge("x", 1, 2, 0, "0" * 32, False), "t"), "no-subscription"),
     (encode(Subscribe("x", "a", "b", 1, 0, "0" * 32, False), "t") + b"\x00\x00\xff\xff", "too-long"),
-    ((9000).to_bytes(4, "big") + frame("t", "watch", {"a": "x" * 9000})[:9000], "no-json"),
+    ((9000).to_bytes(4, "big") + encode_frame("t", "watch", {"a": "x" * 9000})[:9000], "no-json"),
 ])  # fmt: skip
 def test_a_damaged_foreign_or_oversized_frame_is_counted_and_ends_the_connection(instances, data, reason):
     def dropped():
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -19,12 +19,12 @@
 from caperdeck.distribution.watch_server import MOST_UNSENT, TURNED_AWAY, Watches
 from caperdeck.owner.replicated_state import Agreed, for_versions
 from caperdeck.owner.config import Owners
-from caperdeck.raft.codec import LONGEST, frame
+from caperdeck.raft.codec import MAX_FRAME_BYTES, encode_frame
 from caperdeck.raft.codec import encode as encode_raft
-from caperdeck.raft.core import Append
+from caperdeck.raft.core import AppendEntriesRequest
 from caperdeck.raft.log import Entry, Kind
 from caperdeck.raft.sessions import Sessions
-from caperdeck.raft.transport import Net
+from caperdeck.raft.transport import Network
 from caperdeck.state.addresses import Address
 
 EMPTY = digest({})
@@ -68,8 +68,8 @@
 
 def test_the_largest_changes_fit_into_a_frame_between_instances_and_larger_ones_are_refused():
     command = orjson.dumps(for_versions({"changes": "x" * LARGEST_CHANGES}))
-    append = Append(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
-    assert len(encode_raft(append, "c" * 64)) < LONGEST
+    append = AppendEntriesRequest(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
+    assert len(encode_raft(append, "c" * 64)) < MAX_FRAME_BYTES
     versions, key = Versions(), "k" * 2000
     publish(versions, {key: {"x": 0}})
     first = versions.newest
@@ -92,10 +92,12 @@
         publish(self.versions, {"a": 1})
         self.publisher = Publisher("o0", self.versions, 0.0)
         addresses = {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}
-        self.net = Net(MemoryReactorClock(), "t", 0, addresses, lambda m: None, lambda b, then: then("yes"),
-                       lambda: 0.5)  # fmt: skip
-        self.watches = Watches(self.publisher, "t", lambda: self.now, self.net.drop, most)
-        self.net.takers["watch"] = self.watches.take
+        self.net = Network(
+            MemoryReactorClock(), "t", 0, addresses, lambda message: None,
+            lambda body, callback: callback("yes"), lambda: 0.5,
+        )  # fmt: skip
+        self.watches = Watches(self.publisher, "t", lambda: self.now, self.net.count_drop, most)
+        self.net.handlers["watch"] = self.watches.take
 
     def open(self):
         conn, wire = self.net.buildProtocol(None), Wire()
@@ -148,7 +150,7 @@
 def test_a_node_gets_the_version_then_changes_and_the_end_of_its_connection_ends_its_watch():
     world = World()
     conn, wire = world.subscribed()
-    assert wire.kinds() == ["Snapshot", "Heartbeat"] and not world.net.open
+    assert wire.kinds() == ["Snapshot", "Heartbeat"] and not world.net.inbound
     conn.dataReceived(encode(acknowledge(world), "t"))
     assert wire.kinds() == ["Heartbeat"]
     publish(world.versions, {"a": 2})
@@ -168,7 +170,8 @@
     (encode(Acknowledge("m", 1, 4, 0, EMPTY, False), "t"), "other-subscription"),
     (encode(Snapshot(1, 1, EMPTY, {}), "t"), "wrong-direction"),
     (encode(subscribe(number=2), "other"), "other-cluster"), (framed(b"{"), "no-json"),
-    (framed(frame("t", "call", [1, {}])), "unknown-kind"), (framed(frame("t", "watch", {})), "bad-message"),
+    (framed(encode_frame("t", "call", [1, {}])), "unknown-kind"),
+    (framed(encode_frame("t", "watch", {})), "bad-message"),
     ((LONGEST_FROM_NODE + 1).to_bytes(4, "big"), "too-long"),
 ])  # fmt: skip
 def test_a_frame_that_is_none_ends_the_watch_and_nothing_after_it_is_taken(data, reason):
@@ -182,7 +185,7 @@
 
 @pytest.mark.parametrize("data, reason", [
     (encode(Acknowledge("n", 1, 2, 0, EMPTY, False), "t"), "no-subscription"),
-    (framed(frame("t", "watch", {"kind": "subscribe", "node": "x" * LONGEST_FROM_NODE})), "too-long"),
+    (framed(encode_frame("t", "watch", {"kind": "subscribe", "node": "x" * LONGEST_FROM_NODE})), "too-long"),
 ])  # fmt: skip
 def test_a_connection_that_begins_wrongly_is_ended(data, reason):
     world = World()
--- a/tests/test_distribution_stream.py
+++ b/tests/test_distribution_stream.py
@@ -13,7 +13,7 @@
 from caperdeck.distribution.stream import (
     LENGTH, LONGEST_FROM_NODE, LONGEST_FROM_PUBLISHER, decode_from_publisher, encode, message_from_node,
 )  # fmt: skip
-from caperdeck.raft.codec import FrameError, frame, unwrap
+from caperdeck.raft.codec import FrameError, decode_frame, encode_frame
 from caperdeck.state.addresses import Address
 
 NONE = digest({})
@@ -29,14 +29,14 @@
 
 
 def watch_frame(row):
-    return framed(frame("t", "watch", row))
+    return framed(encode_frame("t", "watch", row))
 
 
 def test_a_message_of_each_side_comes_back_whole():
     for message in (LONGEST_WORDS, Acknowledge("n", 1, 2, 3, NONE, False)):
         data = encode(message, "c" * 64)[LENGTH.size :]
         assert len(data) < LONGEST_FROM_NODE
-        assert message_from_node(*unwrap(data, "c" * 64), len(data)) == message
+        assert message_from_node(*decode_frame(data, "c" * 64), len(data)) == message
     data = encode(HEARTBEAT, "t")
     assert LENGTH.unpack(data[:4])[0] == len(data) - 4
     assert decode_from_publisher(data[4:], "t") == HEARTBEAT
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("data, reason", [
     (framed(b"{"), "no-json"), (encode(HEARTBEAT, "other"), "other-cluster"),
     (framed(orjson.dumps([2, "t", "watch", {}])), "other-version"), (watch_frame([]), "bad-message"),
-    (framed(frame("t", "reply", [1, 1])), "unknown-kind"),
+    (framed(encode_frame("t", "reply", [1, 1])), "unknown-kind"),
     (encode(Acknowledge("n", 1, 2, 3, NONE, False), "t"), "wrong-direction"),
     (struct.pack("!I", LONGEST_FROM_PUBLISHER + 1), "too-long"),
 ])  # fmt: skip
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -34,10 +34,10 @@
 from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
 from caperdeck.owner.node_links import read as read_answer
 from caperdeck.ops.admin_server import PATIENCE, Front
-from caperdeck.raft.codec import encode, frame
-from caperdeck.raft.core import TakeOver
+from caperdeck.raft.codec import encode, encode_frame
+from caperdeck.raft.core import TimeoutNow
 from caperdeck.raft.storage import Storage, StorageError
-from caperdeck.raft.transport import Net
+from caperdeck.raft.transport import Network
 
 ROOT = Path(__file__).parents[1]
 FILE = {
@@ -96,7 +96,7 @@
 
 def net(received):
     reactor = MemoryReactorClock()
-    return Net(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
+    return Network(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
                lambda body, then: then({"echo": body}), lambda: 0.5)  # fmt: skip
 
 
@@ -115,12 +115,14 @@
 
 @pytest.mark.parametrize("data, reason", [
     (framed(b"{"), "no-json"), (framed(b"[1]"), "no-frame"),
-    (framed(encode(TakeOver(1, 1), "other")), "other-cluster"),
+    (framed(encode(TimeoutNow(1, 1), "other")), "other-cluster"),
     (framed(orjson.dumps([2, "t", "takeover", [1, 1]])), "other-version"),
-    (framed(encode(TakeOver(1, 0), "t")), "own-name"),
-    (framed(encode(TakeOver(1, 7), "t")), "unknown-instance"),
-    (framed(frame("t", "dance", [])), "unknown-kind"), (framed(frame("t", "call", [1])), "wrong-fields"),
-    (framed(frame("t", "takeover", [1 << 60, 1])), "impossible-number"), (b"\xff\xff\xff\xff", "too-long"),
+    (framed(encode(TimeoutNow(1, 0), "t")), "own-name"),
+    (framed(encode(TimeoutNow(1, 7), "t")), "unknown-instance"),
+    (framed(encode_frame("t", "dance", [])), "unknown-kind"),
+    (framed(encode_frame("t", "call", [1])), "wrong-fields"),
+    (framed(encode_frame("t", "takeover", [1 << 60, 1])), "impossible-number"),
+    (b"\xff\xff\xff\xff", "too-long"),
 ])  # fmt: skip
 def test_a_frame_that_is_none_ends_its_connection_and_is_counted(data, reason):
     received = []
@@ -134,25 +136,27 @@
     received = []
     n = net(received)
     conn, wire = opened(n)
-    conn.dataReceived(framed(encode(TakeOver(3, 1), "t")) + framed(frame("t", "call", [9, "x"])))
-    assert received == [TakeOver(3, 1)] and wire.value() == framed(frame("t", "reply", [9, {"echo": "x"}]))
+    conn.dataReceived(framed(encode(TimeoutNow(3, 1), "t")) + framed(encode_frame("t", "call", [9, "x"])))
+    assert received == [TimeoutNow(3, 1)] and wire.value() == framed(
+        encode_frame("t", "reply", [9, {"echo": "x"}])
+    )
 
 
 def test_what_cannot_go_out_is_dropped_and_a_call_has_no_answer():
     """Kept for one that sleeps, it would grow without end."""
     n, answers = net([]), []
-    n.send(1, TakeOver(1, 0))
-    n.ask(1, {}, answers.append)
+    n.send(1, TimeoutNow(1, 0))
+    n.call(1, {}, answers.append)
     assert answers == [None] and n.dropped == {"unsent": 1}
     conn = n.links[1].buildProtocol(None)
     wire = StringTransport()
     wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
     conn.makeConnection(wire)
     conn.pauseProducing()
-    n.send(1, TakeOver(1, 0))
+    n.send(1, TimeoutNow(1, 0))
     assert wire.value() == b"" and n.dropped == {"unsent": 2}
     conn.resumeProducing()
-    n.ask(1, {}, answers.append)
+    n.call(1, {}, answers.append)
     n.reactor.advance(1.1)
     assert wire.value() and answers == [None, None]
 
@@ -243,7 +247,7 @@
     monkeypatch.setattr("caperdeck.raft.storage.os.fsync", full)
     now[0] = 10_000.0  # alone, it elects itself, and cannot write that down
     made.driver.tick()
-    assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
+    assert len(ended) == 1 and "No space" in ended[0] and made.driver.closed
     answers = []
     made._call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
     assert answers in ([], [None])
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,17 +5,18 @@
 
 from caperdeck.lab.raft_simulation import BrokenError, Line, World, play
 from caperdeck.raft.core import (
-    ELECTION, Append, Appended, Apply, Ask, Raft, Readable, Role, Save, Send, TakeOver, Unreadable, Voted,
+    ELECTION_TIMEOUT_MS, AppendEntriesRequest, AppendEntriesResponse, Apply, Raft, ReadFailed, ReadReady,
+    Role, Save, Send, TimeoutNow, VoteRequest, VoteResponse,
 )  # fmt: skip
 from caperdeck.raft.driver import Driver
 from caperdeck.raft.log import Entry, Kind, Log, Members, Snapshot
-from caperdeck.raft.sessions import MOST_CLIENTS, Sessions
+from caperdeck.raft.sessions import MAX_CLIENTS, Sessions
 
 THREE = Members((0, 1, 2))
 
 
-def instance(me=0, term=0, vote=None, entries=(), members=THREE, now=0.0, kind=Raft):
-    return kind(me, term, vote, Log(Snapshot(0, 0, members), list(entries)), 7, now)
+def instance(me=0, term=0, voted_for=None, entries=(), members=THREE, now=0.0, kind=Raft):
+    return kind(me, term, voted_for, Log(Snapshot(0, 0, members), list(entries)), 7, now)
 
 
 def of(actions, kind):
@@ -32,9 +33,9 @@
     acts = []
     for before in (True, False):
         for v in voters:
-            acts += r.receive(now, Voted(r.term + before, v, True, before))
+            acts += r.receive(now, VoteResponse(r.term + before, v, True, before))
     assert r.role is Role.LEADER
-    return acts + r.saved(now, r.log.last, r.log.last_term)
+    return acts + r.saved(now, r.log.last_index, r.log.last_term)
 
 
 def command(term, value=b"1"):
@@ -47,14 +48,14 @@
 
 
 class ReadsAtOnce(Raft):
-    def read(self, now, number):
-        self.acts.append(Readable(number) if self.role is Role.LEADER else Unreadable(number))
-        return self._done()
+    def read(self, now, read_id):
+        self.actions.append(ReadReady(read_id) if self.role is Role.LEADER else ReadFailed(read_id))
+        return self._take_actions()
 
 
 class VotesForAnyLog(Raft):
-    def _asked(self, now, m):
-        super()._asked(now, m._replace(last=10**9, last_term=10**9))
+    def _on_vote_request(self, now, m):
+        super()._on_vote_request(now, m._replace(last_log_index=10**9, last_log_term=10**9))
 
 
 @pytest.mark.parametrize("kind, text", [(ReadsAtOnce, "a read begun"), (VotesForAnyLog, "completeness")])
@@ -72,18 +73,20 @@
 
 
 class CommitsByCountAlone(Raft):
-    def _advance(self, now):
-        have = sorted(self.durable if i == self.me else self.peers[i].match for i in self.members.voters)
-        if have[-self.members.quorum] > self.commit:
+    def _maybe_commit(self, now):
+        have = sorted(
+            self.durable_index if i == self.me else self.peers[i].match_index for i in self.members.voters
+        )
+        if have[-self.members.quorum] > self.commit_index:
             self._commit(now, have[-self.members.quorum])
 
 
 def votes_twice(kind):
-    acts = instance(kind=kind).receive(1000.0, Ask(1, 1, 0, 0, False))
+    acts = instance(kind=kind).receive(1000.0, VoteRequest(1, 1, 0, 0, False))
     (save,) = of(acts, Save)
-    reborn = instance(term=save.term, vote=save.vote, kind=kind)
-    again = reborn.receive(2000.0, Ask(1, 2, 0, 0, False))
-    return all(sent(x, Voted)[0].granted for x in (acts, again))
+    reborn = instance(term=save.term, voted_for=save.voted_for, kind=kind)
+    again = reborn.receive(2000.0, VoteRequest(1, 2, 0, 0, False))
+    return all(sent(x, VoteResponse)[0].granted for x in (acts, again))
 
 
 def commits_an_older_terms_entry(kind):
@@ -91,9 +94,9 @@
     r = instance(term=2, entries=[command(1), command(2)], kind=kind)
     r.tick(1000.0)
     for before in (True, False):
-        r.receive(1000.0, Voted(r.term + before, 1, True, before))
-    r.receive(1001.0, Appended(r.term, 1, True, 2, 0, r.turn))
-    return r.commit > 0
+        r.receive(1000.0, VoteResponse(r.term + before, 1, True, before))
+    r.receive(1001.0, AppendEntriesResponse(r.term, 1, True, 2, 0, r.heartbeat_round))
+    return r.commit_index > 0
 
 
 @pytest.mark.parametrize("check, kind", [
@@ -106,12 +109,16 @@
 
 def test_a_vote_is_on_disk_before_it_leaves_and_is_not_given_again_after_a_crash():
     r = instance()
-    acts = r.receive(5000.0, Ask(3, 1, 0, 0, False))
+    acts = r.receive(5000.0, VoteRequest(3, 1, 0, 0, False))
     save, answer = acts[-2], acts[-1]
-    assert save == Save(3, 1, 1, ()) and answer == Send(1, Voted(3, 0, True, False))
-    again = instance(term=save.term, vote=save.vote)
-    assert sent(again.receive(5000.0, Ask(3, 2, 9, 9, False)), Voted) == [Voted(3, 0, False, False)]
-    assert sent(again.receive(5000.0, Ask(3, 1, 0, 0, False)), Voted) == [Voted(3, 0, True, False)]
+    assert save == Save(3, 1, 1, ()) and answer == Send(1, VoteResponse(3, 0, True, False))
+    again = instance(term=save.term, voted_for=save.voted_for)
+    assert sent(again.receive(5000.0, VoteRequest(3, 2, 9, 9, False)), VoteResponse) == [
+        VoteResponse(3, 0, False, False)
+    ]
+    assert sent(again.receive(5000.0, VoteRequest(3, 1, 0, 0, False)), VoteResponse) == [
+        VoteResponse(3, 0, True, False)
+    ]
 
 
 @pytest.mark.parametrize("has_own, committed", [(False, 0), (True, 3)])
@@ -119,76 +126,82 @@
     """The paper's figure 8: counted alone, an entry on a majority could still be replaced."""
     r = instance(term=3, entries=[command(1), command(2)])
     lead(r)
-    acts = r.receive(1000.0, Appended(4, 1, True, 3 if has_own else 2, 0, 1))
-    assert r.commit == committed and len(of(acts, Apply)) == committed
+    acts = r.receive(1000.0, AppendEntriesResponse(4, 1, True, 3 if has_own else 2, 0, 1))
+    assert r.commit_index == committed and len(of(acts, Apply)) == committed
 
 
 def test_the_leaders_own_share_of_a_quorum_is_what_it_has_on_disk():
     r = instance()
     lead(r)
     r.propose(1000.0, b"1")
-    r.receive(1000.0, Appended(1, 1, True, 2, 0, 1))
-    assert r.commit == 1
+    r.receive(1000.0, AppendEntriesResponse(1, 1, True, 2, 0, 1))
+    assert r.commit_index == 1
     r.saved(1000.0, 2, 1)
-    assert r.commit == 2
+    assert r.commit_index == 2
 
 
 def test_a_member_that_was_cut_off_unseats_nobody():
     r = instance(1)
-    r.receive(1000.0, Append(2, 0, 0, 0, (), 0, 1))
+    r.receive(1000.0, AppendEntriesRequest(2, 0, 0, 0, (), 0, 1))
     for before in (True, False):
-        acts = r.receive(1000.0 + ELECTION / 2, Ask(9, 2, 50, 8, before))
-        assert sent(acts, Voted) == [Voted(2, 1, False, before)] and r.term == 2 and r.leader == 0
-    assert sent(r.receive(1000.0 + 1.5 * ELECTION, Ask(9, 2, 50, 8, True)), Voted)[0].granted
+        acts = r.receive(1000.0 + ELECTION_TIMEOUT_MS / 2, VoteRequest(9, 2, 50, 8, before))
+        assert (
+            sent(acts, VoteResponse) == [VoteResponse(2, 1, False, before)] and r.term == 2 and r.leader == 0
+        )
+    assert sent(r.receive(1000.0 + 1.5 * ELECTION_TIMEOUT_MS, VoteRequest(9, 2, 50, 8, True)), VoteResponse)[
+        0
+    ].granted
 
 
 def test_a_leader_that_hears_no_quorum_steps_down_and_its_reads_are_not_answered():
     r = instance()
     lead(r)
-    r.receive(1000.0, Appended(1, 1, True, 1, 0, 1))
+    r.receive(1000.0, AppendEntriesResponse(1, 1, True, 1, 0, 1))
     r.read(1000.0, 77)
-    acts = r.tick(1000.0 + 3 * ELECTION)
-    assert r.role is Role.FOLLOWER and of(acts, Unreadable) == [Unreadable(77)]
+    acts = r.tick(1000.0 + 3 * ELECTION_TIMEOUT_MS)
+    assert r.role is Role.FOLLOWER and of(acts, ReadFailed) == [ReadFailed(77)]
 
 
 def test_a_read_waits_for_a_round_that_a_quorum_answered():
     r = instance()
     lead(r)
-    r.receive(1000.0, Appended(1, 1, True, 1, 0, r.turn))
-    assert not of(r.read(1000.0, 77), Readable)
-    late = r.turn - 1
-    assert not of(r.receive(1000.0, Appended(1, 2, True, 1, 0, late)), Readable)
-    assert of(r.receive(1000.0, Appended(1, 2, True, 1, 0, r.turn)), Readable) == [Readable(77)]
+    r.receive(1000.0, AppendEntriesResponse(1, 1, True, 1, 0, r.heartbeat_round))
+    assert not of(r.read(1000.0, 77), ReadReady)
+    late = r.heartbeat_round - 1
+    assert not of(r.receive(1000.0, AppendEntriesResponse(1, 2, True, 1, 0, late)), ReadReady)
+    assert of(r.receive(1000.0, AppendEntriesResponse(1, 2, True, 1, 0, r.heartbeat_round)), ReadReady) == [
+        ReadReady(77)
+    ]
 
 
 def test_what_was_replaced_while_it_was_written_is_not_held_for_durable():
     writes = []
     r = instance(1)
     d = Driver(r, Sessions(Line()), lambda: 0.0, lambda save, done: writes.append(done), lambda *_: None)
-    d.receive(Append(1, 0, 0, 0, (command(1),), 0, 1))
-    d.receive(Append(2, 2, 0, 0, (command(2),), 0, 1))
+    d.receive(AppendEntriesRequest(1, 0, 0, 0, (command(1),), 0, 1))
+    d.receive(AppendEntriesRequest(2, 2, 0, 0, (command(2),), 0, 1))
     writes.pop(0)()
-    assert r.durable == 0 and len(writes) == 1
+    assert r.durable_index == 0 and len(writes) == 1
     writes.pop(0)()
-    assert r.durable == 1
+    assert r.durable_index == 1
 
 
 def test_a_late_message_cuts_off_nothing_that_is_confirmed():
     r = instance(1)
     three = tuple(command(1, b"%d" % i) for i in range(3))
-    r.receive(0.0, Append(1, 0, 0, 0, three, 0, 1))
-    acts = r.receive(0.0, Append(1, 0, 0, 0, three[:1], 0, 0))
-    assert r.log.last == 3 and sent(acts, Appended)[0].index == 1
+    r.receive(0.0, AppendEntriesRequest(1, 0, 0, 0, three, 0, 1))
+    acts = r.receive(0.0, AppendEntriesRequest(1, 0, 0, 0, three[:1], 0, 0))
+    assert r.log.last_index == 3 and sent(acts, AppendEntriesResponse)[0].index == 1
 
 
 def test_what_conflicts_is_replaced_and_is_no_more_held_for_durable():
     r = instance(1, term=1, entries=[command(1), command(1)])
-    acts = r.receive(0.0, Append(2, 0, 1, 1, (command(2),), 0, 1))
-    assert of(acts, Save) == [Save(2, None, 2, (command(2),))] and r.durable == 1
+    acts = r.receive(0.0, AppendEntriesRequest(2, 0, 1, 1, (command(2),), 0, 1))
+    assert of(acts, Save) == [Save(2, None, 2, (command(2),))] and r.durable_index == 1
     r.saved(0.0, 2, 1)  # the old one's
-    assert r.durable == 1
+    assert r.durable_index == 1
     r.saved(0.0, 2, 2)
-    assert r.durable == 2
+    assert r.durable_index == 2
 
 
 @pytest.mark.parametrize("members, reason", [
@@ -201,47 +214,49 @@
 def test_members_change_one_voter_at_a_time_learners_first(members, reason):
     r = instance()
     lead(r)
-    r.receive(1000.0, Appended(1, 1, True, 1, 0, 1))
-    assert r.change(1000.0, members)[0] == reason
+    r.receive(1000.0, AppendEntriesResponse(1, 1, True, 1, 0, 1))
+    assert r.change_members(1000.0, members)[0] == reason
     if reason is None:
-        assert r.change(1000.0, THREE)[0] == "another-change-is-under-way"
+        assert r.change_members(1000.0, THREE)[0] == "another-change-is-under-way"
 
 
 def test_no_members_change_before_something_of_the_own_term_is_committed():
     r = instance(term=3, entries=[command(1)])
     lead(r)
-    assert r.change(1000.0, Members((0, 1)))[0] == "nothing-of-this-term-is-committed"
+    assert r.change_members(1000.0, Members((0, 1)))[0] == "nothing-of-this-term-is-committed"
 
 
 def test_a_learner_that_caught_up_becomes_a_voter_and_a_removed_leader_goes_once_it_is_committed():
     r = instance()
     lead(r)
-    r.receive(1000.0, Appended(1, 1, True, 1, 0, 1))
-    r.change(1000.0, Members((0, 1, 2), (3,)))
+    r.receive(1000.0, AppendEntriesResponse(1, 1, True, 1, 0, 1))
+    r.change_members(1000.0, Members((0, 1, 2), (3,)))
     for i in (1, 2, 3):
-        r.receive(1000.0, Appended(1, i, True, 2, 0, 1))
-    assert r.commit == 2 and r.change(1000.0, Members((0, 1, 2, 3)))[0] is None
+        r.receive(1000.0, AppendEntriesResponse(1, i, True, 2, 0, 1))
+    assert r.commit_index == 2 and r.change_members(1000.0, Members((0, 1, 2, 3)))[0] is None
     for i in (1, 2):
-        r.receive(1000.0, Appended(1, i, True, 3, 0, 1))
+        r.receive(1000.0, AppendEntriesResponse(1, i, True, 3, 0, 1))
     r.saved(1000.0, 3, 1)
-    assert r.commit == 3 and r.change(1000.0, Members((1, 2, 3)))[0] is None
+    assert r.commit_index == 3 and r.change_members(1000.0, Members((1, 2, 3)))[0] is None
     for i in (1, 2):
-        r.receive(1000.0, Appended(1, i, True, 4, 0, 1))
-    assert r.commit == 4 and r.role is Role.FOLLOWER
-    assert not sent(r.tick(99_000.0), Ask)
+        r.receive(1000.0, AppendEntriesResponse(1, i, True, 4, 0, 1))
+    assert r.commit_index == 4 and r.role is Role.FOLLOWER
+    assert not sent(r.tick(99_000.0), VoteRequest)
 
 
 def test_leadership_goes_to_one_that_has_everything():
     r = instance()
     lead(r)
-    assert r.transfer(1000.0, 5) == "not-another-voter" and r.transfer(1000.0, 2) is None
+    assert (
+        r.transfer_leadership(1000.0, 5) == "not-another-voter" and r.transfer_leadership(1000.0, 2) is None
+    )
     assert r.propose(1000.0, b"1")[0] is None
-    assert not sent(r.tick(1001.0), TakeOver)
-    assert sent(r.receive(1002.0, Appended(1, 2, True, 1, 0, 1)), TakeOver)
+    assert not sent(r.tick(1001.0), TimeoutNow)
+    assert sent(r.receive(1002.0, AppendEntriesResponse(1, 2, True, 1, 0, 1)), TimeoutNow)
     heir = instance(2, term=1)
-    heir.receive(1000.0, Append(1, 0, 0, 0, (Entry(1, Kind.NOTHING),), 0, 1))
-    asks = sent(heir.receive(1002.0, TakeOver(1, 0)), Ask)
-    assert asks and all(a.transfer and a.term == 2 and not a.before for a in asks)
+    heir.receive(1000.0, AppendEntriesRequest(1, 0, 0, 0, (Entry(1, Kind.NO_OP),), 0, 1))
+    asks = sent(heir.receive(1002.0, TimeoutNow(1, 0)), VoteRequest)
+    assert asks and all(a.leadership_transfer and a.term == 2 and not a.pre_vote for a in asks)
 
 
 def test_one_that_lacks_what_was_compacted_is_sent_the_snapshot():
@@ -270,6 +285,6 @@
     t.load(s.dump())
     assert t.apply(entry(1, 1, "a")) == 1 and t.apply(entry(1, 2, "b")) == 2
     assert t.apply(entry(1, 1, "a")) is None and t.machine.values == ["a", "b"]
-    for client in range(2, MOST_CLIENTS + 9):
+    for client in range(2, MAX_CLIENTS + 9):
         t.apply(entry(client, 1, "c"))
-    assert len(t.done) == MOST_CLIENTS
+    assert len(t.last_results) == MAX_CLIENTS
--- a/tests/test_raft_codec.py
+++ b/tests/test_raft_codec.py
@@ -7,14 +7,24 @@
 
 from caperdeck.raft import codec
 from caperdeck.raft.codec import FrameError, decode, encode
-from caperdeck.raft.core import Append, Appended, Ask, Install, Installed, TakeOver, Voted
+from caperdeck.raft.core import (
+    AppendEntriesRequest,
+    AppendEntriesResponse,
+    VoteRequest,
+    InstallSnapshotRequest,
+    InstallSnapshotResponse,
+    TimeoutNow,
+    VoteResponse,
+)
 from caperdeck.raft.log import Entry, Kind, Members
 
 ENTRY = Entry(2, Kind.COMMAND, b"\x00x", 7, 8)
 MESSAGES = [
-    Ask(3, 1, 9, 2, True), Ask(3, 1, 9, 2, False, True), Voted(3, 1, True, False),
-    Append(3, 1, 8, 2, (ENTRY, Entry(3, Kind.NOTHING)), 7, 40), Appended(3, 1, False, 8, 2, 40),
-    Install(3, 1, 8, 2, Members((0, 1), (2,)), 0, b"abc", True, 4), Installed(3, 1, 8, -1, 4), TakeOver(3, 1),
+    VoteRequest(3, 1, 9, 2, True), VoteRequest(3, 1, 9, 2, False, True), VoteResponse(3, 1, True, False),
+    AppendEntriesRequest(3, 1, 8, 2, (ENTRY, Entry(3, Kind.NO_OP)), 7, 40),
+    AppendEntriesResponse(3, 1, False, 8, 2, 40),
+    InstallSnapshotRequest(3, 1, 8, 2, Members((0, 1), (2,)), 0, b"abc", True, 4),
+    InstallSnapshotResponse(3, 1, 8, -1, 4), TimeoutNow(3, 1),
 ]  # fmt: skip
 
 
@@ -33,12 +43,12 @@
         decode(data, "c", 0)
 
 
-def framed(name, *fields, version=codec.VERSION, cluster="c"):
+def framed(name, *fields, version=codec.PROTOCOL_VERSION, cluster="c"):
     return orjson.dumps([version, cluster, name, list(fields)])
 
 
 @pytest.mark.parametrize("data, reason", [
-    (b"x" * (codec.LONGEST + 1), "too-long"),
+    (b"x" * (codec.MAX_FRAME_BYTES + 1), "too-long"),
     (framed("takeover", 3, 1, version=9), "other-version"),
     (framed("takeover", 3, 1, cluster="d"), "other-cluster"),
     (framed("fly", 3, 1), "unknown-kind"),
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -30,7 +30,7 @@
 
 
 def state(s):
-    return s.term, s.vote, s.log.snapshot, list(s.log.entries)
+    return s.term, s.voted_for, s.log.snapshot, list(s.log.entries)
 
 
 def written(folder):
@@ -87,7 +87,7 @@
         assert s.path.stat().st_size < 12_000
     s.close()
     again = opened(tmp_path)
-    assert again.log.snapshot == Snapshot(350, 1, THREE, b"state") and again.log.last == 399
+    assert again.log.snapshot == Snapshot(350, 1, THREE, b"state") and again.log.last_index == 399
 
 
 def test_a_file_that_was_being_written_when_the_process_died_is_left_out(tmp_path):
