--- a/caperdeck/distribution/commands.py
+++ b/caperdeck/distribution/commands.py
@@ -21,17 +21,17 @@
 from caperdeck.owner.config import OwnerError, Owners, load_owners
 from caperdeck.state.addresses import Address
 
-from .document import LARGEST_DOCUMENT, Document, DocumentError, check, digest
-from .messages import LONGEST_NAME, MessageError
+from .document import MAX_DOCUMENT_BYTES, Document, DocumentError, digest, validate
+from .messages import MAX_NAME_LENGTH, MessageError
 from .status import Status, Summary, decode_status, summarise
-from .table import Versions, propose
+from .table import VersionTable, publish_command
 
-PATIENCE = 10.0  # seconds in which a call is tried at one instance after another
-PAUSE = 0.1  # seconds between two rounds
-LARGEST_FILE = 2 * LARGEST_DOCUMENT  # bytes; blanks do not count to a document's size
-MOST_NODES = 10_000
+RETRY_TIMEOUT_S = 10.0  # seconds in which a call is tried at one instance after another
+RETRY_PAUSE_S = 0.1  # seconds between two rounds
+MAX_FILE_BYTES = 2 * MAX_DOCUMENT_BYTES  # bytes; blanks do not count to a document's size
+MAX_NODES = 10_000
 
-Ask = Callable[[Address, str, Any], Any]  # address, cluster, body; the answer, None if none came
+AskInstance = Callable[[Address, str, Any], Any]  # address, cluster, body; the answer, None if none came
 
 
 class InputError(Exception):
@@ -42,7 +42,7 @@
     """Nobody answered who can tell."""
 
 
-class Newest(NamedTuple):
+class NewestVersion(NamedTuple):
     """The newest version, as of after it was asked for."""
 
     revision: int
@@ -53,7 +53,7 @@
     try:
         owners = load_owners(arguments["--instances"])
         if arguments["status"]:
-            names = read_names(arguments["--nodes"]) if arguments["--nodes"] else None
+            names = read_node_names(arguments["--nodes"]) if arguments["--nodes"] else None
             return status(owners, names)
         return publish(owners, read_document(arguments["FILE"]), read_revision(arguments["--on"]))
     except (OwnerError, DocumentError, InputError) as error:
@@ -67,17 +67,17 @@
 # ---- publish
 
 
-def publish(owners: Owners, document: Document, on: int | None, ask: Ask = ask) -> int:
+def publish(owners: Owners, document: Document, base: int | None, ask: AskInstance = ask) -> int:
     """`on`: the revision that the document was made from; None for the newest, whichever that is."""
     newest = read_newest(owners, ask)
-    versions = Versions()
-    known = [newest.revision, 0, digest(newest.document), ""]
-    versions.load({"oldest": [known, newest.document], "later": []})
-    command = propose(versions, newest.revision if on is None else on, document, 0)
+    table = VersionTable()
+    version = [newest.revision, 0, digest(newest.document), ""]
+    table.load({"oldest": [version, newest.document], "later": []})
+    command = publish_command(table, newest.revision if base is None else base, document, 0)
     body = {"do": "publish", **{field: command[field] for field in ("on", "digest", "changes")}}
     # By these two the repeats of a call that was not answered are applied once.
     body |= {"client": secrets.randbits(52) | 1, "serial": 1}
-    for answer in answers(owners, body, ask):
+    for answer in iter_answers(owners, body, ask):
         if "refused" in answer:
             raise InputError(answer["refused"])
         if answer.get("ok") is True:
@@ -86,41 +86,41 @@
     raise UnknownError("no answer: the version may be committed or not; `config status` tells the newest")
 
 
-def read_newest(owners: Owners, ask: Ask) -> Newest:
-    for answer in answers(owners, {"do": "versions", "document": True}, ask):
+def read_newest(owners: Owners, ask: AskInstance) -> NewestVersion:
+    for answer in iter_answers(owners, {"do": "versions", "document": True}, ask):
         revision, document = answer.get("revision"), answer.get("document")
         if isinstance(document, dict) and digest(document) == answer.get("digest"):
-            return Newest(revision, document)
+            return NewestVersion(revision, document)
     raise UnknownError("no instance answered that knows the newest version; nothing was proposed")
 
 
-def answers(owners: Owners, body: dict[str, Any], ask: Ask) -> Iterator[dict[str, Any]]:
-    """Answers of one instance after another, until PATIENCE ends; at least one round."""
-    end = time.monotonic() + PATIENCE
+def iter_answers(owners: Owners, body: dict[str, Any], ask: AskInstance) -> Iterator[dict[str, Any]]:
+    """Answers of one instance after another, until RETRY_TIMEOUT_S ends; at least one round."""
+    deadline = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         for address in owners.instances:
             answer = ask(address, owners.cluster, body)
             if isinstance(answer, dict):
                 yield answer
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             return
-        time.sleep(PAUSE)
+        time.sleep(RETRY_PAUSE_S)
 
 
 def read_document(path: str) -> Document:
     """Raises InputError or DocumentError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise InputError(f"{path}: {error.strerror}") from None
-    if len(data) > LARGEST_FILE:
-        raise InputError(f"{path}: over {LARGEST_FILE} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise InputError(f"{path}: over {MAX_FILE_BYTES} bytes")
     try:
         document = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise InputError(f"{path}: no JSON: {error}") from None
-    check(document)
+    validate(document)
     try:
         check_document(document)
     except ConfigError as error:
@@ -139,38 +139,41 @@
 # ---- status
 
 
-def status(owners: Owners, names: list[str] | None, ask: Ask = ask) -> int:
+def status(owners: Owners, names: list[str] | None, ask: AskInstance = ask) -> int:
     """`names` are all nodes; where None, only those that were heard are told of."""
     known = read_statuses(owners, ask)
     heard = [status for status in known.values() if status is not None]
     if not heard:
         raise UnknownError("no instance answered")
     summary = read_summary(owners, heard, names, ask)
-    for line in lines_of(known, summary, names):
+    for line in status_lines(known, summary, names):
         print(line)
     return 0 if summary.confirmed else 1
 
 
-def read_statuses(owners: Owners, ask: Ask) -> dict[Address, Status | None]:
+def read_statuses(owners: Owners, ask: AskInstance) -> dict[Address, Status | None]:
     """What each instance knows; ages as of now, which is after the last answer."""
-    asked = time.monotonic()
+    started = time.monotonic()
     with ThreadPoolExecutor(len(owners.instances)) as pool:
         body = {"do": "distribution"}
-        said = list(pool.map(lambda address: ask(address, owners.cluster, body), owners.instances))
-    passed = (time.monotonic() - asked) * 1000.0
-    return {address: _status(answer, passed) for address, answer in zip(owners.instances, said, strict=True)}
+        received = list(pool.map(lambda address: ask(address, owners.cluster, body), owners.instances))
+    elapsed_ms = (time.monotonic() - started) * 1000.0
+    return {
+        address: _status(answer, elapsed_ms)
+        for address, answer in zip(owners.instances, received, strict=True)
+    }
 
 
-def _status(answer: Any, passed: float) -> Status | None:
+def _status(answer: Any, elapsed_ms: float) -> Status | None:
     try:
         status = decode_status(answer)
     except MessageError:
         return None
     # Danger: words that were fresh when the first instance answered may be too old once the last one has.
-    return status._replace(rows=tuple(row._replace(age=row.age + passed) for row in status.rows))
+    return status._replace(rows=tuple(row._replace(age=row.age + elapsed_ms) for row in status.rows))
 
 
-def read_summary(owners: Owners, heard: list[Status], names: list[str] | None, ask: Ask) -> Summary:
+def read_summary(owners: Owners, heard: list[Status], names: list[str] | None, ask: AskInstance) -> Summary:
     """What all that were heard know together. The quorum is asked after them for the newest version."""
     # Danger: what an instance has confirmed may be two seconds old, and a leader that was killed right after
     # a commit may have been the only one to know of it.
@@ -182,7 +185,7 @@
     return summarise(known, expected)
 
 
-def read_newest_status(owners: Owners, ask: Ask) -> Status | None:
+def read_newest_status(owners: Owners, ask: AskInstance) -> Status | None:
     """The newest committed version as of after the call, without nodes; None where no quorum answers."""
     for address in owners.instances:
         answer = ask(address, owners.cluster, {"do": "versions"})
@@ -191,17 +194,21 @@
     return None
 
 
-def lines_of(
+def status_lines(
     known: dict[Address, Status | None], summary: Summary, names: list[str] | None,
 ) -> list[str]:  # fmt: skip
     certain = "confirmed" if summary.confirmed else "not confirmed: there may be a newer one"
     lines = [f"revision {summary.revision}, {certain}"]
-    of = summary.of if names is not None else f"{summary.of} that were heard (without --nodes)"
-    lines.append(f"in force at {len(summary.in_force)} of {of}")
+    node_count = (
+        summary.expected if names is not None else f"{summary.expected} that were heard (without --nodes)"
+    )
+    lines.append(f"in force at {len(summary.up_to_date)} of {node_count}")
     lines.append(f"oldest revision {'-' if summary.oldest is None else summary.oldest}")
-    lines += [f"refused {node} revision={no.revision} {no.reason}" for node, no in summary.refused]
+    lines += [
+        f"refused {node} revision={refusal.revision} {refusal.reason}" for node, refusal in summary.refused
+    ]
     lists = {"not heard of": summary.not_heard, "stale": summary.stale, "unexpected": summary.unexpected}
-    lines += [f"{what}: {' '.join(nodes)}" for what, nodes in lists.items() if nodes]
+    lines += [f"{title}: {' '.join(nodes)}" for title, nodes in lists.items() if nodes]
     for (host, port), status in known.items():
         if status is None:
             lines.append(f"instance {host}:{port} no answer")
@@ -210,19 +217,19 @@
     return lines
 
 
-def read_names(path: str) -> list[str]:
+def read_node_names(path: str) -> list[str]:
     """One name a line; raises InputError."""
     try:
         lines = Path(path).read_text("utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise InputError(f"{path}: {getattr(error, 'strerror', None) or 'no text'}") from None
     names = [line.strip() for line in lines if line.strip()]
-    if not 0 < len(names) <= MOST_NODES:
-        raise InputError(f"{path}: {len(names)} names, 1 to {MOST_NODES} are possible")
+    if not 0 < len(names) <= MAX_NODES:
+        raise InputError(f"{path}: {len(names)} names, 1 to {MAX_NODES} are possible")
     for name in names:
-        if len(name) > LONGEST_NAME or not name.isprintable():
+        if len(name) > MAX_NAME_LENGTH or not name.isprintable():
             raise InputError(f"{path}: {name!r:.50} is no name")
     if len(set(names)) < len(names):
-        twice = next(name for name in names if names.count(name) > 1)
-        raise InputError(f"{path}: {twice!r:.50} twice")
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise InputError(f"{path}: {duplicate!r:.50} twice")
     return names
--- a/caperdeck/distribution/confirmation.py
+++ b/caperdeck/distribution/confirmation.py
@@ -10,30 +10,30 @@
 
 from .publisher import Publisher
 
-EVERY = 500.0  # ms between two reads
-MOST_WAITING = 8  # answers for which the own table is still behind
+READ_INTERVAL_MS = 500.0  # ms between two reads
+MAX_PENDING_ANSWERS = 8  # answers for which the own table is still behind
 
 
-class Confirming:
+class VersionConfirmation:
     def __init__(self, publisher: Publisher) -> None:
         self.publisher = publisher
         self.due = -math.inf
-        self.waiting: list[tuple[float, int]] = []  # when it was asked, and the revision
+        self.pending: list[tuple[float, int]] = []  # when it was asked, and the revision
 
-    def asks(self, now: float) -> bool:
+    def should_read(self, now: float) -> bool:
         """Whether a read begins now."""
         if now < self.due:
             return False
-        self.due = now + EVERY
+        self.due = now + READ_INTERVAL_MS
         return True
 
-    def answered(self, asked: float, revision: int) -> None:
-        self.waiting = [*self.waiting, (asked, revision)][-MOST_WAITING:]
-        self.applied()
+    def read_answered(self, asked_at: float, revision: int) -> None:
+        self.pending = [*self.pending, (asked_at, revision)][-MAX_PENDING_ANSWERS:]
+        self.table_changed()
 
-    def applied(self) -> None:
+    def table_changed(self) -> None:
         """The own table may have grown."""
-        held = self.publisher.table.newest.revision
-        for asked, revision in self.waiting:
-            self.publisher.confirmed(asked, revision)
-        self.waiting = [(asked, revision) for asked, revision in self.waiting if revision > held]
+        applied = self.publisher.table.newest.revision
+        for asked_at, revision in self.pending:
+            self.publisher.newest_confirmed(asked_at, revision)
+        self.pending = [(asked_at, revision) for asked_at, revision in self.pending if revision > applied]
--- a/caperdeck/distribution/connection.py
+++ b/caperdeck/distribution/connection.py
@@ -12,25 +12,25 @@
 from caperdeck.state.addresses import Address
 from caperdeck.wire.lines import OneConnection
 
-from .messages import FromNode
-from .stream import LONGEST_FROM_PUBLISHER, decode_from_publisher, encode
+from .messages import NodeMessage
+from .stream import MAX_PUBLISHER_FRAME_BYTES, decode_from_publisher, encode
 
-CONNECT = 0.8  # seconds; within the time that a node waits for a publisher's first answer
-VANISHED = 5000  # milliseconds that written bytes may go unconfirmed
-MOST_UNSENT = 16 << 10  # bytes
+CONNECT_TIMEOUT_S = 0.8  # seconds; within the time that a node waits for a publisher's first answer
+TCP_USER_TIMEOUT_MS = 5000  # milliseconds that written bytes may go unconfirmed
+MAX_UNSENT_BYTES = 16 << 10  # bytes
 
 
-class WatchUser(Protocol):
+class WatchListener(Protocol):
     """Who is told what happens on a connection."""
 
     def opened(self, connection: WatchConnection) -> None:
         """It is up; the Subscribe is to be sent now."""
 
-    def received(self, connection: WatchConnection) -> None:
+    def data_received(self, connection: WatchConnection) -> None:
         """Bytes came, a whole message or a part of one: the publisher is there."""
 
-    def message(self, connection: WatchConnection, message: Any) -> None:
-        """One FromPublisher."""
+    def message_received(self, connection: WatchConnection, message: Any) -> None:
+        """One PublisherMessage."""
 
     def lost(self, connection: WatchConnection, reason: str) -> None:
         """Once, whatever its end was: `not-connected`, `ended`, `unsent`, or why a frame was not taken.
@@ -48,21 +48,21 @@
 class WatchConnection(Int32StringReceiver):
     """Connects at once. What cannot be taken ends the connection, and nothing of it is handed on."""
 
-    MAX_LENGTH = LONGEST_FROM_PUBLISHER
+    MAX_LENGTH = MAX_PUBLISHER_FRAME_BYTES
 
-    def __init__(self, reactor: Any, address: Address, cluster: str, user: WatchUser) -> None:
-        self.cluster, self.user = cluster, user
+    def __init__(self, reactor: Any, address: Address, cluster: str, listener: WatchListener) -> None:
+        self.cluster, self.listener = cluster, listener
         self.phase = Phase.CONNECTING
-        self.connector = reactor.connectTCP(*address, OneConnection(self), CONNECT)
+        self.connector = reactor.connectTCP(*address, OneConnection(self), CONNECT_TIMEOUT_S)
 
-    def send(self, message: FromNode) -> bool:
+    def send(self, message: NodeMessage) -> bool:
         """Whether it was written; not while it connects or after its end."""
         if self.phase is Phase.OPEN:
             self.transport.write(encode(message, self.cluster))
         return self.phase is Phase.OPEN
 
     def close(self) -> None:
-        """Ended by this side, at once; the user hears nothing more of it."""
+        """Ended by this side, at once; the listener hears nothing more of it."""
         if self.phase is not Phase.CLOSED:
             self._abort()
 
@@ -75,26 +75,28 @@
         self.phase = Phase.OPEN
         self.transport.setTcpNoDelay(True)
         # Danger: bytes for a machine that has vanished would hold the connection for a quarter of an hour.
-        self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, VANISHED)
-        self.transport.bufferSize = MOST_UNSENT
+        self.transport.getHandle().setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+        )
+        self.transport.bufferSize = MAX_UNSENT_BYTES
         self.transport.registerProducer(self, True)
-        self.user.opened(self)
+        self.listener.opened(self)
 
     def dataReceived(self, data: bytes) -> None:
         if self.phase is Phase.OPEN:
-            self.user.received(self)
+            self.listener.data_received(self)
         if self.phase is Phase.OPEN:
             super().dataReceived(data)
 
     def stringReceived(self, data: bytes) -> None:
         if self.phase is not Phase.OPEN:
-            return  # closed by what the user did with the message before, of the same bytes
+            return  # closed by what the listener did with the message before, of the same bytes
         try:
             message = decode_from_publisher(data, self.cluster)
         except FrameError as error:
             self._fail(str(error))
         else:
-            self.user.message(self, message)
+            self.listener.message_received(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
         self._fail("too-long")
@@ -121,11 +123,11 @@
     def _fail(self, reason: str) -> None:
         if self.phase is not Phase.CLOSED:
             self._abort()
-            self.user.lost(self, reason)
+            self.listener.lost(self, reason)
 
     def _abort(self) -> None:
-        before, self.phase = self.phase, Phase.CLOSED
-        if before is Phase.OPEN:
+        previous, self.phase = self.phase, Phase.CLOSED
+        if previous is Phase.OPEN:
             self.transport.abortConnection()
         else:
             self.connector.disconnect()
@@ -133,4 +135,4 @@
     def _lost(self, reason: str) -> None:
         if self.phase is not Phase.CLOSED:
             self.phase = Phase.CLOSED
-            self.user.lost(self, reason)
+            self.listener.lost(self, reason)
--- a/caperdeck/distribution/document.py
+++ b/caperdeck/distribution/document.py
@@ -14,10 +14,10 @@
 
 Document = dict[str, Any]
 
-LARGEST_DOCUMENT = 2 << 20  # bytes of canonical JSON; a whole version fits into one frame of the instances
-DEEPEST = 16  # objects and lists inside each other
-DIGEST_SIZE = 16  # bytes
-EMPTY: Document = {}
+MAX_DOCUMENT_BYTES = 2 << 20  # bytes of canonical JSON; a whole version fits into one frame of the instances
+MAX_DEPTH = 16  # objects and lists inside each other
+DIGEST_BYTES = 16  # bytes
+EMPTY_DOCUMENT: Document = {}
 
 
 class DocumentError(Exception):
@@ -41,26 +41,26 @@
 
 
 def digest(document: Document) -> str:
-    return hashlib.blake2b(canonical(document), digest_size=DIGEST_SIZE).hexdigest()
+    return hashlib.blake2b(canonical(document), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def check(document: Any) -> None:
+def validate(document: Any) -> None:
     """Raises DocumentError unless it is a JSON object within the stated size and depth."""
     if not isinstance(document, dict):
         raise DocumentError("document: no JSON object")
-    _check_depth(document, "document", DEEPEST)
-    if (size := len(canonical(document))) > LARGEST_DOCUMENT:
-        raise DocumentError(f"document: {size} bytes, over {LARGEST_DOCUMENT}")
+    _check_depth(document, "document", MAX_DEPTH)
+    if (size := len(canonical(document))) > MAX_DOCUMENT_BYTES:
+        raise DocumentError(f"document: {size} bytes, over {MAX_DOCUMENT_BYTES}")
 
 
-def _check_depth(value: Any, field: str, left: int) -> None:
+def _check_depth(value: Any, field: str, levels: int) -> None:
     if not isinstance(value, dict | list):
         return
-    if not left:
-        raise DocumentError(f"{field}: deeper than {DEEPEST}")
+    if not levels:
+        raise DocumentError(f"{field}: deeper than {MAX_DEPTH}")
     rows = value.items() if isinstance(value, dict) else enumerate(value)
-    for key, below in rows:
-        _check_depth(below, f"{field}.{key}", left - 1)
+    for key, child in rows:
+        _check_depth(child, f"{field}.{key}", levels - 1)
 
 
 def difference(old: Document, new: Document) -> tuple[Change, ...]:
@@ -71,29 +71,29 @@
 def _difference(old: Document, new: Document, path: tuple[str, ...]) -> list[Change]:
     changes = []
     for key in sorted(old.keys() | new.keys()):
-        here = (*path, key)
+        key_path = (*path, key)
         if key not in new:
-            changes.append(Change(here, removed=True))
+            changes.append(Change(key_path, removed=True))
         elif key not in old:
-            changes.append(Change(here, new[key]))
+            changes.append(Change(key_path, new[key]))
         elif isinstance(old[key], dict) and isinstance(new[key], dict):
             if old[key] is not new[key]:
-                changes += _difference(old[key], new[key], here)
+                changes += _difference(old[key], new[key], key_path)
         # Danger: True, 1 and 1.0 are equal in Python and are not the same JSON.
         elif old[key] is not new[key] and canonical(old[key]) != canonical(new[key]):
-            changes.append(Change(here, new[key]))
+            changes.append(Change(key_path, new[key]))
     return changes
 
 
-def apply(document: Document, changes: tuple[Change, ...], expected: str) -> Document:
+def apply_changes(document: Document, changes: tuple[Change, ...], expected: str) -> Document:
     """A new document with exactly the expected digest, or DocumentError; the old one stays as it was."""
-    result = patched(document, changes)
-    if (found := digest(result)) != expected:
-        raise DocumentError(f"digest: {found} after the changes, {expected} was expected")
+    result = apply_unchecked(document, changes)
+    if (actual := digest(result)) != expected:
+        raise DocumentError(f"digest: {actual} after the changes, {expected} was expected")
     return result
 
 
-def patched(document: Document, changes: tuple[Change, ...]) -> Document:
+def apply_unchecked(document: Document, changes: tuple[Change, ...]) -> Document:
     """The same without a look at the digest, for changes that were taken before."""
     result = dict(document)
     copied = {id(result): result}
@@ -106,14 +106,14 @@
     field = ".".join(change.path)
     target = result
     for key in change.path[:-1]:
-        below = target.get(key)
-        if not isinstance(below, dict):
+        child = target.get(key)
+        if not isinstance(child, dict):
             raise DocumentError(f"{field}: {key} is no object")
         # Danger: objects are shared with the old document, which may be in force; the path is copied, once.
-        if id(below) not in copied:
-            below = target[key] = dict(below)
-            copied[id(below)] = below
-        target = below
+        if id(child) not in copied:
+            child = target[key] = dict(child)
+            copied[id(child)] = child
+        target = child
     last = change.path[-1]
     if not change.removed:
         target[last] = change.value
@@ -125,22 +125,24 @@
 
 def encode_changes(changes: tuple[Change, ...]) -> list[Any]:
     """As JSON: rows of path and value, or of the path alone where the key is removed."""
-    return [[list(c.path)] if c.removed else [list(c.path), c.value] for c in changes]
+    return [
+        [list(change.path)] if change.removed else [list(change.path), change.value] for change in changes
+    ]
 
 
 def decode_changes(rows: Any) -> tuple[Change, ...]:
     """The changes, or DocumentError with the row that is wrong."""
     if not isinstance(rows, list):
         raise DocumentError("changes: no list")
-    return tuple(_decode_change(row, f"changes.{k}") for k, row in enumerate(rows))
+    return tuple(_decode_change(row, f"changes.{i}") for i, row in enumerate(rows))
 
 
 def _decode_change(row: Any, field: str) -> Change:
     if not isinstance(row, list) or not 1 <= len(row) <= 2:
         raise DocumentError(f"{field}: not a path, or a path and a value")
     path = row[0]
-    if not isinstance(path, list) or not 1 <= len(path) <= DEEPEST:
-        raise DocumentError(f"{field}: a path of 1 to {DEEPEST} keys is needed")
+    if not isinstance(path, list) or not 1 <= len(path) <= MAX_DEPTH:
+        raise DocumentError(f"{field}: a path of 1 to {MAX_DEPTH} keys is needed")
     if not all(isinstance(key, str) for key in path):
         raise DocumentError(f"{field}: a key that is no text")
     return Change(tuple(path), row[1] if len(row) == 2 else None, removed=len(row) == 1)
--- a/caperdeck/distribution/messages.py
+++ b/caperdeck/distribution/messages.py
@@ -12,12 +12,12 @@
 
 import orjson
 
-from .document import DIGEST_SIZE, Change, DocumentError, check, decode_changes, encode_changes
+from .document import DIGEST_BYTES, Change, DocumentError, decode_changes, encode_changes, validate
 
-LONGEST_NAME = 64  # characters
-LONGEST_REASON = 200
-HIGHEST_NUMBER = 1 << 53
-LONGEST_AGE = 86_400_000.0
+MAX_NAME_LENGTH = 64  # characters
+MAX_REASON_LENGTH = 200
+MAX_NUMBER = 1 << 53
+MAX_AGE_MS = 86_400_000.0
 
 
 class MessageError(Exception):
@@ -117,14 +117,14 @@
     reason: str
 
 
-FromNode = Subscribe | Acknowledge
-FromPublisher = Snapshot | Delta | Heartbeat | Busy | Closed
-Message = FromNode | FromPublisher
+NodeMessage = Subscribe | Acknowledge
+PublisherMessage = Snapshot | Delta | Heartbeat | Busy | Closed
+Message = NodeMessage | PublisherMessage
 
 
 def one_line(reason: str) -> str:
     """As a refusal may carry it, whatever an error's text holds."""
-    return "".join(c if c.isprintable() else " " for c in reason)[:LONGEST_REASON]
+    return "".join(c if c.isprintable() else " " for c in reason)[:MAX_REASON_LENGTH]
 
 
 # ---- JSON
@@ -134,7 +134,7 @@
     row: dict[str, Any] = {"kind": type(message).__name__.lower(), **message._asdict()}
     if isinstance(message, Delta):
         row["changes"] = encode_changes(message.changes)
-    if isinstance(message, FromNode):
+    if isinstance(message, NodeMessage):
         row["refused"] = message.refused and message.refused._asdict()
     return orjson.dumps(row)
 
@@ -145,97 +145,98 @@
         row = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise MessageError(f"message: no JSON: {error}") from None
-    return message_of(row)
+    return message_from_json(row)
 
 
-def message_of(row: Any) -> Message:
+def message_from_json(row: Any) -> Message:
     """The message that a decoded JSON value stands for, or MessageError; the value is used up."""
     if not isinstance(row, dict):
         raise MessageError("message: no JSON object")
     kind = row.pop("kind", None)
-    known = KINDS.get(kind) if isinstance(kind, str) else None
-    if known is None:
+    message_type = MESSAGE_TYPES.get(kind) if isinstance(kind, str) else None
+    if message_type is None:
         raise MessageError("kind: unknown")
-    if unknown := sorted(row.keys() - set(known._fields)):
+    if unknown := sorted(row.keys() - set(message_type._fields)):
         raise MessageError(f"{kind}.{unknown[0]}: unknown")
-    return known(**check_fields(kind, known._fields, row))
+    return message_type(**decode_fields(kind, message_type._fields, row))
 
 
-def check_fields(kind: str, fields: tuple[str, ...], row: Any) -> dict[str, Any]:
+def decode_fields(kind: str, fields: tuple[str, ...], row: Any) -> dict[str, Any]:
     """These fields of a JSON object, each checked as in messages; raises MessageError."""
     if not isinstance(row, dict):
         raise MessageError(f"{kind}: no JSON object")
-    return {field: _field(kind, field, row) for field in fields}
+    return {field: _decode_field(kind, field, row) for field in fields}
 
 
-def _field(kind: str, field: str, row: dict[str, Any]) -> Any:
+def _decode_field(kind: str, field: str, row: dict[str, Any]) -> Any:
     if field not in row:
         raise MessageError(f"{kind}.{field}: missing")
     try:
-        return READERS[field](row[field])
+        return FIELD_DECODERS[field](row[field])
     except (ValueError, DocumentError) as error:
         raise MessageError(f"{kind}.{field}: {error}") from None
 
 
-def _name(value: Any) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_NAME or not value.isprintable():
-        raise ValueError(f"not a text of 1 to {LONGEST_NAME} printable characters")
+def _decode_name(value: Any) -> str:
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH or not value.isprintable():
+        raise ValueError(f"not a text of 1 to {MAX_NAME_LENGTH} printable characters")
     return value
 
 
-def _reason(value: Any) -> str:
-    if not isinstance(value, str) or len(value) > LONGEST_REASON or not value.isprintable():
-        raise ValueError(f"not a line of up to {LONGEST_REASON} characters")
+def _decode_reason(value: Any) -> str:
+    if not isinstance(value, str) or len(value) > MAX_REASON_LENGTH or not value.isprintable():
+        raise ValueError(f"not a line of up to {MAX_REASON_LENGTH} characters")
     return value
 
 
-def _number(value: Any) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < HIGHEST_NUMBER:
+def _decode_number(value: Any) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < MAX_NUMBER:
         raise ValueError("no whole number from 0")
     return value
 
 
-def _digest(value: Any) -> str:
-    if not isinstance(value, str) or len(value) != 2 * DIGEST_SIZE or value.strip("0123456789abcdef"):
-        raise ValueError(f"not {2 * DIGEST_SIZE} digits of a digest")
+def _decode_digest(value: Any) -> str:
+    if not isinstance(value, str) or len(value) != 2 * DIGEST_BYTES or value.strip("0123456789abcdef"):
+        raise ValueError(f"not {2 * DIGEST_BYTES} digits of a digest")
     return value
 
 
-def _flag(value: Any) -> bool:
+def _decode_flag(value: Any) -> bool:
     if not isinstance(value, bool):
         raise ValueError("neither true nor false")
     return value
 
 
-def _time(value: Any) -> float:
+def _decode_time(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError("no number of milliseconds")
-    if not 0 <= value <= LONGEST_AGE:
-        raise ValueError(f"not from 0 to {LONGEST_AGE:g} milliseconds")
+    if not 0 <= value <= MAX_AGE_MS:
+        raise ValueError(f"not from 0 to {MAX_AGE_MS:g} milliseconds")
     return float(value)
 
 
-def _age(value: Any) -> float | None:
-    return None if value is None else _time(value)
+def _decode_age(value: Any) -> float | None:
+    return None if value is None else _decode_time(value)
 
 
-def _refusal(value: Any) -> Refusal | None:
+def _decode_refusal(value: Any) -> Refusal | None:
     if value is None:
         return None
     if not isinstance(value, dict) or value.keys() != {"revision", "reason"}:
         raise ValueError("neither null nor a revision with its reason")
-    return Refusal(_number(value["revision"]), _reason(value["reason"]))
+    return Refusal(_decode_number(value["revision"]), _decode_reason(value["reason"]))
 
 
-def _document(value: Any) -> dict[str, Any]:
-    check(value)
+def _decode_document(value: Any) -> dict[str, Any]:
+    validate(value)
     return value
 
 
-KINDS: dict[str, type] = {kind.__name__.lower(): kind for kind in Message.__args__}
-READERS: dict[str, Callable[[Any], Any]] = {
-    "node": _name, "zone": _name, "region": _name, "subscription": _number, "number": _number,
-    "revision": _number, "base": _number, "digest": _digest, "stale": _flag, "whole": _flag,
-    "queued": _flag, "confirmed": _flag, "refused": _refusal, "publisher": _name,
-    "document": _document, "changes": decode_changes, "age": _age, "wait": _time, "reason": _reason,
+MESSAGE_TYPES: dict[str, type] = {kind.__name__.lower(): kind for kind in Message.__args__}
+FIELD_DECODERS: dict[str, Callable[[Any], Any]] = {
+    "node": _decode_name, "zone": _decode_name, "region": _decode_name, "subscription": _decode_number,
+    "number": _decode_number, "revision": _decode_number, "base": _decode_number, "digest": _decode_digest,
+    "stale": _decode_flag, "whole": _decode_flag, "queued": _decode_flag, "confirmed": _decode_flag,
+    "refused": _decode_refusal, "publisher": _decode_name, "document": _decode_document,
+    "changes": decode_changes, "age": _decode_age, "wait": _decode_time, "reason": _decode_reason,
 }  # fmt: skip
--- a/caperdeck/distribution/node.py
+++ b/caperdeck/distribution/node.py
@@ -21,43 +21,47 @@
 
 from .publisher_selection import Place
 from .connection import WatchConnection
-from .messages import FromPublisher, Refusal, Subscribe, one_line
-from .subscriber import Action, Apply, Held, Leave, Phase, Send, State, Subscriber
-from .version_file import BLOCK, DiskError, Reserved, VersionFile, VersionFileError
+from .messages import PublisherMessage, Refusal, Subscribe, one_line
+from .subscriber import Action, Apply, HeldVersion, Leave, Phase, Send, State, Subscriber
+from .version_file import NUMBER_BLOCK, DiskError, ReservedNumbers, VersionFile, VersionFileError
 
-RESERVE_AGAIN = 5000.0  # ms until numbers are asked of a disk that failed once more
-FIRST_RETRY = 5000.0  # ms until a version that the disk did not take is written again; doubled each time
-LONGEST_RETRY = 60_000.0
-MOST_RETRIES = 30  # of one version: for a little over 27 minutes
-LEAST_WAIT = 1.0  # ms between two turns
+RESERVE_RETRY_MS = 5000.0  # ms until numbers are asked of a disk that failed once more
+FIRST_WRITE_RETRY_MS = (
+    5000.0  # ms until a version that the disk did not take is written again; doubled each time
+)
+MAX_WRITE_RETRY_MS = 60_000.0
+MAX_WRITE_RETRIES = 30  # of one version: for a little over 27 minutes
+MIN_TIMER_MS = 1.0  # ms between two turns
 
-Then = Callable[[Any], None]  # what the call gave, or the VersionFileError that it raised
-Disk = Callable[[Callable[[], Any], Then], None]  # makes a call that waits, and tells what came of it
+ResultCallback = Callable[[Any], None]  # what the call gave, or the VersionFileError that it raised
+DiskExecutor = Callable[
+    [Callable[[], Any], ResultCallback], None
+]  # makes a call that waits, and tells what came of it
 
 
 class UnservableError(Exception):
     """This node cannot serve the version; the text has the field and the reason."""
 
 
-class Unwritten(NamedTuple):
+class UnwrittenVersion(NamedTuple):
     """A version that the disk did not take."""
 
-    version: Held
-    tries: int
+    version: HeldVersion
+    attempts: int
 
     @property
-    def wait(self) -> float:
+    def retry_delay(self) -> float:
         """Until the next try, in ms."""
-        return min(FIRST_RETRY * 2 ** (self.tries - 1), LONGEST_RETRY)
+        return min(FIRST_WRITE_RETRY_MS * 2 ** (self.attempts - 1), MAX_WRITE_RETRY_MS)
 
 
-class Service(Protocol):
+class VersionUser(Protocol):
     """Whoever serves under the versions."""
 
-    def prepare(self, held: Held) -> Any:
+    def prepare(self, held: HeldVersion) -> Any:
         """Checks a version whole and changes nothing; raises UnservableError."""
 
-    def put_in_force(self, held: Held, prepared: Any) -> None:
+    def activate(self, held: HeldVersion, prepared: Any) -> None:
         """Serves under the version that was prepared, and nothing has been prepared since."""
 
 
@@ -70,10 +74,10 @@
         self.pool.threadFactory = partial(threading.Thread, daemon=True)
         self.pool.start()
 
-    def __call__(self, call: Callable[[], Any], then: Then) -> None:
+    def __call__(self, call: Callable[[], Any], callback: ResultCallback) -> None:
         deferred = deferToThreadPool(self.reactor, self.pool, call)
         deferred.addErrback(lambda failure: failure.trap(VersionFileError) and failure.value)
-        deferred.addCallback(then)
+        deferred.addCallback(callback)
         deferred.addErrback(lambda failure: logger.error("internal reason=exception {!r}", failure.value))
 
 
@@ -85,51 +89,52 @@
 
     def __init__(
         self, reactor: Any, clock: Callable[[], float], cluster: str, place: Place,
-        instances: dict[str, tuple[Place, Address]], file: VersionFile, disk: Disk, service: Service,
-        held: Held, refused: Refusal | None = None, date: Callable[[], float] = unix_time,
+        instances: dict[str, tuple[Place, Address]], file: VersionFile, disk: DiskExecutor,
+        service: VersionUser, held: HeldVersion, refused: Refusal | None = None,
+        date: Callable[[], float] = unix_time,
     ) -> None:  # fmt: skip
         self.reactor, self.clock, self.date = reactor, clock, date
         self.cluster, self.place, self.instances = cluster, place, instances
         self.file, self.disk, self.service = file, disk, service
-        self.in_force, self.refused = held, refused
+        self.active, self.refused = held, refused
         self.subscriber: Subscriber | None = None  # while it watches
         self.connection: WatchConnection | None = None
-        self.watched = ""  # the publisher of that connection
-        self.first: Subscribe | None = None  # goes out when the connection is up
-        self.end = 0  # numbers under it are reserved
+        self.watched_publisher = ""  # the publisher of that connection
+        self.subscribe_message: Subscribe | None = None  # goes out when the connection is up
+        self.numbers_end = 0  # numbers under it are reserved
         self.reserving = False
-        self.life = 0  # what was asked of the disk in an earlier one changes nothing
+        self.generation = 0  # what was asked of the disk in an earlier one changes nothing
         self.running = False
         self.timer: Any = None
         self.reserve_timer: Any = None
-        self.unwritten: Unwritten | None = None
+        self.unwritten: UnwrittenVersion | None = None
         self.retry_timer: Any = None
         self.writing = False  # a version is checked and not in force yet
-        self.waiting: list[Callable[[], None]] = []  # until that is so
+        self.after_write: list[Callable[[], None]] = []  # until that is so
         self.dropped: dict[str, int] = {}  # ends of connections, by reason
 
     def start(self) -> None:
-        """Watches from now on, once the disk has given numbers to it."""
+        """WatchServer from now on, once the disk has given numbers to it."""
         if not self.running:
             self.running = True
-            self.life += 1
+            self.generation += 1
             self._reserve()
 
     def stop(self) -> None:
-        """Watches no more; what is in force stays so. Another process of the node may watch."""
+        """WatchServer no more; what is in force stays so. Another process of the node may watch."""
         self.running = False
-        self.life += 1
+        self.generation += 1
         cancel(self.timer)
         cancel(self.reserve_timer)
         cancel(self.retry_timer)
         self._close()
         self.subscriber, self.reserving, self.writing = None, False, False
-        self._go_on()
+        self._run_waiting_calls()
 
     def after_writing(self, call: Callable[[], None]) -> bool:
         """Whether a version is being written; the call is then made when that has ended."""
         if self.writing:
-            self.waiting.append(call)
+            self.after_write.append(call)
         return self.writing
 
     @property
@@ -143,35 +148,35 @@
 
     def confirmed_at(self) -> float:
         """When what is in force was surely the newest version; minus infinity where that is not known."""
-        return self.subscriber.current_at if self.subscriber else float("-inf")
+        return self.subscriber.confirmed_at if self.subscriber else float("-inf")
 
     # ---- numbers
 
     def _reserve(self) -> None:
         self.reserving = True
-        self._on_disk(partial(self.file.reserve, self.date()), self._reserved)
+        self._run_on_disk(partial(self.file.reserve, self.date()), self._reserved)
 
-    def _reserved(self, result: Reserved | VersionFileError) -> None:
+    def _reserved(self, result: ReservedNumbers | VersionFileError) -> None:
         self.reserving = False
         if isinstance(result, VersionFileError):
             logger.error("version reason=disk {}", result)
             self.reserving = True
-            self.reserve_timer = self.reactor.callLater(RESERVE_AGAIN / 1000, self._reserve)
+            self.reserve_timer = self.reactor.callLater(RESERVE_RETRY_MS / 1000, self._reserve)
             return
-        self.end = result.end
+        self.numbers_end = result.end
         if self.subscriber is None:
-            self._take_up(result.held)
+            self._adopt(result.held)
             self._watch(result.first)
         else:
-            self.subscriber.number_from(result.first)
+            self.subscriber.reserve_numbers_from(result.first)
 
-    def _take_up(self, held: Held) -> None:
+    def _adopt(self, held: HeldVersion) -> None:
         """What another process of this node has left in the file."""
         refused = self.refused.revision if self.refused else 0
-        if held.revision <= max(self.in_force.revision, refused):
+        if held.revision <= max(self.active.revision, refused):
             return
         try:
-            self._put_in_force(held, self.service.prepare(held))
+            self._activate(held, self.service.prepare(held))
         except UnservableError as error:
             self._refuse(held, str(error))
 
@@ -179,7 +184,7 @@
         now, publishers = self.clock(), [place for place, _ in self.instances.values()]
         seed = int.from_bytes(os.urandom(4), "big")
         self.subscriber = Subscriber(
-            self.place, publishers, self.in_force, first, seed, now, self.refused,
+            self.place, publishers, self.active, first, seed, now, self.refused,
         )  # fmt: skip
         self._set_timer()
         self._set_retry()
@@ -190,13 +195,13 @@
         cancel(self.timer)
         if self.subscriber is None:
             return
-        wait = max(self.subscriber.due - self.clock(), LEAST_WAIT)
+        wait = max(self.subscriber.due - self.clock(), MIN_TIMER_MS)
         self.timer = self.reactor.callLater(wait / 1000, self._tick)
 
     def _tick(self) -> None:
-        self._carry_out(self.subscriber.tick(self.clock()))
+        self._execute(self.subscriber.tick(self.clock()))
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Send(publisher, message):
@@ -205,23 +210,23 @@
                     self._close()
                 case Apply(held):
                     self._apply(held)
-        self._mind_numbers()
+        self._reserve_more_numbers()
         self._set_timer()
 
-    def _mind_numbers(self) -> None:
+    def _reserve_more_numbers(self) -> None:
         """Reserves the next numbers when half of them are used."""
         if self.subscriber is None or self.reserving:
             return
-        if self.subscriber.number + BLOCK // 2 > self.end:
+        if self.subscriber.number + NUMBER_BLOCK // 2 > self.numbers_end:
             self._reserve()
 
     def _send(self, publisher: str, message: Any) -> None:
         # Danger: a later life of this node may use a number that is not reserved.
-        if message.number >= self.end:
-            self._drop("no-numbers")
+        if message.number >= self.numbers_end:
+            self._count_drop("no-numbers")
         elif isinstance(message, Subscribe):
             self._close()
-            self.first, self.watched = message, publisher
+            self.subscribe_message, self.watched_publisher = message, publisher
             address = self.instances[publisher][1]
             self.connection = WatchConnection(self.reactor, address, self.cluster, self)
         elif self.connection is not None:
@@ -232,34 +237,34 @@
             self.connection.close()
             self.connection = None
 
-    def _drop(self, reason: str) -> None:
+    def _count_drop(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # ---- of the connection
 
     def opened(self, connection: WatchConnection) -> None:
-        connection.send(self.first)
+        connection.send(self.subscribe_message)
 
-    def received(self, connection: WatchConnection) -> None:
-        self.subscriber.heard(self.clock(), self.watched)
+    def data_received(self, connection: WatchConnection) -> None:
+        self.subscriber.data_received(self.clock(), self.watched_publisher)
         self._set_timer()
 
-    def message(self, connection: WatchConnection, message: FromPublisher) -> None:
-        self._carry_out(self.subscriber.receive(self.clock(), self.watched, message))
+    def message_received(self, connection: WatchConnection, message: PublisherMessage) -> None:
+        self._execute(self.subscriber.receive(self.clock(), self.watched_publisher, message))
 
     def lost(self, connection: WatchConnection, reason: str) -> None:
-        self._drop(reason)
+        self._count_drop(reason)
         self.connection = None
-        self._carry_out(self.subscriber.lost(self.clock(), self.watched))
+        self._execute(self.subscriber.lost(self.clock(), self.watched_publisher))
 
     # ---- versions
 
-    def _apply(self, held: Held) -> None:
+    def _apply(self, held: HeldVersion) -> None:
         self.unwritten = None
         cancel(self.retry_timer)
         self._write(held)
 
-    def _write(self, held: Held) -> None:
+    def _write(self, held: HeldVersion) -> None:
         try:
             prepared = self.service.prepare(held)
         except UnservableError as error:
@@ -269,68 +274,68 @@
             self._refuse_fault(held, error)
             return
         self.writing = True
-        self._on_disk(partial(self.file.keep, held), partial(self._kept, held, prepared))
+        self._run_on_disk(partial(self.file.save, held), partial(self._saved, held, prepared))
 
-    def _kept(self, held: Held, prepared: Any, result: VersionFileError | None) -> None:
+    def _saved(self, held: HeldVersion, prepared: Any, result: VersionFileError | None) -> None:
         self.writing = False
         if isinstance(result, DiskError):
             self._refuse_unwritten(held, result)
         elif result is not None:
             self._refuse(held, str(result))
-        elif self._put_in_force(held, prepared):
-            self._carry_out(self.subscriber.applied(self.clock(), held.revision))
-        self._go_on()
+        elif self._activate(held, prepared):
+            self._execute(self.subscriber.applied(self.clock(), held.revision))
+        self._run_waiting_calls()
 
-    def _put_in_force(self, held: Held, prepared: Any) -> bool:
+    def _activate(self, held: HeldVersion, prepared: Any) -> bool:
         try:
-            self.service.put_in_force(held, prepared)
+            self.service.activate(held, prepared)
         except Exception as error:  # a fault of this program, whatever it is
             self._refuse_fault(held, error)
             return False
-        self.in_force = held
+        self.active = held
         if self.refused is not None and self.refused.revision == held.revision:
             self.refused = None
         logger.info("version in-force revision={} digest={}", held.revision, held.digest)
         return True
 
-    def _refuse(self, held: Held, reason: str) -> None:
+    def _refuse(self, held: HeldVersion, reason: str) -> None:
         self.refused = Refusal(held.revision, one_line(reason))
         logger.error("version refused revision={} {}", held.revision, self.refused.reason)
         if self.subscriber is not None:
-            self._carry_out(self.subscriber.refused(self.clock(), held.revision, reason))
+            self._execute(self.subscriber.refused(self.clock(), held.revision, reason))
 
-    def _refuse_fault(self, held: Held, error: Exception) -> None:
+    def _refuse_fault(self, held: HeldVersion, error: Exception) -> None:
         # Danger: a version that is neither applied nor refused would keep out all later ones.
         self._refuse(held, f"internal: {error!r}")
 
     # ---- a disk that did not take a version
 
-    def _refuse_unwritten(self, held: Held, error: DiskError) -> None:
-        before = self.unwritten.tries if self.unwritten is not None else 0
-        self.unwritten = Unwritten(held, before + 1) if before < MOST_RETRIES else None
+    def _refuse_unwritten(self, held: HeldVersion, error: DiskError) -> None:
+        attempts = self.unwritten.attempts if self.unwritten is not None else 0
+        self.unwritten = UnwrittenVersion(held, attempts + 1) if attempts < MAX_WRITE_RETRIES else None
         self._set_retry()
         self._refuse(held, str(error))
 
     def _set_retry(self) -> None:
         cancel(self.retry_timer)
         if self.unwritten is not None:
-            self.retry_timer = self.reactor.callLater(self.unwritten.wait / 1000, self._retry)
+            self.retry_timer = self.reactor.callLater(self.unwritten.retry_delay / 1000, self._retry)
 
     def _retry(self) -> None:
         version = self.unwritten.version
         if self.subscriber.retry(version):
             self._write(version)
 
-    def _go_on(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for call in waiting:
+    def _run_waiting_calls(self) -> None:
+        calls, self.after_write = self.after_write, []
+        for call in calls:
             call()
 
-    def _on_disk(self, call: Callable[[], Any], then: Then) -> None:
-        life = self.life
+    def _run_on_disk(self, call: Callable[[], Any], callback: ResultCallback) -> None:
+        generation = self.generation
 
-        def told(result: Any) -> None:
-            if life == self.life:
-                then(result)
+        def finished(result: Any) -> None:
+            if generation == self.generation:
+                callback(result)
 
-        self.disk(call, told)
+        self.disk(call, finished)
--- a/caperdeck/distribution/publisher_selection.py
+++ b/caperdeck/distribution/publisher_selection.py
@@ -19,16 +19,16 @@
     region: str
 
 
-def weight(node: str, publisher: str) -> bytes:
+def rendezvous_weight(node: str, publisher: str) -> bytes:
     return hashlib.blake2b(f"{node}\0{publisher}".encode(), digest_size=8).digest()
 
 
-def preferred(node: Place, publishers: Iterable[Place]) -> list[Place]:
+def publishers_by_preference(node: Place, publishers: Iterable[Place]) -> list[Place]:
     """All publishers, the best first: of the node's zone, then of its region, then any."""
 
-    def rank(publisher: Place) -> tuple[int, bytes]:
+    def preference(publisher: Place) -> tuple[int, bytes]:
         if publisher.region != node.region:
-            return 2, weight(node.name, publisher.name)
-        return int(publisher.zone != node.zone), weight(node.name, publisher.name)
+            return 2, rendezvous_weight(node.name, publisher.name)
+        return int(publisher.zone != node.zone), rendezvous_weight(node.name, publisher.name)
 
-    return sorted(publishers, key=rank)
+    return sorted(publishers, key=preference)
--- a/caperdeck/distribution/stream.py
+++ b/caperdeck/distribution/stream.py
@@ -13,42 +13,42 @@
 
 from caperdeck.raft.codec import FrameError, encode_frame, decode_frame
 
-from .document import LARGEST_DOCUMENT
-from .messages import FromNode, FromPublisher, Message, MessageError, message_of
+from .document import MAX_DOCUMENT_BYTES
+from .messages import NodeMessage, PublisherMessage, Message, MessageError, message_from_json
 from .messages import encode as encode_message
 
 WATCH = "watch"  # kind of frame
-LENGTH = struct.Struct("!I")
-LONGEST_FROM_NODE = 8 << 10  # bytes of a frame
-LONGEST_FROM_PUBLISHER = LARGEST_DOCUMENT + (64 << 10)
+LENGTH_PREFIX = struct.Struct("!I")
+MAX_NODE_FRAME_BYTES = 8 << 10  # bytes of a frame
+MAX_PUBLISHER_FRAME_BYTES = MAX_DOCUMENT_BYTES + (64 << 10)
 
 
 def encode(message: Message, cluster: str) -> bytes:
     """The whole encode_frame, its length first."""
     data = encode_frame(cluster, WATCH, orjson.Fragment(encode_message(message)))
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
-def decode_from_publisher(data: bytes, cluster: str) -> FromPublisher:
+def decode_from_publisher(data: bytes, cluster: str) -> PublisherMessage:
     """The message of a frame without its length; raises FrameError."""
-    if len(data) > LONGEST_FROM_PUBLISHER:
+    if len(data) > MAX_PUBLISHER_FRAME_BYTES:
         raise FrameError("too-long")
     name, fields = decode_frame(data, cluster)
-    return _message(name, fields, FromPublisher)
+    return _message(name, fields, PublisherMessage)
 
 
-def message_from_node(name: Any, fields: Any, size: int) -> FromNode:
+def message_from_node(name: Any, fields: Any, size: int) -> NodeMessage:
     """The message of an unwrapped frame that had so many bytes; raises FrameError."""
-    if size > LONGEST_FROM_NODE:
+    if size > MAX_NODE_FRAME_BYTES:
         raise FrameError("too-long")
-    return _message(name, fields, FromNode)
+    return _message(name, fields, NodeMessage)
 
 
 def _message(name: Any, fields: Any, allowed: Any) -> Any:
     if name != WATCH:
         raise FrameError("unknown-kind")
     try:
-        message = message_of(fields)
+        message = message_from_json(fields)
     except MessageError:
         raise FrameError("bad-message") from None
     if not isinstance(message, allowed):
--- a/caperdeck/distribution/table.py
+++ b/caperdeck/distribution/table.py
@@ -10,13 +10,17 @@
 from typing import Any, NamedTuple
 
 from .document import (
-    DIGEST_SIZE, EMPTY, LARGEST_DOCUMENT, Change, Document, DocumentError, apply, canonical, check,
-    decode_changes, difference, digest, encode_changes, patched,
+    DIGEST_BYTES, EMPTY_DOCUMENT, MAX_DOCUMENT_BYTES, Change, Document, DocumentError, apply_changes,
+    apply_unchecked, canonical, decode_changes, difference, digest, encode_changes, validate,
 )  # fmt: skip
 
-MOST_HISTORY = 32  # versions that a delta can begin at, each with its document; before that, a snapshot
-LARGEST_HISTORY = 4 << 20  # bytes of the changes between them
-LARGEST_CHANGES = LARGEST_DOCUMENT + (512 << 10)  # bytes of one command's; in base 64 it fits into a frame
+MAX_HISTORY_VERSIONS = (
+    32  # versions that a delta can begin at, each with its document; before that, a snapshot
+)
+MAX_HISTORY_BYTES = 4 << 20  # bytes of the changes between them
+MAX_CHANGES_BYTES = MAX_DOCUMENT_BYTES + (
+    512 << 10
+)  # bytes of one command's; in base 64 it fits into a frame
 
 
 class Version(NamedTuple):
@@ -28,10 +32,10 @@
     chain: str  # digest over all versions up to this one: equal only where all history is equal
 
 
-FIRST = Version(0, 0, digest(EMPTY), "")
+INITIAL_VERSION = Version(0, 0, digest(EMPTY_DOCUMENT), "")
 
 
-class Step(NamedTuple):
+class HistoryEntry(NamedTuple):
     """One version of the history. Documents share what did not change between them."""
 
     version: Version
@@ -40,44 +44,44 @@
     size: int  # bytes of the changes
 
 
-def propose(table: Versions, on: int, document: Any, term: int) -> dict[str, Any]:
+def publish_command(table: VersionTable, base: int, document: Any, term: int) -> dict[str, Any]:
     """The command that makes this document the version after `on`, the newest one that its author has read.
 
     Raises DocumentError, with the field and the reason, where it cannot be one.
     """
-    check(document)
-    if on != table.newest.revision:
-        raise DocumentError(f"on: builds on {on}, {table.newest.revision} is the newest")
+    validate(document)
+    if base != table.newest.revision:
+        raise DocumentError(f"on: builds on {base}, {table.newest.revision} is the newest")
     rows = encode_changes(difference(table.document, document))
     if not rows:
         raise DocumentError("changes: none, this document is the newest version")
-    check_changes(rows)
-    return {"do": "publish", "on": on, "term": term, "digest": digest(document), "changes": rows}
+    check_changes_size(rows)
+    return {"do": "publish", "on": base, "term": term, "digest": digest(document), "changes": rows}
 
 
-def check_changes(rows: list[Any]) -> None:
+def check_changes_size(rows: list[Any]) -> None:
     """Raises DocumentError where they are too large for one command or delta."""
-    if (size := len(canonical(rows))) > LARGEST_CHANGES:
-        raise DocumentError(f"changes: {size} bytes, over {LARGEST_CHANGES}")
+    if (size := len(canonical(rows))) > MAX_CHANGES_BYTES:
+        raise DocumentError(f"changes: {size} bytes, over {MAX_CHANGES_BYTES}")
 
 
-class Versions:
+class VersionTable:
     """The replicated table. An answer has `ok`, or `no` with field and reason; refused changes nothing.
 
     `history` is alike at all instances.
     """
 
-    def __init__(self, history: int = MOST_HISTORY) -> None:
-        self.history = history
+    def __init__(self, max_history: int = MAX_HISTORY_VERSIONS) -> None:
+        self.max_history = max_history
         self.load(None)
 
     @property
     def newest(self) -> Version:
-        return self.steps[-1].version
+        return self.history[-1].version
 
     @property
     def document(self) -> Document:
-        return self.steps[-1].document
+        return self.history[-1].document
 
     def apply(self, command: Any) -> dict[str, Any]:
         try:
@@ -87,63 +91,65 @@
         return {"ok": True, "revision": version.revision, "digest": version.digest}
 
     def dump(self) -> Any:
-        oldest = self.steps[0]
-        later = [[list(step.version), step.changes] for step in self.steps[1:]]
+        oldest = self.history[0]
+        later = [[list(entry.version), entry.changes] for entry in self.history[1:]]
         return {"oldest": [list(oldest.version), oldest.document], "later": later}
 
     def load(self, state: Any) -> None:
-        version, document = state["oldest"] if state else (FIRST, EMPTY)
-        self.steps = [Step(Version(*version), document, [], 0)]
+        version, document = state["oldest"] if state else (INITIAL_VERSION, EMPTY_DOCUMENT)
+        self.history = [HistoryEntry(Version(*version), document, [], 0)]
         for version, changes in state["later"] if state else []:
-            document = patched(document, decode_changes(changes))
-            self.steps.append(Step(Version(*version), document, changes, len(canonical(changes))))
+            document = apply_unchecked(document, decode_changes(changes))
+            self.history.append(HistoryEntry(Version(*version), document, changes, len(canonical(changes))))
 
-    def delta(self, revision: int, known: str) -> tuple[Change, ...] | None:
+    def delta(self, revision: int, known_digest: str) -> tuple[Change, ...] | None:
         """The changes from that version to the newest; None where it is too old, or has another digest, or
         where the whole document is not longer than they could be.
         """
-        for step in self.steps:
-            if step.version.revision == revision and step.version.digest == known:
-                changes = difference(step.document, self.document)
+        for entry in self.history:
+            if entry.version.revision == revision and entry.version.digest == known_digest:
+                changes = difference(entry.document, self.document)
                 # Danger: a path is written with each change, and so they may not fit into a frame.
-                return changes if len(canonical(encode_changes(changes))) <= LARGEST_DOCUMENT else None
+                return changes if len(canonical(encode_changes(changes))) <= MAX_DOCUMENT_BYTES else None
         return None
 
     def _publish(self, command: Any) -> Version:
         if not isinstance(command, dict) or command.get("do") != "publish":
             raise DocumentError("do: unknown command")
-        on, term = _count(command, "on"), _count(command, "term")
-        if on != self.newest.revision:
-            raise DocumentError(f"on: builds on {on}, {self.newest.revision} is the newest")
+        base, term = _non_negative(command, "on"), _non_negative(command, "term")
+        if base != self.newest.revision:
+            raise DocumentError(f"on: builds on {base}, {self.newest.revision} is the newest")
         if term < self.newest.term:
             raise DocumentError(f"term: {term} is older than {self.newest.term}, that of the newest")
-        if not isinstance(known := command.get("digest"), str):
+        if not isinstance(new_digest := command.get("digest"), str):
             raise DocumentError("digest: no text")
         changes = decode_changes(command.get("changes"))
-        check_changes(command["changes"])
-        document = apply(self.document, changes, known)
-        check(document)
-        if known == self.newest.digest:
+        check_changes_size(command["changes"])
+        document = apply_changes(self.document, changes, new_digest)
+        validate(document)
+        if new_digest == self.newest.digest:
             raise DocumentError("changes: none, this document is the newest version")
-        version = Version(on + 1, term, known, self._chain(on + 1, term, known))
-        self._keep(Step(version, document, command["changes"], len(canonical(command["changes"]))))
+        version = Version(base + 1, term, new_digest, self._chain(base + 1, term, new_digest))
+        self._append_to_history(
+            HistoryEntry(version, document, command["changes"], len(canonical(command["changes"])))
+        )
         return version
 
-    def _chain(self, revision: int, term: int, known: str) -> str:
-        text = canonical([self.newest.chain, revision, term, known])
-        return hashlib.blake2b(text, digest_size=DIGEST_SIZE).hexdigest()
+    def _chain(self, revision: int, term: int, new_digest: str) -> str:
+        text = canonical([self.newest.chain, revision, term, new_digest])
+        return hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
-    def _keep(self, step: Step) -> None:
-        self.steps.append(step)
-        while len(self.steps) > self.history or self._too_large():
-            del self.steps[0]
+    def _append_to_history(self, entry: HistoryEntry) -> None:
+        self.history.append(entry)
+        while len(self.history) > self.max_history or self._history_too_large():
+            del self.history[0]
 
-    def _too_large(self) -> bool:
-        # The first step needs no changes; the newest is kept whatever its size.
-        return len(self.steps) > 1 and sum(step.size for step in self.steps[1:]) > LARGEST_HISTORY
+    def _history_too_large(self) -> bool:
+        # The first entry needs no changes; the newest is kept whatever its size.
+        return len(self.history) > 1 and sum(entry.size for entry in self.history[1:]) > MAX_HISTORY_BYTES
 
 
-def _count(command: dict[str, Any], field: str) -> int:
+def _non_negative(command: dict[str, Any], field: str) -> int:
     value = command.get(field)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise DocumentError(f"{field}: no whole number from 0")
--- a/caperdeck/distribution/version_file.py
+++ b/caperdeck/distribution/version_file.py
@@ -1,6 +1,6 @@
 """The file in which a node keeps the version in force and the numbers that it has used.
 
-Two lines: a JSON header with its own digest, and the document as canonical JSON. It is written whole: a
+Two lines: a JSON header with its own digest, and the document as canonical JSON. It is written valid: a
 new file, fsync, rename, fsync of the folder. The calls wait for the disk, and for another process.
 """
 
@@ -17,16 +17,16 @@
 
 from caperdeck.state.durable import replace_durably
 
-from .document import DIGEST_SIZE, LARGEST_DOCUMENT, DocumentError, canonical, check
-from .messages import HIGHEST_NUMBER
-from .subscriber import NOTHING, Held
+from .document import DIGEST_BYTES, MAX_DOCUMENT_BYTES, DocumentError, canonical, validate
+from .messages import MAX_NUMBER
+from .subscriber import NO_VERSION, HeldVersion
 
-FILE, NEW, LOCK = "version", "version.new", "version.lock"
-FORMAT = 1
-LARGEST = LARGEST_DOCUMENT + (64 << 10)  # bytes
+FILE_NAME, TEMPORARY_NAME, LOCK_NAME = "version", "version.new", "version.lock"
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = MAX_DOCUMENT_BYTES + (64 << 10)  # bytes
 # Numbers that are reserved at once; a node uses one to two a second. A start skips those of the life before.
 # So many ms later the Unix time is past them, where a node that has lost its file begins.
-BLOCK = 10_000
+NUMBER_BLOCK = 10_000
 
 
 class VersionFileError(Exception):
@@ -45,119 +45,119 @@
     """The file is another node's, or of another cluster."""
 
 
-class Kept(NamedTuple):
+class FileContent(NamedTuple):
     """What the file holds. All numbers under `numbers` may have been used."""
 
-    held: Held
-    numbers: int
+    held: HeldVersion
+    next_number: int
 
 
-class Reserved(NamedTuple):
+class ReservedNumbers(NamedTuple):
     """Numbers from `first` to under `end` are this process's; `held` is what the file has."""
 
-    held: Held
+    held: HeldVersion
     first: int
     end: int
 
 
-EMPTY_FILE = Kept(NOTHING, 0)
+EMPTY_CONTENT = FileContent(NO_VERSION, 0)
 
 
 class VersionFile:
     def __init__(self, folder: str, cluster: str, node: str) -> None:
-        self.folder, self.path = folder, os.path.join(folder, FILE)
+        self.folder, self.path = folder, os.path.join(folder, FILE_NAME)
         self.cluster, self.node = cluster, node
-        self.numbers = 0  # reserved by this process
+        self.reserved_end = 0  # reserved by this process
 
-    def read(self) -> Kept:
+    def read(self) -> FileContent:
         """What is there; nothing where there is no file. Raises VersionFileError."""
         try:
             with open(self.path, "rb") as file:
-                data = file.read(LARGEST + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
-            return EMPTY_FILE
+            return EMPTY_CONTENT
         except OSError as error:
             raise VersionFileError(f"{self.path}: {error.strerror}") from None
         return self._decode(data)
 
-    def keep(self, held: Held) -> None:
+    def save(self, held: HeldVersion) -> None:
         """This version in place of the one before; raises VersionFileError, and then the old one is there."""
         with self._locked():
-            kept = self._read_or_empty()
+            content = self._read_or_empty()
             # Danger: a process that hands its work on would put an older version over its successor's.
-            if kept.held.revision > held.revision:
-                raise VersionFileError(f"{self.path}: revision {kept.held.revision} is there already")
-            self._write(Kept(held, max(kept.numbers, self.numbers)))
+            if content.held.revision > held.revision:
+                raise VersionFileError(f"{self.path}: revision {content.held.revision} is there already")
+            self._write(FileContent(held, max(content.next_number, self.reserved_end)))
 
-    def reserve(self, now: float) -> Reserved:
+    def reserve(self, now: float) -> ReservedNumbers:
         """Numbers that no life of this node has used. Raises VersionFileError.
 
         Not under the Unix time in ms: a node whose file is lost or damaged begins above its earlier lives'.
         """
         with self._locked():
-            kept = self._read_or_empty()
-            first = max(kept.numbers, self.numbers, int(now))
-            if first + BLOCK >= HIGHEST_NUMBER:
+            content = self._read_or_empty()
+            first = max(content.next_number, self.reserved_end, int(now))
+            if first + NUMBER_BLOCK >= MAX_NUMBER:
                 raise VersionFileError(f"{self.path}: no numbers are left")
-            self._write(Kept(kept.held, first + BLOCK))
-            self.numbers = first + BLOCK
-        return Reserved(kept.held, first, first + BLOCK)
+            self._write(FileContent(content.held, first + NUMBER_BLOCK))
+            self.reserved_end = first + NUMBER_BLOCK
+        return ReservedNumbers(content.held, first, first + NUMBER_BLOCK)
 
     # ---- reading
 
-    def _read_or_empty(self) -> Kept:
+    def _read_or_empty(self) -> FileContent:
         try:
             return self.read()
         except DamagedFileError:
-            return EMPTY_FILE
+            return EMPTY_CONTENT
 
-    def _decode(self, data: bytes) -> Kept:
-        first, _, rest = data.partition(b"\n")
+    def _decode(self, data: bytes) -> FileContent:
+        first_line, _, rest = data.partition(b"\n")
         try:
-            header = orjson.loads(first)
-            said = header.pop("check")
+            header = orjson.loads(first_line)
+            checksum = header.pop("check")
             document = orjson.loads(rest)
-            check(document)
-            whole = said == _sum(header) and header["digest"] == _digest(rest)
+            validate(document)
+            valid = checksum == _checksum(header) and header["digest"] == _digest(rest)
         except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError, DocumentError):
-            whole = False
-        if not whole or header["format"] != FORMAT:
+            valid = False
+        if not valid or header["format"] != FORMAT_VERSION:
             raise DamagedFileError(f"{self.path}: damaged, counted as nothing held")
         if (header["cluster"], header["node"]) != (self.cluster, self.node):
             raise ForeignFileError(f"{self.path}: of node {header['node']} of {header['cluster']}")
-        return Kept(Held(header["revision"], header["digest"], document), header["numbers"])
+        return FileContent(HeldVersion(header["revision"], header["digest"], document), header["numbers"])
 
     # ---- writing
 
-    def _encode(self, kept: Kept) -> bytes:
+    def _encode(self, content: FileContent) -> bytes:
         header = {
-            "format": FORMAT, "cluster": self.cluster, "node": self.node, "revision": kept.held.revision,
-            "digest": kept.held.digest, "numbers": kept.numbers,
+            "format": FORMAT_VERSION, "cluster": self.cluster, "node": self.node,
+            "revision": content.held.revision, "digest": content.held.digest, "numbers": content.next_number,
         }  # fmt: skip
-        return canonical(header | {"check": _sum(header)}) + b"\n" + canonical(kept.held.document)
+        return canonical(header | {"check": _checksum(header)}) + b"\n" + canonical(content.held.document)
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
         """Alone among the processes of this node, of which an upgrade has two."""
         try:
-            with open(os.path.join(self.folder, LOCK), "ab") as lock:
+            with open(os.path.join(self.folder, LOCK_NAME), "ab") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX)
                 yield
         except OSError as error:
             raise DiskError(f"{self.path}: {error.strerror}") from None
 
-    def _write(self, kept: Kept) -> None:
-        new = os.path.join(self.folder, NEW)
+    def _write(self, content: FileContent) -> None:
+        new = os.path.join(self.folder, TEMPORARY_NAME)
         with open(new, "wb") as file:
-            file.write(self._encode(kept))
+            file.write(self._encode(content))
             file.flush()
             os.fsync(file.fileno())
         replace_durably(new, self.path)
 
 
 def _digest(data: bytes) -> str:
-    return hashlib.blake2b(data, digest_size=DIGEST_SIZE).hexdigest()
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _sum(header: Any) -> str:
+def _checksum(header: Any) -> str:
     return _digest(canonical(header))
--- a/caperdeck/distribution/watch_server.py
+++ b/caperdeck/distribution/watch_server.py
@@ -13,32 +13,32 @@
 from caperdeck.raft.codec import FrameError
 from caperdeck.raft.transport import FrameConnection
 
-from .messages import Busy, Closed, FromNode, FromPublisher, Subscribe
-from .publisher import BUSY_WAIT, Publisher, Send
-from .stream import LONGEST_FROM_NODE, LONGEST_FROM_PUBLISHER, encode, message_from_node
+from .messages import Busy, Closed, NodeMessage, PublisherMessage, Subscribe
+from .publisher import BUSY_RETRY_MS, Publisher, Send
+from .stream import MAX_NODE_FRAME_BYTES, MAX_PUBLISHER_FRAME_BYTES, encode, message_from_node
 
-MOST_WATCHES = 2048
-OTHER_FILES = 256  # descriptors of the process that are no watch
-TURNED_AWAY = 64  # connections beyond, that are told to come later
-MOST_UNSENT = LONGEST_FROM_PUBLISHER + (64 << 10)  # bytes that wait for one node
+MAX_WATCHES = 2048
+RESERVED_DESCRIPTORS = 256  # descriptors of the process that are no watch
+MAX_REJECTED_CONNECTIONS = 64  # connections beyond, that are told to come later
+MAX_UNSENT_BYTES = MAX_PUBLISHER_FRAME_BYTES + (64 << 10)  # bytes that wait for one node
 
-Key = tuple[str, int]  # a node, and the number of its subscription
+SubscriptionKey = tuple[str, int]  # a node, and the number of its subscription
 
 
-def most_watches() -> int:
+def max_watches() -> int:
     """As many as there are descriptors for."""
-    return max(min(MOST_WATCHES, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - OTHER_FILES), 1)
+    return max(min(MAX_WATCHES, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS), 1)
 
 
-class Watch:
+class WatchSession:
     """One connection that a node opened; a push producer of its transport."""
 
-    def __init__(self, watches: Watches, connection: FrameConnection) -> None:
-        self.watches, self.connection = watches, connection
-        self.key: Key | None = None  # until its Subscribe has come
-        self.full = self.ending = False
-        self.unsent = 0  # bytes written since it is full
-        connection.MAX_LENGTH = LONGEST_FROM_NODE
+    def __init__(self, server: WatchServer, connection: FrameConnection) -> None:
+        self.server, self.connection = server, connection
+        self.key: SubscriptionKey | None = None  # until its Subscribe has come
+        self.paused = self.closing = False
+        self.unsent_bytes = 0  # bytes written since it is full
+        connection.MAX_LENGTH = MAX_NODE_FRAME_BYTES
         connection.transport.unregisterProducer()
         connection.transport.registerProducer(self, True)
 
@@ -47,26 +47,26 @@
     def frame(self, name: Any, fields: Any, size: int) -> None:
         """Raises FrameError."""
         message = message_from_node(name, fields, size)
-        if self.ending:
+        if self.closing:
             return
         if isinstance(message, Subscribe):
-            self.watches.subscribe(self, message)
+            self.server.subscribe(self, message)
         elif self.key is None:
             raise FrameError("no-subscription")
         elif self.key != (message.node, message.subscription):
             raise FrameError("other-subscription")
         else:
-            self.watches.acknowledge(message)
+            self.server.acknowledge(message)
 
     def lost(self) -> None:
-        self.watches.lost(self)
+        self.server.lost(self)
 
     def pauseProducing(self) -> None:
-        self.full, self.unsent = True, 0
+        self.paused, self.unsent_bytes = True, 0
         self.connection.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        self.full = False
+        self.paused = False
         self.connection.transport.resumeProducing()
 
     def stopProducing(self) -> None:
@@ -74,104 +74,112 @@
 
     # ---- of the publisher
 
-    def put(self, data: bytes) -> None:
-        if self.ending:
+    def send(self, data: bytes) -> None:
+        if self.closing:
             return
-        self.unsent += len(data)
-        if self.full and self.unsent > MOST_UNSENT:
-            self.watches.drop("not-read")
+        self.unsent_bytes += len(data)
+        if self.paused and self.unsent_bytes > MAX_UNSENT_BYTES:
+            self.server.count_drop("not-read")
             self.abort()
         else:
             self.connection.transport.write(data)
 
-    def finish(self) -> None:
+    def close_after_writing(self) -> None:
         """Ends it once all is written; at once where the node does not read."""
-        if self.full:
+        if self.paused:
             self.abort()
         else:
-            self.ending = True
+            self.closing = True
             self.connection.transport.loseConnection()
 
     def abort(self) -> None:
-        self.ending = True
+        self.closing = True
         self.connection.abort()
 
 
-class Watches:
+class WatchServer:
     """All of them. `drop` counts, by reason, what was not taken."""
 
     def __init__(
-        self, publisher: Publisher, cluster: str, clock: Callable[[], float], drop: Callable[[str], None],
-        most: int,
+        self, publisher: Publisher, cluster: str, clock: Callable[[], float],
+        count_drop: Callable[[str], None], limit: int,
     ) -> None:  # fmt: skip
-        self.publisher, self.cluster, self.clock, self.drop, self.most = publisher, cluster, clock, drop, most
-        self.open: set[Watch] = set()
-        self.subscribed: dict[Key, Watch] = {}
-        self.newest: dict[str, Watch] = {}  # by node: a node has one subscription, whatever it has opened
-
-    def take(self, connection: FrameConnection) -> Watch:
+        self.publisher, self.cluster, self.clock, self.count_drop, self.limit = (
+            publisher,
+            cluster,
+            clock,
+            count_drop,
+            limit,
+        )
+        self.sessions: set[WatchSession] = set()
+        self.by_key: dict[SubscriptionKey, WatchSession] = {}
+        self.by_node: dict[
+            str, WatchSession
+        ] = {}  # by node: a node has one subscription, whatever it has opened
+
+    def accept(self, connection: FrameConnection) -> WatchSession:
         """A connection's first frame is of a watch; raises FrameError."""
-        if len(self.open) >= self.most + TURNED_AWAY:
+        if len(self.sessions) >= self.limit + MAX_REJECTED_CONNECTIONS:
             raise FrameError("too-many-watches")
-        watch = Watch(self, connection)
-        self.open.add(watch)
-        return watch
+        session = WatchSession(self, connection)
+        self.sessions.add(session)
+        return session
 
-    def subscribe(self, watch: Watch, message: Subscribe) -> None:
+    def subscribe(self, session: WatchSession, message: Subscribe) -> None:
         """Raises FrameError."""
         key = message.node, message.number
-        if watch.key is not None:
+        if session.key is not None:
             raise FrameError("second-subscription")
-        if key in self.subscribed:
+        if key in self.by_key:
             raise FrameError("old-subscription")
-        if len(self.open) > self.most:
-            self.drop("too-many-watches")
-            self.publisher.load.turned_away += 1
-            watch.put(encode(Busy(message.number, BUSY_WAIT), self.cluster))
-            watch.finish()
+        if len(self.sessions) > self.limit:
+            self.count_drop("too-many-watches")
+            self.publisher.peak_load.turned_away += 1
+            session.send(encode(Busy(message.number, BUSY_RETRY_MS), self.cluster))
+            session.close_after_writing()
             return
-        watch.key, self.subscribed[key] = key, watch
+        session.key, self.by_key[key] = key, session
         sends = self.publisher.receive(self.clock(), message)
         subscription = self.publisher.subscriptions.get(message.node)
         if subscription is not None and subscription.number == message.number:
-            before, self.newest[message.node] = self.newest.get(message.node), watch
-            if before is not None:
-                before.abort()
+            previous, self.by_node[message.node] = self.by_node.get(message.node), session
+            if previous is not None:
+                previous.abort()
         elif not sends:
             raise FrameError("old-subscription")
         self.send(sends)
 
-    def acknowledge(self, message: FromNode) -> None:
+    def acknowledge(self, message: NodeMessage) -> None:
         self.send(self.publisher.receive(self.clock(), message))
 
-    def lost(self, watch: Watch) -> None:
-        self.open.discard(watch)
-        if watch.key is None:
+    def lost(self, session: WatchSession) -> None:
+        self.sessions.discard(session)
+        if session.key is None:
             return
-        node, number = watch.key
-        del self.subscribed[watch.key]
-        if self.newest.get(node) is watch:
-            del self.newest[node]
-        self.send(self.publisher.gone(self.clock(), node, number))
+        node, number = session.key
+        del self.by_key[session.key]
+        if self.by_node.get(node) is session:
+            del self.by_node[node]
+        self.send(self.publisher.connection_lost(self.clock(), node, number))
 
     def send(self, sends: Iterable[Send]) -> None:
         for node, message in sends:
-            watch = self.subscribed.get((node, message.subscription))
-            if watch is not None:
-                self._send(watch, message)
+            session = self.by_key.get((node, message.subscription))
+            if session is not None:
+                self._send(session, message)
 
-    def _send(self, watch: Watch, message: FromPublisher) -> None:
-        watch.put(encode(message, self.cluster))
+    def _send(self, session: WatchSession, message: PublisherMessage) -> None:
+        session.send(encode(message, self.cluster))
         if isinstance(message, Busy | Closed):
-            watch.finish()
+            session.close_after_writing()
 
-    def figures(self) -> dict[str, int]:
-        load = self.publisher.load
+    def statistics(self) -> dict[str, int]:
+        load = self.publisher.peak_load
         return {
-            "open": len(self.open), "most": self.most, "connects_in_a_second": load.connects_in_a_second,
+            "open": len(self.sessions), "most": self.limit, "connects_in_a_second": load.connects_in_a_second,
             "snapshots_at_once": load.snapshots_at_once, "turned_away": load.turned_away,
         }  # fmt: skip
 
     def close(self) -> None:
-        for watch in list(self.open):
-            watch.abort()
+        for session in list(self.sessions):
+            session.abort()
--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from caperdeck.distribution.document import LARGEST_DOCUMENT
-from caperdeck.distribution.publisher import BUSY_WAIT, CONNECTS_A_SECOND, CONNECTS_AT_ONCE
-from caperdeck.distribution.subscriber import FIRST_TRY, SILENT
-from caperdeck.distribution.watch_server import MOST_WATCHES
+from caperdeck.distribution.document import MAX_DOCUMENT_BYTES
+from caperdeck.distribution.publisher import BUSY_RETRY_MS, MAX_CONNECTS_PER_SECOND, CONNECT_BURST
+from caperdeck.distribution.subscriber import RECONNECT_SPREAD_MS, PUBLISHER_SILENT_MS
+from caperdeck.distribution.watch_server import MAX_WATCHES
 from caperdeck.lifecycle.config import LARGEST
 
 from ..figure import Figure, figure, largest
@@ -76,7 +76,7 @@
             "a version's document",
             "B",
             version_bytes(fleet),
-            LARGEST_DOCUMENT,
+            MAX_DOCUMENT_BYTES,
             OWN_LIMIT,
         ),
         row(
@@ -85,7 +85,7 @@
             "watches at one instance",
             "",
             most_watches(fleet),
-            MOST_WATCHES,
+            MAX_WATCHES,
             f"{ZONE_WITH_ONE}; {OWN_LIMIT}",
         ),
         row(
@@ -208,8 +208,8 @@
     need, moved = Need.CONFIGURATION, moved_watches(fleet)
     most = most_watches(fleet)
     subscriptions = fleet.lines.each("distribution.subscribe_cpu", moved) * moved
-    refill = (moved - CONNECTS_AT_ONCE) / CONNECTS_A_SECOND
-    tried = largest([figure(FIRST_TRY / MS), refill])
+    refill = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
+    tried = largest([figure(RECONNECT_SPREAD_MS / MS), refill])
     return [
         row(
             need,
@@ -225,7 +225,7 @@
             "a control machine lost: watches at one of its region's others",
             "",
             most + moved,
-            MOST_WATCHES,
+            MAX_WATCHES,
             OWN_LIMIT,
         ),
         row(
@@ -240,7 +240,7 @@
             Kind.TIME,
             "a control machine lost: until all its nodes watch elsewhere",
             "s",
-            SILENT / MS + tried + BUSY_WAIT / MS,
+            PUBLISHER_SILENT_MS / MS + tried + BUSY_RETRY_MS / MS,
             fleet.target.configuration.within,
             "from the program's bounds: silence, tries spread or connects paced, one refusal with a wait",
         ),
--- a/caperdeck/lab/distribution/instance.py
+++ b/caperdeck/lab/distribution/instance.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from caperdeck.distribution.messages import FromNode
-from caperdeck.distribution.table import Versions
+from caperdeck.distribution.messages import NodeMessage
+from caperdeck.distribution.table import VersionTable
 from caperdeck.lab.suspension import Suspendable
 from caperdeck.raft.log import Entry
 from caperdeck.raft.sessions import Sessions
@@ -24,19 +24,19 @@
         super().__init__()
         self.world, self.number = world, number
         self.place = world.places[number]
-        self.machine = Sessions(Versions(HISTORY))
+        self.machine = Sessions(VersionTable(HISTORY))
         self.applied = 0
         self.isolated = False
         self.start()
 
     @property
-    def table(self) -> Versions:
+    def table(self) -> VersionTable:
         return self.machine.machine
 
     def start(self) -> None:
         """On its own disk: subscribers are forgotten, the table is not."""
         kept = self.machine.dump()
-        self.machine = Sessions(Versions(HISTORY))
+        self.machine = Sessions(VersionTable(HISTORY))
         self.machine.load(kept)
         self.publisher = self.world.publisher_kind(self.place.name, self.table, self.world.now)
         self.up, self.inbox = True, []
@@ -54,13 +54,13 @@
             self.machine.apply(entry)
         grown, self.applied = index > self.applied, max(index, self.applied)
         if grown:
-            self.send(self.publisher.changed(self.world.now))
-        self.publisher.confirmed(asked, self.table.newest.revision)
+            self.send(self.publisher.versions_changed(self.world.now))
+        self.publisher.newest_confirmed(asked, self.table.newest.revision)
 
     def proposed(self, entry: Entry) -> None:
         """In its log, and not committed: nothing follows from that."""
 
-    def receive(self, message: FromNode) -> None:
+    def receive(self, message: NodeMessage) -> None:
         self.send(self.publisher.receive(self.world.now, message))
 
     def send(self, sends: Iterable[Any]) -> None:
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.distribution.messages import FromPublisher
-from caperdeck.distribution.subscriber import NOTHING, Action, Apply, Held, Leave, Send
+from caperdeck.distribution.messages import PublisherMessage
+from caperdeck.distribution.subscriber import NO_VERSION, Action, Apply, HeldVersion, Leave, Send
 from caperdeck.lab.suspension import Suspendable
 
 from .surroundings import Surroundings
@@ -19,7 +19,7 @@
         super().__init__()
         self.world, self.number = world, number
         self.place = Place(f"n{number}", zone, region)
-        self.file = NOTHING  # what is in force too
+        self.file = NO_VERSION  # what is in force too
         self.refusal: tuple[int, str] | None = None
         self.highest = 0
         self.life = self.timers = 0
@@ -35,13 +35,13 @@
     def die(self, replaced: bool) -> None:
         self.up, self.suspended = False, False
         if replaced:
-            self.file, self.highest = NOTHING, 0
+            self.file, self.highest = NO_VERSION, 0
 
     def tick(self, timer: int) -> None:
         if timer == self.timers:
             self.carry_out(self.subscriber.tick(self.world.now))
 
-    def receive(self, publisher: str, message: FromPublisher) -> None:
+    def receive(self, publisher: str, message: PublisherMessage) -> None:
         """A late message may come to a later life."""
         self.carry_out(self.subscriber.receive(self.world.now, publisher, message))
 
@@ -61,7 +61,7 @@
         self.timers += 1
         self.world.at(max(self.subscriber.due - self.world.now, 1.0), self.act, self.tick, self.timers)
 
-    def put_in_force(self, life: int, version: Held) -> None:
+    def put_in_force(self, life: int, version: HeldVersion) -> None:
         if life != self.life:
             return
         if version.document.get("refused") and self.number % 2:
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -9,10 +9,10 @@
 import orjson
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.distribution.messages import FromNode, FromPublisher, Subscribe
+from caperdeck.distribution.messages import NodeMessage, PublisherMessage, Subscribe
 from caperdeck.distribution.publisher import Publisher
-from caperdeck.distribution.subscriber import Held, Subscriber
-from caperdeck.distribution.table import Versions, propose
+from caperdeck.distribution.subscriber import HeldVersion, Subscriber
+from caperdeck.distribution.table import VersionTable, publish_command
 from caperdeck.lab.events import Events
 from caperdeck.raft.log import Entry, Kind
 
@@ -46,7 +46,7 @@
         self.random = random.Random(seed)
         self.publisher_kind, self.subscriber_kind = publisher_kind, subscriber_kind
         self.log: list[Entry] = []
-        self.agreed = Versions()
+        self.agreed = VersionTable()
         self.committed: dict[int, tuple[str, float]] = {}  # by revision: digest, when
         self.leader: int | None = 0
         self.term = 1
@@ -95,7 +95,7 @@
         for number, instance in enumerate(self.instances):
             if instance.runs and (number == self.leader or instance.isolated or self.cut):
                 newest = instance.table.newest.revision
-                command = propose(instance.table, newest, self.next(change), self.term)
+                command = publish_command(instance.table, newest, self.next(change), self.term)
                 entry = Entry(self.term, Kind.COMMAND, orjson.dumps(command))
                 instance.proposed(entry)
                 if number == self.leader:
@@ -140,7 +140,7 @@
             for _ in range(1 + (self.random.random() < TORMENT_DOUBLE)):
                 self.at(self.random.uniform(*TORMENT_LATENCY), do, *args)
 
-    def to_publisher(self, node: Node, name: str, message: FromNode) -> None:
+    def to_publisher(self, node: Node, name: str, message: NodeMessage) -> None:
         in_force = node.file.revision, node.file.digest, node.refusal
         self.words[node.place.name, message.number] = in_force
         if isinstance(message, Subscribe):
@@ -153,7 +153,7 @@
             return
         self.deliver(node.place.name, name, instance.act, instance.receive, message)
 
-    def to_node(self, number: int, name: str, message: FromPublisher) -> None:
+    def to_node(self, number: int, name: str, message: PublisherMessage) -> None:
         node, instance = self.node_of[name], self.instances[number]
         if self.linked(node, instance):
             self.deliver(instance.place.name, name, node.act, node.receive, instance.place.name, message)
@@ -164,7 +164,7 @@
             self.deliver(node.place.name, name, instance.act, self.gone, instance, node.place.name, number)
 
     def gone(self, instance: Instance, name: str, number: int) -> None:
-        instance.send(instance.publisher.gone(self.now, name, number))
+        instance.send(instance.publisher.connection_lost(self.now, name, number))
 
     # ---- faults
 
@@ -199,5 +199,5 @@
 
     # ---- what is checked
 
-    def check_version(self, node: Node, version: Held) -> None:
+    def check_version(self, node: Node, version: HeldVersion) -> None:
         """A node is about to put a version in force."""
--- a/caperdeck/lab/distribution/surroundings.py
+++ b/caperdeck/lab/distribution/surroundings.py
@@ -7,9 +7,9 @@
 from typing import Any, Protocol
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.distribution.messages import FromNode, FromPublisher
+from caperdeck.distribution.messages import NodeMessage, PublisherMessage
 from caperdeck.distribution.publisher import Publisher
-from caperdeck.distribution.subscriber import Held, Subscriber
+from caperdeck.distribution.subscriber import HeldVersion, Subscriber
 from caperdeck.raft.log import Entry
 
 
@@ -31,14 +31,14 @@
     def is_current(self, number: int) -> bool:
         """Whether an instance runs and meets a majority that runs."""
 
-    def to_node(self, number: int, name: str, message: FromPublisher) -> None:
+    def to_node(self, number: int, name: str, message: PublisherMessage) -> None:
         """From the instance of that number to the node of that name."""
 
-    def to_publisher(self, node: Any, name: str, message: FromNode) -> None:
+    def to_publisher(self, node: Any, name: str, message: NodeMessage) -> None:
         """From a node to the instance of that name."""
 
     def left(self, node: Any, name: str) -> None:
         """A node has left the instance of that name."""
 
-    def check_version(self, node: Any, version: Held) -> None:
+    def check_version(self, node: Any, version: HeldVersion) -> None:
         """A node is about to put a version in force."""
--- a/caperdeck/lab/distribution/world.py
+++ b/caperdeck/lab/distribution/world.py
@@ -7,9 +7,9 @@
 from typing import Any, NamedTuple
 
 from caperdeck.distribution.document import digest
-from caperdeck.distribution.publisher import CONFIRMED_FOR
+from caperdeck.distribution.publisher import CONFIRMATION_VALID_MS
 from caperdeck.distribution.status import summarise
-from caperdeck.distribution.subscriber import CONFIRMED_WITHIN, Held, State
+from caperdeck.distribution.subscriber import STALE_AFTER_MS, HeldVersion, State
 
 from .instance import Instance
 from .node import Node
@@ -39,7 +39,7 @@
     def breach(self, rule: str, text: str) -> None:
         self.breaches.append(Breach(rule, f"at {self.now:.0f}: {text}"))
 
-    def check_version(self, node: Node, version: Held) -> None:
+    def check_version(self, node: Node, version: HeldVersion) -> None:
         """As it is put in force."""
         name, (revision, named, document) = node.place.name, version
         if revision < node.highest:
@@ -79,7 +79,7 @@
     def check_current(self, node: Node) -> None:
         """A node that calls itself current has the newest version of a moment not long ago."""
         if node.runs and node.subscriber.state(self.now) is State.CURRENT:
-            wanted = self.newest_before(self.now - CONFIRMED_WITHIN)
+            wanted = self.newest_before(self.now - STALE_AFTER_MS)
             if node.file.revision < wanted:
                 self.breach("current", f"{node.place.name} calls {node.file.revision} current, not {wanted}")
 
@@ -90,7 +90,7 @@
                 said = row.revision, row.digest, row.refused and tuple(row.refused)
                 if self.words.get((row.node, row.number)) != said:
                     self.breach("status", f"{status.publisher} has {row}, which was never so")
-            if status.confirmed and status.revision < self.newest_before(self.now - CONFIRMED_FOR):
+            if status.confirmed and status.revision < self.newest_before(self.now - CONFIRMATION_VALID_MS):
                 self.breach("status", f"{status.publisher} calls {status.revision} the newest")
         if statuses:
             self.check_summary(statuses)
@@ -98,10 +98,10 @@
     def check_summary(self, statuses: list[Any]) -> None:
         summary = summarise(statuses, self.node_of)
         said = {(node, words[0]) for (node, _), words in self.words.items()}
-        for name in summary.in_force:
+        for name in summary.up_to_date:
             if (name, summary.revision) not in said or name in summary.not_heard:
                 self.breach("status", f"{name} has never said that {summary.revision} is in force")
-        if len(summary.in_force) + len(summary.not_heard) > summary.of:
+        if len(summary.up_to_date) + len(summary.not_heard) > summary.expected:
             self.breach("status", "more nodes than there are")
 
 
--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from caperdeck.distribution.publisher_selection import preferred
+from caperdeck.distribution.publisher_selection import publishers_by_preference
 from caperdeck.lifecycle.merge import STAND_IN
 from caperdeck.owner.process import steady
 
@@ -76,7 +76,7 @@
 
 def preferring(run: InForceRun, instance: int) -> int:
     places, name = run.instances.places, f"o{instance}"
-    return sum(preferred(node, places)[0].name == name for node in run.places)
+    return sum(publishers_by_preference(node, places)[0].name == name for node in run.places)
 
 
 async def start_again(run: InForceRun, i: int) -> None:
--- a/caperdeck/lab/propagation/measured.py
+++ b/caperdeck/lab/propagation/measured.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import field
 
-from caperdeck.distribution.publisher import CONNECTS_A_SECOND, CONNECTS_AT_ONCE, SNAPSHOTS_AT_ONCE
+from caperdeck.distribution.publisher import MAX_CONNECTS_PER_SECOND, CONNECT_BURST, MAX_CONCURRENT_SNAPSHOTS
 from caperdeck.lab.scale.heartbeat import Late
 
 from .instances import Published, WatchFigures
@@ -269,14 +269,14 @@
 
 def past_bounds(watches: list[WatchFigures]) -> list[str]:
     """Instances that took more at once than they may."""
-    most = int(CONNECTS_AT_ONCE + CONNECTS_A_SECOND)
+    most = int(CONNECT_BURST + MAX_CONNECTS_PER_SECOND)
     wrong = [
         f"{row.instance} took {row.connects_in_a_second} connects within a second, over {most}"
         for row in watches if row.connects_in_a_second > most
     ]  # fmt: skip
     return wrong + [
-        f"{row.instance} sent {row.snapshots_at_once} snapshots at once, over {SNAPSHOTS_AT_ONCE}"
-        for row in watches if row.snapshots_at_once > SNAPSHOTS_AT_ONCE
+        f"{row.instance} sent {row.snapshots_at_once} snapshots at once, over {MAX_CONCURRENT_SNAPSHOTS}"
+        for row in watches if row.snapshots_at_once > MAX_CONCURRENT_SNAPSHOTS
     ]  # fmt: skip
 
 
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -17,7 +17,7 @@
 from twisted.internet import stdio
 
 from caperdeck.distribution.node import DiskThread
-from caperdeck.distribution.subscriber import Held, State
+from caperdeck.distribution.subscriber import HeldVersion, State
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scale.heartbeat import BEAT, Beats
@@ -75,8 +75,8 @@
     def take(self, config: Config) -> None:
         self.config = config
 
-    def put_in_force(self, held: Held, prepared: Config) -> None:
-        super().put_in_force(held, prepared)
+    def activate(self, held: HeldVersion, prepared: Config) -> None:
+        super().activate(held, prepared)
         self.put.append(InForce(self.name, held.revision, steady()))
 
 
--- a/caperdeck/lab/slopes/distribution.py
+++ b/caperdeck/lab/slopes/distribution.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from caperdeck.core.settings import MS
-from caperdeck.distribution.subscriber import HEARTBEAT
+from caperdeck.distribution.subscriber import HEARTBEAT_INTERVAL_MS
 
 from . import bench
 from .line import Point
@@ -45,7 +45,7 @@
 )  # fmt: skip
 SMALL = Sizes(
     watches=(2, 4, 6, 8), processes=2, documents=(1000, 2000, 4000, 8000), watches_by_size=4, small=1000,
-    unwatched=0.3, idle=HEARTBEAT / MS, answered=0.2, versions=2, history=3,
+    unwatched=0.3, idle=HEARTBEAT_INTERVAL_MS / MS, answered=0.2, versions=2, history=3,
 )  # fmt: skip
 
 
--- a/caperdeck/lifecycle/control.py
+++ b/caperdeck/lifecycle/control.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.distribution.messages import LONGEST_NAME
+from caperdeck.distribution.messages import MAX_NAME_LENGTH
 from caperdeck.state.addresses import Address
 
 from .config import ConfigError
@@ -50,7 +50,7 @@
 
 
 def _name(value: Any, key: str) -> str:
-    name = name_of(value, key, LONGEST_NAME)
+    name = name_of(value, key, MAX_NAME_LENGTH)
     # Danger: names are said to the instances, which refuse a message with one that cannot be printed.
     if not name.isprintable():
         raise TomlError(f"{key}: {name!r:.50} cannot be printed")
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -10,8 +10,8 @@
 from loguru import logger
 
 from caperdeck.distribution.messages import Refusal, one_line
-from caperdeck.distribution.node import Disk, DiskThread, NodeWatch, UnservableError
-from caperdeck.distribution.subscriber import NOTHING, Held, State
+from caperdeck.distribution.node import DiskExecutor, DiskThread, NodeWatch, UnservableError
+from caperdeck.distribution.subscriber import NO_VERSION, HeldVersion, State
 from caperdeck.distribution.version_file import ForeignFileError, VersionFile, VersionFileError
 from caperdeck.state.figures import escaped
 
@@ -26,11 +26,12 @@
     """`read_own` gives the node's own file as it is now, kept for merging; it raises ConfigError."""
 
     def __init__(
-        self, reactor: Any, control: Control, read_own: Callable[[], Config], disk: Disk | None = None,
+        self, reactor: Any, control: Control, read_own: Callable[[], Config],
+        disk: DiskExecutor | None = None,
     ) -> None:  # fmt: skip
         self.reactor, self.control, self.read_own, self.disk = reactor, control, read_own, disk
         self.file = VersionFile(control.folder, control.cluster, control.place.name)
-        self.held, self.refused = NOTHING, None  # at the start
+        self.held, self.refused = NO_VERSION, None  # at the start
         self.watch: NodeWatch | None = None
         self.service: Any = None
 
@@ -78,19 +79,19 @@
 
     def reread(self) -> Config:
         """The node's own file anew, with the version in force over it. Raises ConfigError."""
-        held = self.held if self.watch is None else self.watch.in_force
+        held = self.held if self.watch is None else self.watch.active
         return with_version(self.read_own(), held.document)
 
     # ---- of the watch
 
-    def prepare(self, held: Held) -> Config:
+    def prepare(self, held: HeldVersion) -> Config:
         try:
             return with_version(self.service.config, held.document)
         except ConfigError as error:
             self.service.desk.figures.invalid += 1
             raise UnservableError(str(error)) from None
 
-    def put_in_force(self, held: Held, prepared: Config) -> None:
+    def activate(self, held: HeldVersion, prepared: Config) -> None:
         self.service.take(prepared)
 
     # ---- figures
@@ -101,7 +102,7 @@
             return [f"app_config_revision {self.held.revision}", *_state_lines(State.STARTING)]
         age = watch.clock() - watch.confirmed_at()
         lines = [
-            f"app_config_revision {watch.in_force.revision}", *_state_lines(watch.state()),
+            f"app_config_revision {watch.active.revision}", *_state_lines(watch.state()),
             f"app_config_confirmed_ms {NEVER if age == float('inf') else round(age)}",
         ]  # fmt: skip
         if watch.refused is not None:
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -139,7 +139,7 @@
         self.driver.tick()
         self._watch(now)
         self._tell_watchers()
-        self.distribution.turn()
+        self.distribution.run_due()
         for work in self.runners:
             self._run(work)
         if self.closed:
@@ -281,7 +281,7 @@
             "me": self.config.me, "role": raft.role.name.lower(), "term": raft.term, "leader": raft.leader,
             "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last_index,
             "commit": raft.commit_index, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
-            "events": self.counted, "watches": self.distribution.watches.figures(),
+            "events": self.counted, "watches": self.distribution.watch_server.statistics(),
             # its own copy of the table below may lag behind what it was told
             "holds": {w: {"token": r.token, "left": round(r.holder.until - now)} for w, r in held.items()},
             "refused": {w: r.refused for w, r in self.runners.items() if r.refused},
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from caperdeck.distribution.table import Versions
+from caperdeck.distribution.table import VersionTable
 from caperdeck.leases.table import Table
 
 VERSIONS = "versions"  # key of a command for the versions; the command is its value
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.leases = Table()
-        self.versions = Versions()
+        self.versions = VersionTable()
 
     def apply(self, command: Any) -> dict[str, Any]:
         if is_for_leases(command):
--- a/tests/held_instance.py
+++ b/tests/held_instance.py
@@ -11,20 +11,20 @@
 import sys
 from pathlib import Path
 
-from caperdeck.distribution.watch_server import Watches
+from caperdeck.distribution.watch_server import WatchServer
 from caperdeck.owner import process
 
 
 def hold_at(order):
-    send = Watches._send
+    send = WatchServer._send
 
-    def held_send(watches, watch, message):
+    def held_send(server, session, message):
         if order.exists() and getattr(message, "revision", 0) >= int(order.read_text()):
             Path(f"{order}.held").touch()
             os.kill(os.getpid(), signal.SIGSTOP)
-        send(watches, watch, message)
+        send(server, session, message)
 
-    Watches._send = held_send
+    WatchServer._send = held_send
 
 
 if __name__ == "__main__":
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,9 +11,9 @@
 from caperdeck.__main__ import main
 from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import digest
-from caperdeck.distribution.subscriber import NOTHING, Held
+from caperdeck.distribution.subscriber import NO_VERSION, HeldVersion
 from caperdeck.distribution.version_file import (
-    BLOCK, DamagedFileError, ForeignFileError, VersionFile, VersionFileError,
+    NUMBER_BLOCK, DamagedFileError, ForeignFileError, VersionFile, VersionFileError,
 )  # fmt: skip
 from caperdeck.lifecycle.config import ConfigError, load_config
 from caperdeck.lifecycle.control import Instance, load_control
@@ -143,7 +143,7 @@
 
 def held(revision, document=None):
     document = document or {"settings": {"fleetSize": revision}}
-    return Held(revision, digest(document), document)
+    return HeldVersion(revision, digest(document), document)
 
 
 def version_file(folder, node="n1"):
@@ -151,23 +151,23 @@
 
 
 def test_a_version_and_the_numbers_come_back_and_never_go_back(tmp_path):
-    assert version_file(tmp_path).read() == (NOTHING, 0)
+    assert version_file(tmp_path).read() == (NO_VERSION, 0)
     first = version_file(tmp_path)
-    assert first.reserve(5000.0) == (NOTHING, 5000, 5000 + BLOCK)
-    first.keep(held(7))
+    assert first.reserve(5000.0) == (NO_VERSION, 5000, 5000 + NUMBER_BLOCK)
+    first.save(held(7))
     second = version_file(tmp_path)
-    assert second.read() == (held(7), 5000 + BLOCK)
-    assert second.reserve(6000.0) == (held(7), 5000 + BLOCK, 5000 + 2 * BLOCK)
-    second.keep(held(8))
+    assert second.read() == (held(7), 5000 + NUMBER_BLOCK)
+    assert second.reserve(6000.0) == (held(7), 5000 + NUMBER_BLOCK, 5000 + 2 * NUMBER_BLOCK)
+    second.save(held(8))
     with pytest.raises(VersionFileError, match="revision 8 is there already"):
-        first.keep(held(7))
-    assert second.read() == (held(8), 5000 + 2 * BLOCK)
+        first.save(held(7))
+    assert second.read() == (held(8), 5000 + 2 * NUMBER_BLOCK)
 
 
 def test_a_file_with_any_byte_changed_or_cut_off_counts_as_nothing_held(tmp_path):
     file = version_file(tmp_path)
     file.reserve(0.0)
-    file.keep(held(7))
+    file.save(held(7))
     path = tmp_path / "version"
     whole = path.read_bytes()
     damaged = [whole[:i] for i in range(len(whole))]
@@ -176,7 +176,7 @@
         path.write_bytes(data)
         with pytest.raises(DamagedFileError, match="damaged, counted as nothing held"):
             file.read()
-    assert version_file(tmp_path).reserve(9000.0).held == NOTHING
+    assert version_file(tmp_path).reserve(9000.0).held == NO_VERSION
 
 
 def test_a_node_that_loses_its_file_soon_after_a_restart_begins_above_its_earlier_lives(tmp_path):
@@ -189,9 +189,9 @@
 
 
 def test_another_nodes_file_is_not_taken_and_not_written_over(tmp_path):
-    version_file(tmp_path).keep(held(7))
+    version_file(tmp_path).save(held(7))
     other = version_file(tmp_path, "n2")
-    for call in (other.read, lambda: other.reserve(0.0), lambda: other.keep(held(9))):
+    for call in (other.read, lambda: other.reserve(0.0), lambda: other.save(held(9))):
         with pytest.raises(ForeignFileError, match="of node n1 of t"):
             call()
     assert version_file(tmp_path).read().held == held(7)
@@ -200,12 +200,12 @@
 @pytest.mark.parametrize("call", ["fsync", "replace"])
 def test_a_write_that_fails_leaves_the_version_before(tmp_path, monkeypatch, call):
     file = version_file(tmp_path)
-    file.keep(held(7))
+    file.save(held(7))
 
     def full(*_):
         raise OSError(errno.ENOSPC, "No space left on device")
 
     monkeypatch.setattr(os, call, full)
     with pytest.raises(VersionFileError, match="No space left on device"):
-        file.keep(held(8))
+        file.save(held(8))
     assert file.read().held == held(7)
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -15,12 +15,18 @@
 from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import digest
 from caperdeck.distribution.messages import Subscribe
-from caperdeck.distribution.node import LONGEST_RETRY
+from caperdeck.distribution.node import MAX_WRITE_RETRY_MS
 from caperdeck.distribution.publisher import Publisher
 from caperdeck.distribution.stream import encode, message_from_node
-from caperdeck.distribution.subscriber import ANSWER, IN_PARTS, Held, State, Subscriber
-from caperdeck.distribution.table import Versions, propose
-from caperdeck.distribution.version_file import BLOCK, DiskError, VersionFile, VersionFileError
+from caperdeck.distribution.subscriber import (
+    FIRST_ANSWER_MS,
+    PARTIAL_MESSAGE_MS,
+    HeldVersion,
+    State,
+    Subscriber,
+)
+from caperdeck.distribution.table import VersionTable, publish_command
+from caperdeck.distribution.version_file import NUMBER_BLOCK, DiskError, VersionFile, VersionFileError
 from caperdeck.lifecycle.config import load_config, reload_config
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import Sink
@@ -69,20 +75,20 @@
     """One publisher over a table that is agreed on at once; it confirms itself unless told otherwise."""
 
     def __init__(self, clock):
-        self.clock, self.table, self.confirms = clock, Versions(), True
+        self.clock, self.table, self.confirms = clock, VersionTable(), True
         self.publisher = Publisher("o0", self.table, clock())
         self.send_to = {}  # by node
         self.heard = []
 
     def publish(self, document):
         newest = self.table.newest.revision
-        assert self.table.apply(propose(self.table, newest, document, 1)).get("ok")
+        assert self.table.apply(publish_command(self.table, newest, document, 1)).get("ok")
         self.turn()
 
     def turn(self):
         if self.confirms:
-            self.publisher.confirmed(self.clock(), self.table.newest.revision)
-        self.send(self.publisher.changed(self.clock()))
+            self.publisher.newest_confirmed(self.clock(), self.table.newest.revision)
+        self.send(self.publisher.versions_changed(self.clock()))
         self.send(self.publisher.tick(self.clock()))
 
     def send(self, sends):
@@ -130,7 +136,7 @@
 
     @property
     def revision(self):
-        return self.watch.in_force.revision
+        return self.watch.active.revision
 
     def play(self, instances, seconds=3.0):
         """What the node and the instances say goes to and fro while the clock goes on."""
@@ -175,7 +181,7 @@
     return node, instances
 
 
-def test_a_version_is_kept_put_in_force_and_told_of(tmp_path):
+def test_a_version_is_kept_activate_and_told_of(tmp_path):
     node, instances = served(tmp_path, fleet_size(5), fleet_size(6))
     assert node.service.config.settings.nodes == 6 and node.watch.state() is State.CURRENT
     assert VersionFile(str(tmp_path), "t", "n1").read().held.document == fleet_size(6)
@@ -324,7 +330,7 @@
     tries = [line for line in log if "version refused revision=2" in line]
     assert len(tries) == 7  # at once and after 5, 15, 35, 75, 135, 195 s
     node.disk.full = False
-    node.play(instances, LONGEST_RETRY / 1000.0)
+    node.play(instances, MAX_WRITE_RETRY_MS / 1000.0)
     assert (node.revision, node.service.config.settings.nodes) == (2, 6)
     assert node.watch.refused is None and node.watch.state() is State.CURRENT
     (row,) = instances.publisher.status(instances.clock()).rows
@@ -333,7 +339,7 @@
 
 
 def test_a_version_is_written_again_so_many_times_and_not_once_there_is_a_newer_one(tmp_path, monkeypatch):
-    monkeypatch.setattr("caperdeck.distribution.node.MOST_RETRIES", 2)
+    monkeypatch.setattr("caperdeck.distribution.node.MAX_WRITE_RETRIES", 2)
     node, instances = served(tmp_path, fleet_size(5))
     node.disk.full = True
     with logged() as log:
@@ -349,7 +355,7 @@
     assert (node.revision, node.service.config.settings.nodes) == (4, 8)
 
 
-@pytest.mark.parametrize("step", ["prepare", "put_in_force"])
+@pytest.mark.parametrize("step", ["prepare", "activate"])
 def test_a_fault_of_the_program_refuses_the_version_and_the_next_one_is_taken(step, tmp_path, monkeypatch):
     # Danger: a version that is neither applied nor refused would keep out all later ones.
     node, instances = served(tmp_path, fleet_size(5))
@@ -396,7 +402,7 @@
 
 def test_no_number_is_used_twice_and_none_that_is_not_reserved(tmp_path):
     node, instances = served(tmp_path, fleet_size(5))
-    node.watch.subscriber.number_from(node.watch.end - 1)
+    node.watch.subscriber.reserve_numbers_from(node.watch.numbers_end - 1)
     node.disk.full = True
     before = len(instances.heard)
     node.play(instances)
@@ -405,7 +411,7 @@
     node.play(instances, 8.0)
     numbers = [message.number for message in instances.heard]
     assert numbers == sorted(set(numbers)) and len(numbers) > before
-    assert numbers[-1] >= START + BLOCK
+    assert numbers[-1] >= START + NUMBER_BLOCK
     highest, node = numbers[-1], Node(tmp_path).start()
     assert node.watch.subscriber.number > highest
 
@@ -427,21 +433,21 @@
 def test_what_a_process_writes_late_does_not_undo_its_successors_version(tmp_path):
     old, _ = served(tmp_path, fleet_size(5))
     new = VersionFile(str(tmp_path), "t", "n1")
-    new.keep(Held(3, digest(fleet_size(7)), fleet_size(7)))
+    new.save(HeldVersion(3, digest(fleet_size(7)), fleet_size(7)))
     with pytest.raises(VersionFileError, match="revision 3 is there already"):
-        old.published.file.keep(Held(2, digest(fleet_size(6)), fleet_size(6)))
+        old.published.file.save(HeldVersion(2, digest(fleet_size(6)), fleet_size(6)))
     assert new.read().held.revision == 3
 
 
 def test_a_part_of_a_message_counts_as_an_answer_for_a_while():
-    one = Subscriber(Place("n", "z", "r"), [Place("o0", "z", "r")], Held(0, digest({}), {}), 1, 7, 0.0)
+    one = Subscriber(Place("n", "z", "r"), [Place("o0", "z", "r")], HeldVersion(0, digest({}), {}), 1, 7, 0.0)
     one.tick(one.due)
     start = one.tried_at
-    one.heard(start + 700.0, "o0")
-    assert one.due == start + 700.0 + ANSWER
-    one.heard(start + 700.0, "o1")
-    one.heard(start + IN_PARTS + 1.0, "o0")
-    assert one.due == start + 700.0 + ANSWER
+    one.data_received(start + 700.0, "o0")
+    assert one.due == start + 700.0 + FIRST_ANSWER_MS
+    one.data_received(start + 700.0, "o1")
+    one.data_received(start + PARTIAL_MESSAGE_MS + 1.0, "o0")
+    assert one.due == start + 700.0 + FIRST_ANSWER_MS
 
 
 # ---- the revision in force never goes back
@@ -464,7 +470,7 @@
             case "full" | "free":
                 node.disk.full = event == "full"
             case "older":  # an instance that has forgotten all but its first version
-                instances.table = Versions()
+                instances.table = VersionTable()
                 instances.publisher = Publisher("o0", instances.table, instances.clock())
                 instances.publish(fleet_size(99))
             case "reload":
@@ -486,7 +492,7 @@
         highest = node.revision
         assert (
             node.service.config.settings.nodes
-            == node.watch.in_force.document.get("settings", {"fleetSize": 3})["fleetSize"]
+            == node.watch.active.document.get("settings", {"fleetSize": 3})["fleetSize"]
         )
 
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -8,33 +8,42 @@
 from hypothesis import strategies as st
 
 from caperdeck.distribution import document, publisher, subscriber, table
-from caperdeck.distribution.publisher_selection import Place, preferred
-from caperdeck.distribution.document import DocumentError, apply, difference, digest
+from caperdeck.distribution.publisher_selection import Place, publishers_by_preference
+from caperdeck.distribution.document import DocumentError, apply_changes, difference, digest
 from caperdeck.distribution.messages import (
     Acknowledge, Busy, Closed, Delta, Heartbeat, MessageError, Refusal, Snapshot, Subscribe, decode, encode,
 )  # fmt: skip
 from caperdeck.distribution.publisher import Publisher
-from caperdeck.distribution.status import HEARD_FOR, summarise
-from caperdeck.distribution.subscriber import NOTHING, Apply, Held, Leave, Phase, Send, State, Subscriber
-from caperdeck.distribution.table import Versions, propose
+from caperdeck.distribution.status import REPORT_VALID_MS, summarise
+from caperdeck.distribution.subscriber import (
+    NO_VERSION,
+    Apply,
+    HeldVersion,
+    Leave,
+    Phase,
+    Send,
+    State,
+    Subscriber,
+)
+from caperdeck.distribution.table import VersionTable, publish_command
 from caperdeck.lab.distribution.schedule import Fault, Publish
 from caperdeck.lab.distribution.world import World, play
 from caperdeck.raft.log import Entry, Kind
 from caperdeck.raft.sessions import Sessions
 
-EMPTY = NOTHING.digest
+EMPTY = NO_VERSION.digest
 PLACES = [Place(f"p{i}", f"z{i}", "north") for i in range(3)]
 
 
-def versions(*documents, history=table.MOST_HISTORY):
-    agreed = Versions(history)
+def versions(*documents, max_history=table.MAX_HISTORY_VERSIONS):
+    agreed = VersionTable(max_history)
     for new in documents:
         publish(agreed, new)
     return agreed
 
 
 def publish(agreed, new, term=1):
-    answer = agreed.apply(propose(agreed, agreed.newest.revision, new, term))
+    answer = agreed.apply(publish_command(agreed, agreed.newest.revision, new, term))
     assert answer.get("ok"), answer
 
 
@@ -60,10 +69,10 @@
 
 
 def held(revision, value):
-    return Held(revision, digest(value), value)
+    return HeldVersion(revision, digest(value), value)
 
 
-def watching(has=NOTHING, now=0.0, number=100, newest=None):
+def watching(has=NO_VERSION, now=0.0, number=100, newest=None):
     """A subscriber that has found its publisher; its last message."""
     one = Subscriber(Place("n", "z0", "north"), PLACES, has, number, 7, now)
     (send,) = one.tick(one.due)
@@ -89,7 +98,7 @@
     changes = document.decode_changes(
         orjson.loads(orjson.dumps(document.encode_changes(difference(old, new))))
     )
-    assert document.canonical(apply(old, changes, digest(new))) == document.canonical(new)
+    assert document.canonical(apply_changes(old, changes, digest(new))) == document.canonical(new)
     assert document.canonical(old) == before
     assert bool(changes) == (before != document.canonical(new))
 
@@ -97,11 +106,11 @@
 def test_changes_on_another_base_fail_whole():
     changes = difference({"a": {"b": 1}}, {"a": {"b": 2}})
     with pytest.raises(DocumentError, match="digest: "):
-        apply({"a": {"b": 1, "c": 1}}, changes, digest({"a": {"b": 2}}))
+        apply_changes({"a": {"b": 1, "c": 1}}, changes, digest({"a": {"b": 2}}))
     with pytest.raises(DocumentError, match=r"a\.b: a is no object"):
-        apply({"a": 1}, changes, digest({"a": {"b": 2}}))
+        apply_changes({"a": 1}, changes, digest({"a": {"b": 2}}))
     with pytest.raises(DocumentError, match="x: is not there to be removed"):
-        apply({}, difference({"x": 1}, {}), EMPTY)
+        apply_changes({}, difference({"x": 1}, {}), EMPTY)
 
 
 def nested(levels):
@@ -110,15 +119,15 @@
 
 @pytest.mark.parametrize("on, new, text", [
     (1, [1], "document: no JSON object"),
-    (1, {"a": "x" * document.LARGEST_DOCUMENT}, "document: .* bytes, over"),
-    (1, nested(document.DEEPEST + 1), "document.a.*: deeper than 16"),
+    (1, {"a": "x" * document.MAX_DOCUMENT_BYTES}, "document: .* bytes, over"),
+    (1, nested(document.MAX_DEPTH + 1), "document.a.*: deeper than 16"),
     (0, {"a": 2}, "on: builds on 0, 1 is the newest"),
     (2, {"a": 2}, "on: builds on 2, 1 is the newest"),
     (1, {"a": 1}, "changes: none"),
 ])  # fmt: skip
 def test_a_version_that_cannot_be_is_not_proposed(on, new, text):
     with pytest.raises(DocumentError, match=text) as caught:
-        propose(versions({"a": 1}), on, new, 1)
+        publish_command(versions({"a": 1}), on, new, 1)
     assert "\n" not in str(caught.value)
 
 
@@ -138,25 +147,25 @@
     ({"changes": [], "digest": digest({"a": 1})}, "changes: none, this document is the newest version"),
 ])  # fmt: skip
 def test_the_table_refuses_and_stays_as_it_is(change, text):
-    agreed = Versions()
+    agreed = VersionTable()
     publish(agreed, {"a": 1}, term=3)
     before = agreed.dump()
-    assert agreed.apply(propose(agreed, 1, {"a": 2}, 3) | change) == {"no": text}
+    assert agreed.apply(publish_command(agreed, 1, {"a": 2}, 3) | change) == {"no": text}
     assert agreed.dump() == before and agreed.apply(None) == {"no": "do: unknown command"}
 
 
 def test_versions_are_numbered_without_gaps_and_survive_a_snapshot_of_the_log():
-    machine = Sessions(Versions(3))
+    machine = Sessions(VersionTable(3))
     for value in (1, 2, 3, 4):
         agreed = machine.machine
-        command = propose(agreed, agreed.newest.revision, {"a": value, "b": {}}, 5)
+        command = publish_command(agreed, agreed.newest.revision, {"a": value, "b": {}}, 5)
         entry = Entry(5, Kind.COMMAND, orjson.dumps(command), client=9, serial=value)
         assert machine.apply(entry)["revision"] == value
     assert machine.apply(entry)["revision"] == 4, "proposed twice, it is one version"
-    copy = Sessions(Versions(3))
+    copy = Sessions(VersionTable(3))
     copy.load(machine.dump())
     assert copy.dump() == machine.dump() and copy.machine.document == {"a": 4, "b": {}}
-    known = {step.version.revision: step.version.digest for step in copy.machine.steps}
+    known = {row.version.revision: row.version.digest for row in copy.machine.history}
     assert sorted(known) == [2, 3, 4], "the history is bounded"
     assert len(copy.machine.delta(2, known[2])) == 1 and copy.machine.delta(2, known[3]) is None
     assert copy.machine.delta(1, digest({"a": 1, "b": {}})) is None
@@ -166,8 +175,8 @@
 
 
 def test_the_history_is_bounded_in_bytes(monkeypatch):
-    monkeypatch.setattr(table, "LARGEST_HISTORY", 1000)
-    assert len(versions(*({"a": str(k) * 400} for k in range(6))).steps) == 3
+    monkeypatch.setattr(table, "MAX_HISTORY_BYTES", 1000)
+    assert len(versions(*({"a": str(k) * 400} for k in range(6))).history) == 3
 
 
 MESSAGES = [
@@ -214,15 +223,15 @@
 def test_a_zone_comes_before_its_region_before_any():
     places = [Place("p0", "a", "north"), Place("p1", "b", "north"), Place("p2", "c", "south")]
     for k in range(20):
-        order = preferred(Place(f"n{k}", "b", "north"), places)
+        order = publishers_by_preference(Place(f"n{k}", "b", "north"), places)
         assert [place.name for place in order] == ["p1", "p0", "p2"]
 
 
 def test_nodes_spread_evenly_and_only_those_of_a_lost_publisher_move():
     publishers = [Place(f"p{i}", "z", "north") for i in range(7)]
     nodes = [Place(f"n{k}", "z", "north") for k in range(2190)]
-    before = {node: preferred(node, publishers)[0] for node in nodes}
-    after = {node: preferred(node, publishers[:3] + publishers[4:])[0] for node in nodes}
+    before = {node: publishers_by_preference(node, publishers)[0] for node in nodes}
+    after = {node: publishers_by_preference(node, publishers[:3] + publishers[4:])[0] for node in nodes}
     counts = Counter(before.values())
     assert max(counts.values()) < 1.25 * 2190 / 7 and min(counts.values()) > 0.75 * 2190 / 7
     moved = [node for node in nodes if before[node] != after[node]]
@@ -242,15 +251,15 @@
     sent = []
     for k in range(1, 31):
         publish(agreed, {"a": k})
-        sent += one.changed(k * 100.0)
+        sent += one.versions_changed(k * 100.0)
         one.receive(k * 100.0 + 50, acknowledge(agreed, "quick", number=2 + k))
     assert Counter(send.node for send in sent) == {"slow": 1, "quick": 30}
-    early = agreed.steps[2].version
+    early = agreed.history[2].version
     late = Acknowledge("slow", 1, 3, early.revision, early.digest, False)
     (delta,) = of(one.receive(3100.0, late), Delta)
     assert (delta.base, delta.revision) == (2, 31), "one step to the newest"
     assert one.receive(3100.0, late) == [], "doubled"
-    assert of(one.tick(13_200.0 - publisher.TICK), Closed) == [], "it was late itself"
+    assert of(one.tick(13_200.0 - publisher.TICK_INTERVAL_MS), Closed) == [], "it was late itself"
     closed = of(one.tick(13_200.0), Closed)
     assert {message.reason for message in closed} == {"silent"}
 
@@ -262,10 +271,10 @@
     for name in ("speaks", "silent"):
         one.receive(0.0, subscribe(name))
         one.receive(1.0, acknowledge(agreed, name))
-    woken = HEARD_FOR + 2000.0
+    woken = REPORT_VALID_MS + 2000.0
     assert of(one.tick(woken), Closed) == []
     one.receive(woken + 1.0, acknowledge(agreed, "speaks", number=3))
-    late_again = woken + 3 * publisher.TICK
+    late_again = woken + 3 * publisher.TICK_INTERVAL_MS
     assert [send.node for send in one.tick(late_again) if isinstance(send.message, Closed)] == ["silent"]
 
 
@@ -275,8 +284,8 @@
     one.receive(0.0, subscribe())
     for number in range(2, 13):
         one.receive(number * 900.0, acknowledge(agreed, number=number, revision=0))
-    assert of(one.tick(publisher.UNANSWERED + 1 - publisher.TICK), Closed) == []
-    assert of(one.tick(publisher.UNANSWERED + 1), Closed) == [Closed(1, "unanswered")]
+    assert of(one.tick(publisher.UNANSWERED_VERSION_MS + 1 - publisher.TICK_INTERVAL_MS), Closed) == []
+    assert of(one.tick(publisher.UNANSWERED_VERSION_MS + 1), Closed) == [Closed(1, "unanswered")]
     (unknown,) = of(one.receive(11_000.0, acknowledge(agreed, number=20)), Closed)
     assert unknown.reason == "unknown"
 
@@ -284,28 +293,28 @@
 def test_connects_and_snapshots_are_bounded():
     one = Publisher("p", versions({"a": 0}), 0.0)
     answers = [one.receive(0.0, subscribe(f"n{k}")) for k in range(150)]
-    assert sum(bool(of(answer, Busy)) for answer in answers) == 150 - publisher.CONNECTS_AT_ONCE
-    assert sum(bool(of(answer, Snapshot)) for answer in answers) == publisher.SNAPSHOTS_AT_ONCE
+    assert sum(bool(of(answer, Busy)) for answer in answers) == 150 - publisher.CONNECT_BURST
+    assert sum(bool(of(answer, Snapshot)) for answer in answers) == publisher.MAX_CONCURRENT_SNAPSHOTS
     assert sum(beat.queued for answer in answers for beat in of(answer, Heartbeat)) == 100 - 32
     assert of(one.receive(100.0, subscribe("later")), Heartbeat), "a tenth of a second makes room for 40"
-    load = one.load
+    load = one.peak_load
     assert (load.connects_in_a_second, load.snapshots_at_once, load.turned_away) == (101, 32, 50)
     one.receive(1000.0, subscribe("much later"))
     assert load.connects_in_a_second == 101, "the first hundred are a second ago"
     (turn,) = [send.node for send in one.receive(101.0, acknowledge(one.table, "n5")) if of([send], Snapshot)]
     assert turn == "n32", "the longest in the queue"
-    (turn,) = [send.node for send in one.gone(102.0, "n6", 1) if of([send], Snapshot)]
+    (turn,) = [send.node for send in one.connection_lost(102.0, "n6", 1) if of([send], Snapshot)]
     assert turn == "n33"
-    assert len(of(one.tick(publisher.SNAPSHOT_TURN), Snapshot)) == 30, "slow ones have lost their turns"
+    assert len(of(one.tick(publisher.SNAPSHOT_SLOT_MS), Snapshot)) == 30, "slow ones have lost their turns"
 
 
 def test_a_confirmation_counts_from_when_it_was_asked_for():
     one = Publisher("p", versions({"a": 0}), 0.0)
     (beat,) = of(one.receive(0.0, subscribe()), Heartbeat)
     assert beat.age is None and not one.status(0.0).confirmed
-    one.confirmed(100.0, revision=2)
+    one.newest_confirmed(100.0, revision=2)
     assert one.age(100.0) is None, "the instance lacks what the quorum has"
-    one.confirmed(100.0, revision=1)
+    one.newest_confirmed(100.0, revision=1)
     assert one.age(600.0) == 500.0 and one.age(10_100.0) is None, "it slept since"
 
 
@@ -317,19 +326,19 @@
     one.receive(5.0, acknowledge(agreed, "new"))
     one.receive(6.0, acknowledge(agreed, "refuses", revision=1, refused=Refusal(2, "a: is 1")))
     one.receive(7.0, acknowledge(agreed, "moved"))
-    other.receive(9.0, subscribe("moved", number=3, revision=1, known=agreed.steps[1].version.digest))
-    one.gone(8.0, "gone", 1)
+    other.receive(9.0, subscribe("moved", number=3, revision=1, known=agreed.history[1].version.digest))
+    one.connection_lost(8.0, "gone", 1)
     expected = ["new", "sent", "refuses", "moved", "gone", "silent"]
     summary = summarise([one.status(10.0), other.status(10.0)], expected)
-    assert summary._replace(in_force=(), unexpected=()) == (
+    assert summary._replace(up_to_date=(), unexpected=()) == (
         False, 2, (), 6, 0, (("refuses", Refusal(2, "a: is 1")),), ("silent",), (), (),
     )  # fmt: skip
-    assert summary.in_force == ("new",) and summary.unexpected == ("stray",), "sent is not in force"
-    late = summarise([one.status(HEARD_FOR + 20.0)], expected)
-    assert late.in_force == () and late.oldest is None and late.not_heard == tuple(sorted(expected))
+    assert summary.up_to_date == ("new",) and summary.unexpected == ("stray",), "sent is not in force"
+    late = summarise([one.status(REPORT_VALID_MS + 20.0)], expected)
+    assert late.up_to_date == () and late.oldest is None and late.not_heard == tuple(sorted(expected))
     one.receive(20.0, acknowledge(agreed, "new", number=4, revision=1))
     one.receive(21.0, acknowledge(agreed, "new", number=3))
-    assert "new" not in summarise([one.status(22.0)], expected).in_force, "a late word does not count"
+    assert "new" not in summarise([one.status(22.0)], expected).up_to_date, "a late word does not count"
 
 
 # ---- the subscriber
@@ -387,11 +396,11 @@
     asked = one.tried_at
     assert send.message.stale
     one.receive(asked + 300, send.publisher, heartbeat(send.message, has, age=1000.0))
-    confirmed = asked - 1000.0 * (1 + subscriber.DRIFT)
-    assert one.state(confirmed + subscriber.CONFIRMED_WITHIN) is State.CURRENT
-    assert one.state(confirmed + subscriber.CONFIRMED_WITHIN + 1) is State.STALE
+    confirmed = asked - 1000.0 * (1 + subscriber.MAX_CLOCK_DRIFT)
+    assert one.state(confirmed + subscriber.STALE_AFTER_MS) is State.CURRENT
+    assert one.state(confirmed + subscriber.STALE_AFTER_MS + 1) is State.STALE
     damaged = Subscriber(one.place, PLACES, has._replace(document={"a": 4}), 100, 7, 0.0)
-    assert damaged.held == NOTHING
+    assert damaged.held == NO_VERSION
 
 
 @pytest.mark.parametrize("age, revision", [(None, 3), (0.0, 2)])
@@ -400,11 +409,13 @@
     beat = heartbeat(send.message, held(revision, {"a": revision}), age)
     assert one.receive(100.0, send.publisher, beat) == [Leave(send.publisher)]
     (following,) = one.tick(one.due)
-    assert one.tried_at <= 100.0 + subscriber.NEXT_TRY and following.publisher != send.publisher
+    assert (
+        one.tried_at <= 100.0 + subscriber.NEXT_PUBLISHER_SPREAD_MS and following.publisher != send.publisher
+    )
 
 
 def test_all_publishers_are_tried_before_one_is_tried_again_and_then_more_slowly():
-    one = Subscriber(Place("n", "z0", "north"), PLACES, NOTHING, 100, 7, 0.0)
+    one = Subscriber(Place("n", "z0", "north"), PLACES, NO_VERSION, 100, 7, 0.0)
     tries, now = [], 0.0
     while len(tries) < 9:
         now = one.due
@@ -425,14 +436,14 @@
             send = asked if isinstance(asked, Send) else send
             one.receive(now, send.publisher, heartbeat(send.message, newer, queued=queued))
         assert (one.behind_since is None) == queued
-    left, again = one.tick(one.behind_since + subscriber.BEHIND)
+    left, again = one.tick(one.behind_since + subscriber.MISSING_VERSION_MS)
     assert isinstance(again.message, Subscribe) and again.publisher == left.publisher
 
 
 def test_a_busy_publisher_is_waited_for_and_then_passed_over():
-    one = Subscriber(Place("n", "z0", "north"), PLACES, NOTHING, 100, 7, 0.0)
+    one = Subscriber(Place("n", "z0", "north"), PLACES, NO_VERSION, 100, 7, 0.0)
     names = []
-    for _ in range(subscriber.MOST_BUSY + 2):
+    for _ in range(subscriber.MAX_BUSY_RETRIES + 2):
         (send,) = one.tick(one.due)
         names.append(send.publisher)
         one.receive(one.tried_at, send.publisher, Busy(send.message.number, 1000.0))
@@ -444,8 +455,12 @@
     one, send = watching()
     one.lost(50.0, send.publisher)
     (second,) = one.tick(one.due)
-    one.receive(one.tried_at, second.publisher, heartbeat(second.message, NOTHING))
-    assert subscriber.RETURN / 2 <= one.return_at - one.tried_at <= subscriber.RETURN
+    one.receive(one.tried_at, second.publisher, heartbeat(second.message, NO_VERSION))
+    assert (
+        subscriber.RETURN_TO_PREFERRED_MS / 2
+        <= one.return_at - one.tried_at
+        <= subscriber.RETURN_TO_PREFERRED_MS
+    )
     one.heard_at = one.asked_at = now = one.return_at
     left, back = one.tick(now)
     assert left == Leave(second.publisher) and back.publisher == send.publisher
@@ -505,7 +520,7 @@
 def test_a_version_that_half_of_the_nodes_refuse():
     world = play([Publish(1000.0), Publish(4000.0, refused_by_half=True)], [], 8000.0)
     summary = summarise([i.publisher.status(world.now) for i in world.instances], world.node_of)
-    assert (summary.in_force, summary.oldest) == (("n0", "n2", "n4"), 1)
+    assert (summary.up_to_date, summary.oldest) == (("n0", "n2", "n4"), 1)
     assert [name for name, _ in summary.refused] == ["n1", "n3", "n5"]
     world.publish(Publish(0.0))
     world.run(3000.0)
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -17,13 +17,13 @@
 from twisted.internet.selectreactor import SelectReactor
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.publisher_selection import Place, preferred
+from caperdeck.distribution.publisher_selection import Place, publishers_by_preference
 from caperdeck.distribution.connection import WatchConnection
 from caperdeck.distribution.messages import Acknowledge, Heartbeat, Subscribe
-from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
-from caperdeck.distribution.subscriber import NOTHING, Apply, Leave, State, Subscriber
-from caperdeck.distribution.table import LARGEST_CHANGES
-from caperdeck.distribution.watch_server import MOST_WATCHES, OTHER_FILES
+from caperdeck.distribution.stream import MAX_NODE_FRAME_BYTES, decode_from_publisher, encode
+from caperdeck.distribution.subscriber import NO_VERSION, Apply, Leave, State, Subscriber
+from caperdeck.distribution.table import MAX_CHANGES_BYTES
+from caperdeck.distribution.watch_server import MAX_WATCHES, RESERVED_DESCRIPTORS
 from caperdeck.owner.commands import ask
 from caperdeck.owner.config import load_owners
 from caperdeck.owner.process import steady
@@ -111,7 +111,7 @@
 
     def __init__(self, reactor, instances, name, refuses=(), number=1, places=PLACES):
         self.reactor, self.instances, self.refuses = reactor, instances, refuses
-        self.subscriber = Subscriber(Place(name, "a", "north"), places, NOTHING, number, 7, steady())
+        self.subscriber = Subscriber(Place(name, "a", "north"), places, NO_VERSION, number, 7, steady())
         self.connection, self.first = None, None
         self.revisions, self.reasons = [], []
         self.told = []  # publisher and message
@@ -152,10 +152,10 @@
     def opened(self, connection):
         connection.send(self.first)
 
-    def received(self, connection):
+    def data_received(self, connection):
         pass
 
-    def message(self, connection, message):
+    def message_received(self, connection, message):
         self.told.append((self.subscriber.publisher, message))
         self.do(self.subscriber.receive(steady(), self.subscriber.publisher, message))
 
@@ -243,7 +243,9 @@
 def watcher_of(i, prefix):
     """The name of a node that prefers the instance of that number."""
     names = (f"{prefix}{k}" for k in range(100))
-    return next(n for n in names if preferred(Place(n, "a", "north"), PLACES)[0].name == f"o{i}")
+    return next(
+        n for n in names if publishers_by_preference(Place(n, "a", "north"), PLACES)[0].name == f"o{i}"
+    )
 
 
 def newest(instances):
@@ -293,7 +295,7 @@
     for command in ({"versions": {"do": "publish"}}, {"work": "x" * (2 << 20)}):
         body = {"do": "propose", "command": command, "client": 2, "serial": 1}
         assert ask(address, "t", body) == {"no": "bad-call"}
-    changes = [[["a"], "x" * LARGEST_CHANGES]]
+    changes = [[["a"], "x" * MAX_CHANGES_BYTES]]
     body = {"do": "publish", "on": before, "digest": "", "changes": changes, "client": 4, "serial": 1}
     # no answer: nobody led at that moment
     refusal = until(lambda: ask(address, "t", body), 9.0)
@@ -312,7 +314,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     try:
         said = until(lambda: instances.ask(0, "status"), 20.0)
-        assert said["watches"]["most"] == min(MOST_WATCHES, hard - OTHER_FILES)
+        assert said["watches"]["most"] == min(MAX_WATCHES, hard - RESERVED_DESCRIPTORS)
         limits = Path(f"/proc/{instances.processes[0].pid}/limits").read_text()
         (row,) = (line.split() for line in limits.splitlines() if line.startswith("Max open files"))
         assert row[3:5] == [str(hard), str(hard)]
@@ -344,7 +346,7 @@
         except ConnectionResetError:
             pass
     assert dropped() == before + 1
-    assert LONGEST_FROM_NODE < 0xFFFF
+    assert MAX_NODE_FRAME_BYTES < 0xFFFF
 
 
 # ---- faults
--- a/tests/test_distribution_properties.py
+++ b/tests/test_distribution_properties.py
@@ -83,9 +83,9 @@
 
 
 class TakesAnyBase(Subscriber):
-    def _document(self, message):
+    def _document_of(self, message):
         try:
-            return super()._document(message)
+            return super()._document_of(message)
         except DocumentError:
             document = dict(self.held.document)
             document.update((change.path[0], change.value) for change in message.changes)
@@ -94,14 +94,14 @@
 
 class CountsFromTheAnswer(Subscriber):
     def _confirm(self, message):
-        self.questions[message.number] = self.heard_at
+        self.question_times[message.number] = self.heard_at
         super()._confirm(message)
 
 
 class SendsTheLastStepOnly(Publisher):
-    def _delta(self, words):
-        steps = self.table.steps
-        return difference(steps[-2].document, steps[-1].document) if len(steps) > 1 else None
+    def _delta(self, report):
+        history = self.table.history
+        return difference(history[-2].document, history[-1].document) if len(history) > 1 else None
 
 
 class AlwaysConfirmed(Publisher):
@@ -112,7 +112,11 @@
 class CountsSilence(Publisher):
     def status(self, now):
         status = super().status(now)
-        sent = {node: s.sent for node, s in self.subscriptions.items() if s.sent is not None}
+        sent = {
+            node: subscription.sent_revision
+            for node, subscription in self.subscriptions.items()
+            if subscription.sent_revision is not None
+        }
         rows = [
             row._replace(revision=sent[row.node], digest=status.digest) if row.node in sent else row
             for row in status.rows
@@ -123,7 +127,7 @@
 class PublishesProposals(Instance):
     def proposed(self, entry):
         self.machine.apply(entry)
-        self.send(self.publisher.changed(self.world.now))
+        self.send(self.publisher.versions_changed(self.world.now))
 
 
 LONG_ISOLATION = schedules(["isolate"], [13_000.0])
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -9,14 +9,19 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.confirmation import EVERY, Confirming
+from caperdeck.distribution.confirmation import READ_INTERVAL_MS, VersionConfirmation
 from caperdeck.distribution.document import DocumentError, digest
 from caperdeck.distribution.messages import Acknowledge, MessageError, Refusal, Snapshot, Subscribe
-from caperdeck.distribution.publisher import CONFIRMED_FOR, TICK, UNANSWERED, Publisher
+from caperdeck.distribution.publisher import (
+    CONFIRMATION_VALID_MS,
+    TICK_INTERVAL_MS,
+    UNANSWERED_VERSION_MS,
+    Publisher,
+)
 from caperdeck.distribution.status import Status, StatusRow, decode_status, encode_status
-from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
-from caperdeck.distribution.table import LARGEST_CHANGES, Versions, propose
-from caperdeck.distribution.watch_server import MOST_UNSENT, TURNED_AWAY, Watches
+from caperdeck.distribution.stream import MAX_NODE_FRAME_BYTES, decode_from_publisher, encode
+from caperdeck.distribution.table import MAX_CHANGES_BYTES, VersionTable, publish_command
+from caperdeck.distribution.watch_server import MAX_UNSENT_BYTES, MAX_REJECTED_CONNECTIONS, WatchServer
 from caperdeck.owner.replicated_state import Agreed, for_versions
 from caperdeck.owner.config import Owners
 from caperdeck.raft.codec import MAX_FRAME_BYTES, encode_frame
@@ -32,7 +37,7 @@
 
 
 def publish(versions, document, term=1):
-    answer = versions.apply(propose(versions, versions.newest.revision, document, term))
+    answer = versions.apply(publish_command(versions, versions.newest.revision, document, term))
     assert answer["ok"], answer
 
 
@@ -41,7 +46,7 @@
 
 def test_a_command_reaches_the_table_of_its_key_alone():
     agreed = Agreed()
-    command = propose(agreed.versions, 0, {"a": 1}, 1)
+    command = publish_command(agreed.versions, 0, {"a": 1}, 1)
     assert agreed.apply(command) == {"no": "no-work-named"}
     assert agreed.apply(for_versions(ACQUIRE)) == {"no": "do: unknown command"}
     assert agreed.apply(for_versions(command) | ACQUIRE) == {"no": "two-tables"}
@@ -67,14 +72,14 @@
 
 
 def test_the_largest_changes_fit_into_a_frame_between_instances_and_larger_ones_are_refused():
-    command = orjson.dumps(for_versions({"changes": "x" * LARGEST_CHANGES}))
+    command = orjson.dumps(for_versions({"changes": "x" * MAX_CHANGES_BYTES}))
     append = AppendEntriesRequest(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
     assert len(encode_raft(append, "c" * 64)) < MAX_FRAME_BYTES
-    versions, key = Versions(), "k" * 2000
+    versions, key = VersionTable(), "k" * 2000
     publish(versions, {key: {"x": 0}})
     first = versions.newest
     with pytest.raises(DocumentError, match="changes: .* bytes, over"):
-        propose(versions, 1, {key: {str(i): 0 for i in range(1500)}}, 1)
+        publish_command(versions, 1, {key: {str(i): 0 for i in range(1500)}}, 1)
     publish(versions, {key: {str(i): 0 for i in range(900)}})
     publish(versions, {key: {str(i): 0 for i in range(1800)}})
     assert versions.delta(first.revision, first.digest) is None  # a snapshot is shorter
@@ -86,9 +91,9 @@
 class World:
     """An instance's port and publisher, in memory."""
 
-    def __init__(self, most=8):
+    def __init__(self, limit=8):
         self.now = 0.0
-        self.versions = Versions()
+        self.versions = VersionTable()
         publish(self.versions, {"a": 1})
         self.publisher = Publisher("o0", self.versions, 0.0)
         addresses = {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}
@@ -96,8 +101,8 @@
             MemoryReactorClock(), "t", 0, addresses, lambda message: None,
             lambda body, callback: callback("yes"), lambda: 0.5,
         )  # fmt: skip
-        self.watches = Watches(self.publisher, "t", lambda: self.now, self.net.count_drop, most)
-        self.net.handlers["watch"] = self.watches.take
+        self.watch_server = WatchServer(self.publisher, "t", lambda: self.now, self.net.count_drop, limit)
+        self.net.handlers["watch"] = self.watch_server.accept
 
     def open(self):
         conn, wire = self.net.buildProtocol(None), Wire()
@@ -154,10 +159,14 @@
     conn.dataReceived(encode(acknowledge(world), "t"))
     assert wire.kinds() == ["Heartbeat"]
     publish(world.versions, {"a": 2})
-    world.watches.send(world.publisher.changed(0.0))
+    world.watch_server.send(world.publisher.versions_changed(0.0))
     assert wire.kinds() == ["Delta"]
     conn.connectionLost(None)
-    assert not world.publisher.subscriptions and not world.watches.open and not world.watches.subscribed
+    assert (
+        not world.publisher.subscriptions
+        and not world.watch_server.sessions
+        and not world.watch_server.by_key
+    )
 
 
 def framed(data):
@@ -172,7 +181,7 @@
     (encode(subscribe(number=2), "other"), "other-cluster"), (framed(b"{"), "no-json"),
     (framed(encode_frame("t", "call", [1, {}])), "unknown-kind"),
     (framed(encode_frame("t", "watch", {})), "bad-message"),
-    ((LONGEST_FROM_NODE + 1).to_bytes(4, "big"), "too-long"),
+    ((MAX_NODE_FRAME_BYTES + 1).to_bytes(4, "big"), "too-long"),
 ])  # fmt: skip
 def test_a_frame_that_is_none_ends_the_watch_and_nothing_after_it_is_taken(data, reason):
     world = World()
@@ -180,12 +189,15 @@
     wire.clear()
     conn.dataReceived(data + encode(acknowledge(world), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not wire.value()
-    assert world.publisher.subscriptions["n"].words == subscribe()
+    assert world.publisher.subscriptions["n"].report == subscribe()
 
 
 @pytest.mark.parametrize("data, reason", [
     (encode(Acknowledge("n", 1, 2, 0, EMPTY, False), "t"), "no-subscription"),
-    (framed(encode_frame("t", "watch", {"kind": "subscribe", "node": "x" * LONGEST_FROM_NODE})), "too-long"),
+    (
+        framed(encode_frame("t", "watch", {"kind": "subscribe", "node": "x" * MAX_NODE_FRAME_BYTES})),
+        "too-long",
+    ),
 ])  # fmt: skip
 def test_a_connection_that_begins_wrongly_is_ended(data, reason):
     world = World()
@@ -193,7 +205,7 @@
     conn.dataReceived(data + encode(subscribe(), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not world.publisher.subscriptions
     conn.connectionLost(None)
-    assert not world.watches.open
+    assert not world.watch_server.sessions
 
 
 def test_a_node_that_comes_again_ends_its_older_connection_and_late_ones_are_refused():
@@ -211,11 +223,11 @@
 
 
 def test_beyond_the_bound_nodes_are_told_to_come_later_and_far_beyond_it_they_are_cut_off():
-    world = World(most=2)
-    made = [world.subscribed(f"n{i}") for i in range(3 + TURNED_AWAY)]
+    world = World(limit=2)
+    made = [world.subscribed(f"n{i}") for i in range(3 + MAX_REJECTED_CONNECTIONS)]
     assert [made[k][1].kinds() for k in (0, 2)] == [["Snapshot", "Heartbeat"], ["Busy"]]
     assert made[2][1].disconnecting and len(world.publisher.subscriptions) == 2
-    assert made[-1][1].aborted and world.net.dropped["too-many-watches"] == TURNED_AWAY + 1
+    assert made[-1][1].aborted and world.net.dropped["too-many-watches"] == MAX_REJECTED_CONNECTIONS + 1
     made[0][0].connectionLost(None)
     for conn, _ in made[2:]:
         conn.connectionLost(None)
@@ -225,15 +237,15 @@
 def test_a_node_that_does_not_read_is_not_read_from_and_is_cut_off_past_the_bound():
     world = World()
     conn, wire = world.subscribed()
-    watch = next(iter(world.watches.open))
+    session = next(iter(world.watch_server.sessions))
     wire.producer.pauseProducing()
     assert not wire.reads
     wire.producer.resumeProducing()
     assert wire.reads
     wire.producer.pauseProducing()
-    watch.put(b"x" * MOST_UNSENT)
+    session.send(b"x" * MAX_UNSENT_BYTES)
     assert not wire.aborted
-    watch.put(b"x")
+    session.send(b"x")
     assert wire.aborted and world.net.dropped == {"not-read": 1}
 
 
@@ -241,10 +253,10 @@
     world = World()
     _, wire = world.subscribed()
     wire.clear()
-    for world.now in (UNANSWERED - TICK + 1.0, UNANSWERED + 1.0):
+    for world.now in (UNANSWERED_VERSION_MS - TICK_INTERVAL_MS + 1.0, UNANSWERED_VERSION_MS + 1.0):
         assert not wire.disconnecting
         world.publisher.subscriptions["n"].heard_at = world.now
-        world.watches.send(world.publisher.tick(world.now))
+        world.watch_server.send(world.publisher.tick(world.now))
     assert wire.kinds() == ["Closed"] and wire.disconnecting
 
 
@@ -252,16 +264,20 @@
 
 
 def test_an_answer_counts_from_when_it_was_asked_and_once_the_own_table_is_there():
-    versions = Versions()
+    versions = VersionTable()
     publisher = Publisher("o0", versions, 0.0)
-    confirming = Confirming(publisher)
-    assert confirming.asks(10.0) and not confirming.asks(10.0 + EVERY - 1) and confirming.asks(10.0 + EVERY)
-    confirming.answered(10.0, 1)
+    confirmation = VersionConfirmation(publisher)
+    assert (
+        confirmation.should_read(10.0)
+        and not confirmation.should_read(10.0 + READ_INTERVAL_MS - 1)
+        and confirmation.should_read(10.0 + READ_INTERVAL_MS)
+    )
+    confirmation.read_answered(10.0, 1)
     assert publisher.age(20.0) is None
     publish(versions, {"a": 1})
-    confirming.applied()
-    assert publisher.age(20.0) == 10.0 and not confirming.waiting
-    assert publisher.age(10.0 + CONFIRMED_FOR + 1) is None
+    confirmation.table_changed()
+    assert publisher.age(20.0) == 10.0 and not confirmation.pending
+    assert publisher.age(10.0 + CONFIRMATION_VALID_MS + 1) is None
 
 
 # ---- commands
@@ -295,7 +311,7 @@
 
 
 def test_without_any_answer_it_is_told_as_unknown(monkeypatch):
-    monkeypatch.setattr(commands, "PATIENCE", 0.0)
+    monkeypatch.setattr(commands, "RETRY_TIMEOUT_S", 0.0)
     with pytest.raises(commands.UnknownError, match="may be committed or not"):
         commands.publish(OWNERS, {"a": 1}, None, Instances(NOTHING_YET, None))
     with pytest.raises(commands.UnknownError, match="nothing was proposed"):
@@ -420,4 +436,4 @@
     path = tmp_path / "nodes"
     path.write_text(text)
     with pytest.raises(commands.InputError, match=words):
-        commands.read_names(str(path))
+        commands.read_node_names(str(path))
--- a/tests/test_distribution_stream.py
+++ b/tests/test_distribution_stream.py
@@ -8,10 +8,11 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from caperdeck.distribution.connection import WatchConnection
-from caperdeck.distribution.document import LARGEST_DOCUMENT, canonical, digest
+from caperdeck.distribution.document import MAX_DOCUMENT_BYTES, canonical, digest
 from caperdeck.distribution.messages import Acknowledge, Heartbeat, Refusal, Snapshot, Subscribe
 from caperdeck.distribution.stream import (
-    LENGTH, LONGEST_FROM_NODE, LONGEST_FROM_PUBLISHER, decode_from_publisher, encode, message_from_node,
+    LENGTH_PREFIX, MAX_NODE_FRAME_BYTES, MAX_PUBLISHER_FRAME_BYTES, decode_from_publisher, encode,
+    message_from_node,
 )  # fmt: skip
 from caperdeck.raft.codec import FrameError, decode_frame, encode_frame
 from caperdeck.state.addresses import Address
@@ -25,7 +26,7 @@
 
 
 def framed(data):
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
 def watch_frame(row):
@@ -34,19 +35,19 @@
 
 def test_a_message_of_each_side_comes_back_whole():
     for message in (LONGEST_WORDS, Acknowledge("n", 1, 2, 3, NONE, False)):
-        data = encode(message, "c" * 64)[LENGTH.size :]
-        assert len(data) < LONGEST_FROM_NODE
+        data = encode(message, "c" * 64)[LENGTH_PREFIX.size :]
+        assert len(data) < MAX_NODE_FRAME_BYTES
         assert message_from_node(*decode_frame(data, "c" * 64), len(data)) == message
     data = encode(HEARTBEAT, "t")
-    assert LENGTH.unpack(data[:4])[0] == len(data) - 4
+    assert LENGTH_PREFIX.unpack(data[:4])[0] == len(data) - 4
     assert decode_from_publisher(data[4:], "t") == HEARTBEAT
 
 
 def test_the_largest_document_fits_into_one_frame():
-    document = {"a": "x" * (LARGEST_DOCUMENT - len(canonical({"a": ""})))}
+    document = {"a": "x" * (MAX_DOCUMENT_BYTES - len(canonical({"a": ""})))}
     snapshot = Snapshot(1, 1, digest(document), document)
-    data = encode(snapshot, "c" * 64)[LENGTH.size :]
-    assert LARGEST_DOCUMENT < len(data) <= LONGEST_FROM_PUBLISHER
+    data = encode(snapshot, "c" * 64)[LENGTH_PREFIX.size :]
+    assert MAX_DOCUMENT_BYTES < len(data) <= MAX_PUBLISHER_FRAME_BYTES
     assert decode_from_publisher(data, "c" * 64) == snapshot
 
 
@@ -54,7 +55,7 @@
     ("call", {}, 10, "unknown-kind"), ("watch", [], 10, "bad-message"),
     ("watch", {"kind": "sing"}, 10, "bad-message"),
     ("watch", {"kind": "closed", "subscription": 1, "reason": ""}, 10, "wrong-direction"),
-    ("watch", {}, LONGEST_FROM_NODE + 1, "too-long"),
+    ("watch", {}, MAX_NODE_FRAME_BYTES + 1, "too-long"),
 ])  # fmt: skip
 def test_what_is_no_message_of_a_node_names_the_reason(name, row, size, reason):
     with pytest.raises(FrameError, match=reason):
@@ -71,10 +72,10 @@
     def opened(self, connection):
         self.events.append("opened")
 
-    def received(self, connection):
+    def data_received(self, connection):
         self.events.append("bytes")
 
-    def message(self, connection, message):
+    def message_received(self, connection, message):
         self.events.append(message)
 
     def lost(self, connection, reason):
@@ -119,7 +120,7 @@
 
 def test_after_it_was_closed_nothing_more_of_the_same_bytes_is_handed_on():
     made, user, _ = opened()
-    user.message = lambda connection, message: (user.events.append(message), connection.close())
+    user.message_received = lambda connection, message: (user.events.append(message), connection.close())
     made.dataReceived(encode(HEARTBEAT, "t") * 2)
     assert user.events == ["bytes", HEARTBEAT]
 
@@ -129,7 +130,7 @@
     (framed(orjson.dumps([2, "t", "watch", {}])), "other-version"), (watch_frame([]), "bad-message"),
     (framed(encode_frame("t", "reply", [1, 1])), "unknown-kind"),
     (encode(Acknowledge("n", 1, 2, 3, NONE, False), "t"), "wrong-direction"),
-    (struct.pack("!I", LONGEST_FROM_PUBLISHER + 1), "too-long"),
+    (struct.pack("!I", MAX_PUBLISHER_FRAME_BYTES + 1), "too-long"),
 ])  # fmt: skip
 def test_what_cannot_be_taken_ends_the_connection_with_its_reason(data, reason):
     made, user, wire = opened()
