--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,4 +1,4 @@
-"""Three instances as processes, nodes on real sockets: the program's own connections and state machine."""
+"""Distribution by three instance processes to nodes with the program's connections on real sockets."""
 
 import json
 import os
@@ -57,7 +57,7 @@
         return ask(self.owners.instances[i], "t", {"do": do})
 
     def leader(self):
-        """Known to lead; None while none is."""
+        """The number of the leader if it is known to have a quorum, else None."""
         for i in range(COUNT):
             if self.processes[i].poll() is None and (said := self.ask(i, "versions")) is not None:
                 led = self.ask(i, "status")["leader"]
@@ -85,8 +85,11 @@
         made.stop()
 
 
-class HeldInstances(Instances):
-    """Each can be ordered to stand still between a commit and its first word of it (held_instance.py)."""
+class PausableInstances(Instances):
+    """Instances that, on request, suspend themselves between a commit and its first message.
+
+    See held_instance.py.
+    """
 
     def start(self, i):
         words = [sys.executable, "-B", "tests/held_instance.py", str(self.files[i]), f"{self.files[i]}.order"]
@@ -107,14 +110,14 @@
 
 
 class Node:
-    """A subscriber over the program's own connection, which puts versions into force at once."""
+    """A subscriber over the program's own connection, which activates versions at once."""
 
     def __init__(self, reactor, instances, name, refuses=(), number=1, places=PLACES):
         self.reactor, self.instances, self.refuses = reactor, instances, refuses
         self.subscriber = Subscriber(Place(name, "a", "north"), places, NO_VERSION, number, 7, steady())
         self.connection, self.first = None, None
         self.revisions, self.reasons = [], []
-        self.told = []  # publisher and message
+        self.received = []  # publisher and message
 
     @property
     def revision(self):
@@ -131,7 +134,7 @@
     def do(self, actions):
         for action in actions:
             if isinstance(action, Apply):
-                self.put_in_force(action.version)
+                self.activate(action.version)
             elif isinstance(action, Leave):
                 if self.connection is not None:
                     self.connection.close()
@@ -142,7 +145,7 @@
             else:
                 self.connection.send(action.message)
 
-    def put_in_force(self, version):
+    def activate(self, version):
         if version.revision in self.refuses:
             self.do(self.subscriber.refused(steady(), version.revision, "no such class"))
             return
@@ -156,7 +159,7 @@
         pass
 
     def message_received(self, connection, message):
-        self.told.append((self.subscriber.publisher, message))
+        self.received.append((self.subscriber.publisher, message))
         self.do(self.subscriber.receive(steady(), self.subscriber.publisher, message))
 
     def lost(self, connection, reason):
@@ -169,7 +172,7 @@
 
 
 class Fleet:
-    """Nodes that share a reactor, driven by the test."""
+    """Nodes that share a reactor, which the test runs."""
 
     def __init__(self, instances):
         self.reactor, self.instances, self.nodes = SelectReactor(), instances, []
@@ -188,19 +191,19 @@
 
         return until(stepped, seconds, 0.0)
 
-    def beside(self, do, *args):
-        """The result of what waits for others, the nodes running all the while."""
-        return self.result_of(started(do, *args))
+    def run_beside(self, do, *args):
+        """The result of a blocking call, during which the nodes keep running."""
+        return self.result_of(run_in_thread(do, *args))
 
     def result_of(self, call):
         self.until(call.done, 30.0)
         return call.result()
 
     def publish(self, document):
-        assert self.beside(commands.publish, self.instances.owners, document, None) == 0
+        assert self.run_beside(commands.publish, self.instances.owners, document, None) == 0
 
     def say(self, *words):
-        done = self.beside(command, *words)
+        done = self.run_beside(command, *words)
         return done.returncode, done.stdout + done.stderr
 
     def close(self):
@@ -229,19 +232,19 @@
         if got := what():
             return got
         time.sleep(pause)
-    raise AssertionError("not in its time")
+    raise AssertionError("condition not met in time")
 
 
-def started(do, *args):
-    """The future of a call that waits for others, in a thread of its own."""
+def run_in_thread(do, *args):
+    """The future of a blocking call, made in a thread of its own."""
     pool = ThreadPoolExecutor(1)
     call = pool.submit(do, *args)
     pool.shutdown(wait=False)
     return call
 
 
-def watcher_of(i, prefix):
-    """The name of a node that prefers the instance of that number."""
+def node_that_prefers(i, prefix):
+    """The name of a node whose preferred publisher is instance `i`."""
     names = (f"{prefix}{k}" for k in range(100))
     return next(
         n for n in names if publishers_by_preference(Place(n, "a", "north"), PLACES)[0].name == f"o{i}"
@@ -264,7 +267,9 @@
 # ---- commands
 
 
-def test_a_version_is_published_and_its_status_told_and_bad_ones_are_refused(instances, fleet, tmp_path):
+def test_a_version_is_published_its_status_is_printed_and_invalid_ones_are_refused(
+    instances, fleet, tmp_path
+):
     one, two = fleet.node("n0"), fleet.node("n1", refuses=(2,))
     file, names = tmp_path / "version.json", tmp_path / "names"
     file.write_text(json.dumps(VERSION))
@@ -289,7 +294,7 @@
     assert newest(instances)["revision"] == 2
 
 
-def test_a_proposal_past_its_bound_or_past_the_check_is_refused_and_the_next_one_stands(instances, fleet):
+def test_an_oversized_or_unchecked_proposal_is_refused_and_the_next_one_is_committed(instances, fleet):
     address = instances.owners.instances[instances.leader()]
     before = newest(instances)["revision"]
     for command in ({"versions": {"do": "publish"}}, {"work": "x" * (2 << 20)}):
@@ -297,7 +302,7 @@
         assert ask(address, "t", body) == {"no": "bad-call"}
     changes = [[["a"], "x" * MAX_CHANGES_BYTES]]
     body = {"do": "publish", "on": before, "digest": "", "changes": changes, "client": 4, "serial": 1}
-    # no answer: nobody led at that moment
+    # None: there was no leader at that moment
     refusal = until(lambda: ask(address, "t", body), 9.0)
     assert refusal["refused"].startswith("changes: ")
     assert newest(instances)["revision"] == before
@@ -352,10 +357,10 @@
 # ---- faults
 
 
-def test_a_slow_reader_holds_nobody_up_and_is_ended(instances, fleet):
-    """It reads one byte a second, and says nothing."""
+def test_a_slow_reader_delays_no_other_node_and_is_disconnected(instances, fleet):
+    """The node reads one byte a second and reports nothing."""
     at = instances.leader()
-    quick = fleet.node(watcher_of(at, "q"))
+    quick = fleet.node(node_that_prefers(at, "q"))
     start = newest(instances)["revision"]
     with socket.socket() as slow:
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -373,13 +378,13 @@
             rows = instances.ask(at, "distribution")["rows"]
             return all(row["node"] != "slow" for row in rows)
 
-        fleet.until(lambda: fleet.beside(ended), 15.0)
+        fleet.until(lambda: fleet.run_beside(ended), 15.0)
     assert quick.revisions == sorted(set(quick.revisions)) and not quick.reasons
 
 
-def test_an_instance_that_was_stopped_wakes_with_old_data_and_nobody_takes_it_for_new(instances, fleet):
+def test_a_suspended_instance_resumes_with_old_data_that_no_node_takes_for_new(instances, fleet):
     at = (instances.leader() + 1) % COUNT
-    node = fleet.node(watcher_of(at, "s"))
+    node = fleet.node(node_that_prefers(at, "s"))
     fleet.publish({"step": 0})
     first = newest(instances)["revision"]
     fleet.until(lambda: node.revision == first and node.is_current)
@@ -395,43 +400,47 @@
             fleet.publish({"step": 1})
             fleet.until(lambda: node.revision == first + 1 and node.is_current)
             wire.sendall(encode(Acknowledge("raw", 1, 2, first, node.subscriber.held.digest, False), "t"))
-            # as long as a confirmation counts
+            # longer than a confirmation is valid
             end = steady() + 2500.0
             fleet.until(lambda: steady() > end)
         finally:
             instances.processes[at].send_signal(signal.SIGCONT)
-        told = read_message(wire)
-        while not isinstance(told, Heartbeat):
-            told = read_message(wire)
-    assert told.number == 2 and (told.age is None or told.revision == first + 1)
+        received = read_message(wire)
+        while not isinstance(received, Heartbeat):
+            received = read_message(wire)
+    assert received.number == 2 and (received.age is None or received.revision == first + 1)
     fleet.publish({"step": 2})
     fleet.until(lambda: node.revision == first + 2 and node.is_current)
     assert node.revisions == sorted(set(node.revisions))
     until(lambda: (said := instances.ask(at, "distribution")) and said["revision"] == first + 2, 9.0)
 
 
-def test_a_leader_killed_between_commit_and_its_first_word_leaves_the_version_to_the_others(tmp_path):
-    """The moment is forced: the leader stands still there, until it is killed."""
-    instances = HeldInstances(tmp_path)
+def test_a_version_survives_a_leader_killed_between_commit_and_its_first_message(tmp_path):
+    """The leader suspends itself at that moment and is killed then."""
+    instances = PausableInstances(tmp_path)
     fleet = Fleet(instances)
     try:
         until(lambda: instances.leader() is not None, 20.0)
         fleet.publish({"step": 0})
         leader = instances.leader()
-        nodes = [fleet.node(watcher_of(i, "c")) for i in range(COUNT)]
+        nodes = [fleet.node(node_that_prefers(i, "c")) for i in range(COUNT)]
         fleet.until(lambda: all(node.revision == 1 and node.is_current for node in nodes))
         assert nodes[leader].subscriber.publisher == f"o{leader}"
         instances.hold_at(leader, 2)
-        publishing = started(commands.publish, instances.owners, {"step": 1}, None)
+        publishing = run_in_thread(commands.publish, instances.owners, {"step": 1}, None)
         fleet.until(lambda: instances.is_held(leader))
         instances.kill(leader)
         code, text = fleet.say("status", f"--instances={instances.owners_file}")
         assert "revision 1, confirmed" not in text and (code == 1 or "revision 2, confirmed" in text)
         fleet.until(lambda: all(node.revision == 2 and node.is_current for node in nodes))
-        # What the publisher said before it died ends at revision 1; its nodes had the next one from others.
-        assert all(getattr(message, "revision", 0) < 2 for node in nodes for publisher, message in node.told
-                   if publisher == f"o{leader}")  # fmt: skip
-        # Its answer was lost as well: asked again under the same numbers, the call was not committed twice.
+        # Until it died the publisher sent nothing beyond revision 1; its nodes got revision 2 from others.
+        assert all(
+            getattr(message, "revision", 0) < 2
+            for node in nodes
+            for publisher, message in node.received
+            if publisher == f"o{leader}"
+        )
+        # The answer of the call was lost too; the retry with the same numbers was not committed twice.
         assert fleet.result_of(publishing) == 0 and newest(instances)["revision"] == 2
         fleet.publish({"step": 2})
         instances.restart(leader)
@@ -443,13 +452,13 @@
         instances.stop()
 
 
-def test_a_leader_killed_right_after_the_commit_leaves_the_version_to_the_others(instances, fleet):
+def test_a_version_survives_a_leader_killed_right_after_the_commit(instances, fleet):
     leader = instances.leader()
-    node = fleet.node(watcher_of(leader, "k"))
+    node = fleet.node(node_that_prefers(leader, "k"))
     fleet.publish({"step": 10})
     before = newest(instances)["revision"]
     fleet.until(lambda: node.revision == before and node.is_current)
-    # The nodes do not run from the commit until the leader is dead.
+    # The nodes do not run between the commit and the leader's death.
     assert commands.publish(instances.owners, {"step": 11}, None) == 0
     instances.kill(leader)
     fleet.until(lambda: node.revision == before + 1 and node.subscriber.publisher not in (None, f"o{leader}"))
--- a/tests/test_distribution_properties.py
+++ b/tests/test_distribution_properties.py
@@ -1,4 +1,4 @@
-"""What distribution promises, under drawn faults; and planted faults, each of which breaks its property."""
+"""Safety properties of distribution under random faults, and planted faults that each violate one of them."""
 
 from functools import cache
 from random import Random
@@ -16,7 +16,7 @@
 from caperdeck.lab.distribution.world import play
 
 RULES = ["back", "committed", "whole", "in-force", "status", "current"]
-FAULTS_END = 32_000  # ms; what began by then has ended
+FAULTS_END = 32_000  # milliseconds; every fault has ended by then
 SPAN = FAULTS_END + 12_000.0
 
 KINDS = ["kill", "sleep", "isolate", "cut", "torment", "restart", "replace", "doze"]
@@ -28,7 +28,7 @@
 
 
 def schedule_of(scenes):
-    """Each fault with changes published after its beginning."""
+    """The faults, and the changes that are published after each of them began."""
     later = [change._replace(at=change.at + fault.at) for fault, during in scenes for change in during]
     return tuple(later), tuple(fault for fault, _ in scenes)
 
@@ -47,8 +47,8 @@
 )  # fmt: skip
 
 
-@cache  # all rules are checked in each play, and the same schedules are drawn for each
-def played(schedule):
+@cache  # each rule checks the same schedules, so every schedule is run once
+def run_schedule(schedule):
     return play(*schedule, SPAN)
 
 
@@ -57,11 +57,11 @@
 @limits
 @given(schedule=schedules())
 def test_a_property_holds_under_faults(rule, schedule):
-    assert [breach for breach in played(schedule).breaches if breach.rule == rule] == []
+    assert [breach for breach in run_schedule(schedule).breaches if breach.rule == rule] == []
 
 
-def test_the_plays_are_not_empty():
-    """They commit versions and lose proposals, and all of it comes into force."""
+def test_the_simulated_runs_are_not_empty():
+    """They commit versions, lose proposals, and apply what was committed."""
     cut_off = play([Publish(3000.0)], [Fault("isolate", 0, 2900.0, 8000.0)], SPAN)
     assert len(cut_off.log) == 0
     calm = play([Publish(at * 2000.0 + 1000.0) for at in range(5)], [], 20_000.0)
@@ -77,7 +77,7 @@
         return revision != self.held.revision
 
 
-class StaysAtUnconfirmed(Subscriber):
+class StaysWithUnconfirmedPublisher(Subscriber):
     def _must_leave(self, message):
         return message.revision < self.highest
 
@@ -92,13 +92,13 @@
             return document
 
 
-class CountsFromTheAnswer(Subscriber):
+class CountsFromArrival(Subscriber):
     def _confirm(self, message):
         self.request_times[message.number] = self.heard_at
         super()._confirm(message)
 
 
-class SendsTheLastStepOnly(Publisher):
+class SendsOnlyTheLastChange(Publisher):
     def _delta(self, report):
         history = self.table.history
         return difference(history[-2].document, history[-1].document) if len(history) > 1 else None
@@ -109,7 +109,7 @@
         return 0.0
 
 
-class CountsSilence(Publisher):
+class CountsSilenceAsConsent(Publisher):
     def status(self, now):
         status = super().status(now)
         sent = {
@@ -134,17 +134,17 @@
 PLANTED = [
     ("back", {"subscriber_kind": GoesBack}, schedules(["torment", "replace"], [1000.0, 4000.0])),
     ("committed", {"instance_kind": PublishesProposals}, schedules()),
-    ("whole", {"subscriber_kind": TakesAnyBase, "publisher_kind": SendsTheLastStepOnly}, schedules()),
-    ("in-force", {"subscriber_kind": StaysAtUnconfirmed}, LONG_ISOLATION),
+    ("whole", {"subscriber_kind": TakesAnyBase, "publisher_kind": SendsOnlyTheLastChange}, schedules()),
+    ("in-force", {"subscriber_kind": StaysWithUnconfirmedPublisher}, LONG_ISOLATION),
     ("in-force", {"publisher_kind": AlwaysConfirmed}, LONG_ISOLATION),
-    ("status", {"publisher_kind": CountsSilence}, schedules()),
+    ("status", {"publisher_kind": CountsSilenceAsConsent}, schedules()),
     ("current", {"publisher_kind": AlwaysConfirmed}, LONG_ISOLATION),
-    ("current", {"subscriber_kind": CountsFromTheAnswer}, schedules(["doze"], [13_000.0])),
+    ("current", {"subscriber_kind": CountsFromArrival}, schedules(["doze"], [13_000.0])),
 ]
 
 
 @pytest.mark.parametrize("rule, kinds, drawn", PLANTED)
-def test_a_planted_fault_is_found(rule, kinds, drawn):
+def test_a_planted_fault_is_detected(rule, kinds, drawn):
     def breaks(schedule):
         return any(breach.rule == rule for breach in play(*schedule, SPAN, **kinds).breaches)
 
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -1,4 +1,4 @@
-"""Distribution at an instance: the agreed table, connections of nodes, confirmations, and commands."""
+"""Distribution at one instance: the replicated tables, watch connections, confirmations, and commands."""
 
 import json
 import socket
@@ -44,7 +44,7 @@
 # ---- the agreed machine
 
 
-def test_a_command_reaches_the_table_of_its_key_alone():
+def test_a_command_reaches_only_the_table_of_its_key():
     agreed = Agreed()
     command = publish_command(agreed.versions, 0, {"a": 1}, 1)
     assert agreed.apply(command) == {"no": "no-work-named"}
@@ -56,13 +56,13 @@
     assert agreed.apply(ACQUIRE)["token"] == 1 and agreed.versions.newest.revision == 1
 
 
-def test_files_without_versions_load_and_files_with_them_come_back_whole():
+def test_snapshots_without_versions_load_and_snapshots_with_versions_round_trip():
     old = Sessions(Agreed().leases)
     old.apply(Entry(1, Kind.COMMAND, orjson.dumps(ACQUIRE), 7, 1))
     new = Sessions(Agreed())
     new.load(old.dump())
     assert new.machine.leases.row("hosts")["token"] == 1 and new.machine.versions.newest.revision == 0
-    assert new.dump() == old.dump()  # which an instance of before could load
+    assert new.dump() == old.dump()  # so an instance without versions can load it
     publish(new.machine.versions, {"a": 1})
     copy = Sessions(Agreed())
     copy.load(new.dump())
@@ -82,14 +82,14 @@
         publish_command(versions, 1, {key: {str(i): 0 for i in range(1500)}}, 1)
     publish(versions, {key: {str(i): 0 for i in range(900)}})
     publish(versions, {key: {str(i): 0 for i in range(1800)}})
-    assert versions.delta(first.revision, first.digest) is None  # a snapshot is shorter
+    assert versions.delta(first.revision, first.digest) is None  # a snapshot is smaller
 
 
 # ---- connections
 
 
 class World:
-    """An instance's port and publisher, in memory."""
+    """The network and the publisher of an instance, in memory."""
 
     def __init__(self, limit=8):
         self.now = 0.0
@@ -105,15 +105,15 @@
         self.net.handlers["watch"] = self.watch_server.accept
 
     def open(self):
-        conn, wire = self.net.buildProtocol(None), Wire()
+        connection, wire = self.net.buildProtocol(None), Wire()
         wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
-        conn.makeConnection(wire)
-        return conn, wire
+        connection.makeConnection(wire)
+        return connection, wire
 
-    def subscribed(self, node="n", number=1, **more):
-        conn, wire = self.open()
-        conn.dataReceived(encode(subscribe(node, number, **more), "t"))
-        return conn, wire
+    def open_subscribed(self, node="n", number=1, **more):
+        connection, wire = self.open()
+        connection.dataReceived(encode(subscribe(node, number, **more), "t"))
+        return connection, wire
 
 
 class Wire(StringTransport):
@@ -152,16 +152,16 @@
     return Acknowledge(node, subscription, number, newest.revision, newest.digest, False)
 
 
-def test_a_node_gets_the_version_then_changes_and_the_end_of_its_connection_ends_its_watch():
+def test_a_node_gets_a_snapshot_then_deltas_and_its_watch_ends_with_its_connection():
     world = World()
-    conn, wire = world.subscribed()
+    connection, wire = world.open_subscribed()
     assert wire.kinds() == ["Snapshot", "Heartbeat"] and not world.net.inbound
-    conn.dataReceived(encode(acknowledge(world), "t"))
+    connection.dataReceived(encode(acknowledge(world), "t"))
     assert wire.kinds() == ["Heartbeat"]
     publish(world.versions, {"a": 2})
     world.watch_server.send(world.publisher.versions_changed(0.0))
     assert wire.kinds() == ["Delta"]
-    conn.connectionLost(None)
+    connection.connectionLost(None)
     assert (
         not world.publisher.subscriptions
         and not world.watch_server.sessions
@@ -183,11 +183,11 @@
     (framed(encode_frame("t", "watch", {})), "bad-message"),
     ((MAX_NODE_FRAME_BYTES + 1).to_bytes(4, "big"), "too-long"),
 ])  # fmt: skip
-def test_a_frame_that_is_none_ends_the_watch_and_nothing_after_it_is_taken(data, reason):
+def test_an_invalid_frame_ends_the_watch_and_later_frames_are_ignored(data, reason):
     world = World()
-    conn, wire = world.subscribed()
+    connection, wire = world.open_subscribed()
     wire.clear()
-    conn.dataReceived(data + encode(acknowledge(world), "t"))
+    connection.dataReceived(data + encode(acknowledge(world), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not wire.value()
     assert world.publisher.subscriptions["n"].report == subscribe()
 
@@ -199,44 +199,44 @@
         "too-long",
     ),
 ])  # fmt: skip
-def test_a_connection_that_begins_wrongly_is_ended(data, reason):
+def test_a_connection_with_an_invalid_first_frame_is_closed(data, reason):
     world = World()
-    conn, wire = world.open()
-    conn.dataReceived(data + encode(subscribe(), "t"))
+    connection, wire = world.open()
+    connection.dataReceived(data + encode(subscribe(), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not world.publisher.subscriptions
-    conn.connectionLost(None)
+    connection.connectionLost(None)
     assert not world.watch_server.sessions
 
 
-def test_a_node_that_comes_again_ends_its_older_connection_and_late_ones_are_refused():
+def test_a_new_subscription_ends_the_node_s_older_connection_and_older_numbers_are_rejected():
     world = World()
-    first, first_wire = world.subscribed(number=5)
-    _, second_wire = world.subscribed(number=6)
+    first, first_wire = world.open_subscribed(number=5)
+    _, second_wire = world.open_subscribed(number=6)
     assert first_wire.aborted and not second_wire.aborted
     first.connectionLost(None)
     assert world.publisher.subscriptions["n"].number == 6
     for number in (6, 5):
-        _, late = world.subscribed(number=number)
+        _, late = world.open_subscribed(number=number)
         assert late.aborted and late.value() == b""
     assert world.net.dropped == {"old-subscription": 2}
     assert world.publisher.subscriptions["n"].number == 6
 
 
-def test_beyond_the_bound_nodes_are_told_to_come_later_and_far_beyond_it_they_are_cut_off():
+def test_nodes_beyond_the_limit_are_told_to_retry_and_far_beyond_it_are_disconnected():
     world = World(limit=2)
-    made = [world.subscribed(f"n{i}") for i in range(3 + MAX_REJECTED_CONNECTIONS)]
+    made = [world.open_subscribed(f"n{i}") for i in range(3 + MAX_REJECTED_CONNECTIONS)]
     assert [made[k][1].kinds() for k in (0, 2)] == [["Snapshot", "Heartbeat"], ["Busy"]]
     assert made[2][1].disconnecting and len(world.publisher.subscriptions) == 2
     assert made[-1][1].aborted and world.net.dropped["too-many-watches"] == MAX_REJECTED_CONNECTIONS + 1
     made[0][0].connectionLost(None)
-    for conn, _ in made[2:]:
-        conn.connectionLost(None)
-    assert world.subscribed("m")[1].kinds() == ["Snapshot", "Heartbeat"]
+    for connection, _ in made[2:]:
+        connection.connectionLost(None)
+    assert world.open_subscribed("m")[1].kinds() == ["Snapshot", "Heartbeat"]
 
 
-def test_a_node_that_does_not_read_is_not_read_from_and_is_cut_off_past_the_bound():
+def test_a_node_that_does_not_read_is_not_read_from_and_is_disconnected_past_the_limit():
     world = World()
-    conn, wire = world.subscribed()
+    connection, wire = world.open_subscribed()
     session = next(iter(world.watch_server.sessions))
     wire.producer.pauseProducing()
     assert not wire.reads
@@ -251,7 +251,7 @@
 
 def test_a_watch_that_leaves_a_version_unanswered_is_closed():
     world = World()
-    _, wire = world.subscribed()
+    _, wire = world.open_subscribed()
     wire.clear()
     for world.now in (UNANSWERED_VERSION_MS - TICK_INTERVAL_MS + 1.0, UNANSWERED_VERSION_MS + 1.0):
         assert not wire.disconnecting
@@ -263,7 +263,7 @@
 # ---- confirmations
 
 
-def test_an_answer_counts_from_when_it_was_asked_and_once_the_own_table_is_there():
+def test_a_read_counts_from_its_start_and_only_once_the_local_table_has_caught_up():
     versions = VersionTable()
     publisher = Publisher("o0", versions, 0.0)
     confirmation = VersionConfirmation(publisher)
@@ -287,30 +287,30 @@
 
 
 class Instances:
-    """What they answer, in turn; what they were asked."""
+    """Answers calls with the given answers in turn, the last one repeatedly; records the calls."""
 
-    def __init__(self, *said):
-        self.said, self.asked = list(said), []
+    def __init__(self, *answers):
+        self.answers, self.calls = list(answers), []
 
     def __call__(self, address, cluster, body):
-        self.asked.append(body)
-        return self.said.pop(0) if len(self.said) > 1 else self.said[0]
+        self.calls.append(body)
+        return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
 
 NOTHING_YET = {"revision": 0, "digest": EMPTY, "document": {}}
 
 
-def test_a_call_without_answer_is_repeated_under_its_numbers(capsys):
+def test_an_unanswered_call_is_retried_with_the_same_numbers(capsys):
     ask = Instances(
         None, NOTHING_YET, None, {"no": "too-many-calls"}, {"ok": True, "revision": 1, "digest": "d"}
     )
     assert commands.publish(OWNERS, {"a": 1}, None, ask) == 0
     assert capsys.readouterr().out == "revision 1 committed, digest d\n"
-    calls = [body for body in ask.asked if body["do"] == "publish"]
+    calls = [body for body in ask.calls if body["do"] == "publish"]
     assert len(calls) == 3 and calls[0] == calls[1] == calls[2] and calls[0]["on"] == 0
 
 
-def test_without_any_answer_it_is_told_as_unknown(monkeypatch):
+def test_without_any_answer_the_outcome_is_reported_as_unknown(monkeypatch):
     monkeypatch.setattr(commands, "RETRY_TIMEOUT_S", 0.0)
     with pytest.raises(commands.UnknownError, match="may be committed or not"):
         commands.publish(OWNERS, {"a": 1}, None, Instances(NOTHING_YET, None))
@@ -320,7 +320,7 @@
         )
 
 
-def test_what_the_table_refuses_is_bad_input():
+def test_a_refusal_by_the_table_is_bad_input():
     with pytest.raises(commands.InputError, match="on: builds on 0, 1 is the newest"):
         commands.publish(OWNERS, {"a": 1}, None,
                          Instances(NOTHING_YET, {"refused": "on: builds on 0, 1 is the newest"}))  # fmt: skip
@@ -346,9 +346,7 @@
     ({"listen": "127.0.0.1:1"}, "document: listen: not for a version to set"),
     ({"x": "y" * (2 << 20)}, "document: .* bytes, over"), (NESTED, "document.a.*: deeper than"),
 ])  # fmt: skip
-def test_a_file_that_cannot_be_a_version_is_named_in_one_line_with_exit_code_2(
-    value, words, tmp_path, capsys
-):
+def test_an_invalid_version_file_is_reported_in_one_line_with_exit_code_2(value, words, tmp_path, capsys):
     instances = tmp_path / "owners.toml"
     instances.write_text('cluster = "t"\n[instances]\n0 = "127.0.0.1:1"\n')
     arguments = {
@@ -364,7 +362,7 @@
         commands.read_document(arguments["FILE"])
 
 
-def test_what_is_alike_at_all_nodes_can_be_a_version_alone(tmp_path):
+def test_settings_common_to_all_nodes_form_a_valid_version(tmp_path):
     for version in (VERSION, {"settings": {"fleetSize": 3}}):
         assert commands.read_document(str(file(tmp_path, version))) == version
 
@@ -375,7 +373,7 @@
 ))  # fmt: skip
 
 
-def test_a_status_comes_back_whole_and_a_damaged_one_is_none():
+def test_a_status_round_trips_and_a_damaged_one_is_rejected():
     said = json.loads(json.dumps(encode_status(STATUS)))
     assert decode_status(said) == STATUS
     for damage in (
@@ -390,41 +388,41 @@
         decode_status(None)
 
 
-def first_answers(status, newest):
-    """Calls of which the first instance answers all, the others none; `newest` is what a quorum says."""
+def only_first_instance_answers(status, newest):
+    """Calls that only the first instance answers; `newest` is the answer of the quorum."""
     answers = {"distribution": encode_status(status), "versions": newest}
     return lambda address, _, body: answers[body["do"]] if address.port == 1 else None
 
 
-def test_status_prints_what_is_known_and_counts_no_silence_as_consent(capsys):
+def test_status_prints_what_is_known_and_does_not_count_silence_as_consent(capsys):
     names = ["n0", "n1", "n2"]
     newest = {"revision": 2, "term": 1, "digest": "a" * 32}
-    assert commands.status(OWNERS, names, first_answers(STATUS, newest)) == 0
+    assert commands.status(OWNERS, names, only_first_instance_answers(STATUS, newest)) == 0
     assert capsys.readouterr().out.splitlines() == [
         "revision 2, confirmed", "in force at 1 of 3", "oldest revision 1",
         "refused n1 revision=2 no such class", "not heard of: n2", "stale: n1",
         "instance 127.0.0.1:2 no answer",
     ]  # fmt: skip
     alone = STATUS._replace(confirmed=False, rows=())
-    assert commands.status(OWNERS, ["n0"], first_answers(alone, None)) == 1
+    assert commands.status(OWNERS, ["n0"], only_first_instance_answers(alone, None)) == 1
     assert "in force at 0 of 1" in (said := capsys.readouterr().out)
     assert "o1 unconfirmed" in said and "not confirmed: there may be" in said
 
 
-def test_a_version_that_only_a_killed_leader_had_published_is_the_newest_all_the_same(capsys):
-    # Danger: the others had confirmed the one before within the last two seconds.
+def test_a_version_that_only_a_killed_leader_had_published_counts_as_the_newest(capsys):
+    # The other instances had confirmed the previous version within the last two seconds.
     newest = {"revision": 3, "term": 2, "digest": "c" * 32}
-    assert commands.status(OWNERS, ["n0", "n1"], first_answers(STATUS, newest)) == 0
+    assert commands.status(OWNERS, ["n0", "n1"], only_first_instance_answers(STATUS, newest)) == 0
     assert capsys.readouterr().out.splitlines()[:2] == ["revision 3, confirmed", "in force at 0 of 2"]
 
 
 @pytest.mark.parametrize("answer", [None, {"no": "no-leader"}, {"revision": "3"}])
-def test_without_a_quorum_no_version_is_called_the_newest_whatever_was_confirmed_lately(answer, capsys):
-    assert commands.status(OWNERS, ["n0"], first_answers(STATUS, answer)) == 1
+def test_without_a_quorum_no_version_counts_as_the_newest_despite_recent_confirmations(answer, capsys):
+    assert commands.status(OWNERS, ["n0"], only_first_instance_answers(STATUS, answer)) == 1
     assert capsys.readouterr().out.startswith("revision 2, not confirmed: there may be a newer one")
 
 
-def test_words_that_grew_old_while_others_were_asked_do_not_count(monkeypatch):
+def test_the_age_of_reports_includes_the_time_spent_asking_other_instances(monkeypatch):
     times = iter([0.0, 7.0])
     monkeypatch.setattr(commands.time, "monotonic", lambda: next(times))
     known = commands.read_statuses(OWNERS, lambda *call: encode_status(STATUS))
@@ -432,7 +430,7 @@
 
 
 @pytest.mark.parametrize("text, words", [("", "0 names"), ("a\na\n", "'a' twice"), ("x" * 65, "is no name")])
-def test_a_list_of_nodes_that_cannot_be_used_is_named(text, words, tmp_path):
+def test_an_invalid_list_of_nodes_is_reported(text, words, tmp_path):
     path = tmp_path / "nodes"
     path.write_text(text)
     with pytest.raises(commands.InputError, match=words):
--- a/tests/test_distribution_stream.py
+++ b/tests/test_distribution_stream.py
@@ -1,4 +1,4 @@
-"""Messages of a watch as frames, and a node's connection to a publisher over a transport in memory."""
+"""Watch messages as frames, and a node's connection to a publisher over an in-memory transport."""
 
 import socket
 import struct
@@ -19,7 +19,7 @@
 
 NONE = digest({})
 HEARTBEAT = Heartbeat(1, 2, 3, NONE, 40.0)
-LONGEST_WORDS = Subscribe(
+LARGEST_SUBSCRIBE = Subscribe(
     *('"' + "\U0001f600" * 63,) * 3, (1 << 53) - 1, (1 << 53) - 1, NONE, True,
     Refusal((1 << 53) - 1, "\\" * 200), True,
 )  # fmt: skip
@@ -33,8 +33,8 @@
     return framed(encode_frame("t", "watch", row))
 
 
-def test_a_message_of_each_side_comes_back_whole():
-    for message in (LONGEST_WORDS, Acknowledge("n", 1, 2, 3, NONE, False)):
+def test_messages_of_both_sides_round_trip():
+    for message in (LARGEST_SUBSCRIBE, Acknowledge("n", 1, 2, 3, NONE, False)):
         data = encode(message, "c" * 64)[LENGTH_PREFIX.size :]
         assert len(data) < MAX_NODE_FRAME_BYTES
         assert message_from_node(*decode_frame(data, "c" * 64), len(data)) == message
@@ -57,7 +57,7 @@
     ("watch", {"kind": "closed", "subscription": 1, "reason": ""}, 10, "wrong-direction"),
     ("watch", {}, MAX_NODE_FRAME_BYTES + 1, "too-long"),
 ])  # fmt: skip
-def test_what_is_no_message_of_a_node_names_the_reason(name, row, size, reason):
+def test_an_invalid_message_from_a_node_is_rejected_with_its_reason(name, row, size, reason):
     with pytest.raises(FrameError, match=reason):
         message_from_node(name, row, size)
 
@@ -65,7 +65,7 @@
 # ---- a node's connection
 
 
-class User:
+class RecordingListener:
     def __init__(self):
         self.events = []
 
@@ -82,47 +82,50 @@
         self.events.append(reason)
 
 
-def connection():
-    reactor, user = MemoryReactorClock(), User()
-    made = WatchConnection(reactor, Address("127.0.0.1", 7), "t", user)
-    return made, user, reactor
+def new_connection():
+    reactor, listener = MemoryReactorClock(), RecordingListener()
+    connection = WatchConnection(reactor, Address("127.0.0.1", 7), "t", listener)
+    return connection, listener, reactor
 
 
-def opened():
-    made, user, _ = connection()
-    wire = StringTransport()
-    wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
-    wire.abortConnection = wire.loseConnection
-    made.makeConnection(wire)
-    assert user.events == ["opened"]
-    user.events.clear()
-    return made, user, wire
+def open_connection():
+    connection, listener, _ = new_connection()
+    transport = StringTransport()
+    transport.setTcpNoDelay, transport.getHandle = lambda on: None, lambda: socket.socket()
+    transport.abortConnection = transport.loseConnection
+    connection.makeConnection(transport)
+    assert listener.events == ["opened"]
+    listener.events.clear()
+    return connection, listener, transport
 
 
-def test_words_go_out_once_it_is_up_and_not_after_its_end():
-    made, _, _ = connection()
-    assert not made.send(Acknowledge("n", 1, 2, 3, NONE, False))
-    made, user, wire = opened()
-    assert made.send(Acknowledge("n", 1, 2, 3, NONE, False)) and wire.value()
-    made.close()
-    assert wire.disconnecting and not made.send(Acknowledge("n", 1, 3, 3, NONE, False))
-    made.connectionLost(None)
-    assert user.events == []
+def test_messages_are_sent_only_while_the_connection_is_open():
+    connection, _, _ = new_connection()
+    assert not connection.send(Acknowledge("n", 1, 2, 3, NONE, False))
+    connection, listener, transport = open_connection()
+    assert connection.send(Acknowledge("n", 1, 2, 3, NONE, False)) and transport.value()
+    connection.close()
+    assert transport.disconnecting and not connection.send(Acknowledge("n", 1, 3, 3, NONE, False))
+    connection.connectionLost(None)
+    assert listener.events == []
 
 
-def test_bytes_of_a_part_of_a_message_are_told_of():
-    made, user, _ = opened()
+def test_partial_messages_are_reported_to_the_listener():
+    connection, listener, _ = open_connection()
     data = encode(HEARTBEAT, "t")
-    made.dataReceived(data[:9])
-    made.dataReceived(data[9:])
-    assert user.events == ["bytes", "bytes", HEARTBEAT]
+    connection.dataReceived(data[:9])
+    connection.dataReceived(data[9:])
+    assert listener.events == ["bytes", "bytes", HEARTBEAT]
 
 
-def test_after_it_was_closed_nothing_more_of_the_same_bytes_is_handed_on():
-    made, user, _ = opened()
-    user.message_received = lambda connection, message: (user.events.append(message), connection.close())
-    made.dataReceived(encode(HEARTBEAT, "t") * 2)
-    assert user.events == ["bytes", HEARTBEAT]
+def test_messages_after_a_close_in_the_same_read_are_not_delivered():
+    connection, listener, _ = open_connection()
+    listener.message_received = lambda connection, message: (
+        listener.events.append(message),
+        connection.close(),
+    )
+    connection.dataReceived(encode(HEARTBEAT, "t") * 2)
+    assert listener.events == ["bytes", HEARTBEAT]
 
 
 @pytest.mark.parametrize("data, reason", [
@@ -132,25 +135,25 @@
     (encode(Acknowledge("n", 1, 2, 3, NONE, False), "t"), "wrong-direction"),
     (struct.pack("!I", MAX_PUBLISHER_FRAME_BYTES + 1), "too-long"),
 ])  # fmt: skip
-def test_what_cannot_be_taken_ends_the_connection_with_its_reason(data, reason):
-    made, user, wire = opened()
-    made.dataReceived(data + encode(HEARTBEAT, "t"))
-    made.connectionLost(None)
-    assert user.events == ["bytes", reason] and wire.disconnecting
-
-
-def test_a_publisher_that_does_not_read_is_left():
-    made, user, wire = opened()
-    made.pauseProducing()
-    assert user.events == ["unsent"] and wire.disconnecting
-
-
-def test_an_end_is_told_of_once():
-    made, user, _ = opened()
-    made.connectionLost(None)
-    made.connectionLost(None)
-    assert user.events == ["ended"]
-    made, user, _ = connection()
-    made.failed()
-    made.close()
-    assert user.events == ["not-connected"]
+def test_an_invalid_frame_ends_the_connection_with_its_reason(data, reason):
+    connection, listener, transport = open_connection()
+    connection.dataReceived(data + encode(HEARTBEAT, "t"))
+    connection.connectionLost(None)
+    assert listener.events == ["bytes", reason] and transport.disconnecting
+
+
+def test_a_publisher_that_does_not_read_is_disconnected():
+    connection, listener, transport = open_connection()
+    connection.pauseProducing()
+    assert listener.events == ["unsent"] and transport.disconnecting
+
+
+def test_the_end_of_a_connection_is_reported_once():
+    connection, listener, _ = open_connection()
+    connection.connectionLost(None)
+    connection.connectionLost(None)
+    assert listener.events == ["ended"]
+    connection, listener, _ = new_connection()
+    connection.failed()
+    connection.close()
+    assert listener.events == ["not-connected"]
--- a/tests/test_raft_codec.py
+++ b/tests/test_raft_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances: each comes back, and what is none has its reason."""
+"""The wire format between instances: messages round-trip, and invalid frames are rejected with a reason."""
 
 import orjson
 import pytest
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_every_message_comes_back(message):
+def test_every_message_round_trips(message):
     assert decode(encode(message, "c"), "c", 0) == message
 
 
@@ -38,7 +38,7 @@
 
 
 @given(st.binary(max_size=200) | values.map(orjson.dumps))
-def test_rubbish_is_turned_down_with_a_reason(data):
+def test_invalid_data_is_rejected_with_a_reason(data):
     with pytest.raises(FrameError, match="^[a-z-]+$"):
         decode(data, "c", 0)
 
@@ -65,6 +65,6 @@
     (framed("install", 3, 1, 8, 2, [[], []], 0, "", True, 4), "impossible-members"),
     (framed("install", 3, 1, 8, 2, [[0], []], 0, "!", True, 4), "wrong-fields"),
 ])  # fmt: skip
-def test_bad_frames_have_their_reason(data, reason):
+def test_invalid_frames_are_rejected_with_their_reason(data, reason):
     with pytest.raises(FrameError, match=f"^{reason}$"):
         decode(data, "c", 0)
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""An instance's file: what a crash at any byte leaves, what damage does, and who may use it."""
+"""Stable storage of an instance: crashes at any byte, damage, and exclusive use."""
 
 import errno
 import os
@@ -7,7 +7,7 @@
 
 import pytest
 
-from caperdeck.raft import storage as module
+from caperdeck.raft import storage as storage_module
 from caperdeck.raft.core import Save
 from caperdeck.raft.log import Entry, Kind, Members, Snapshot
 from caperdeck.raft.storage import RECORD_HEADER, Storage, StorageError
@@ -15,7 +15,7 @@
 THREE = Members((0, 1, 2))
 
 
-def opened(folder, cluster="c", me=0):
+def open_storage(folder, cluster="c", me=0):
     return Storage(str(folder), cluster, me, THREE)
 
 
@@ -29,82 +29,82 @@
 ]  # fmt: skip
 
 
-def state(s):
-    return s.term, s.voted_for, s.log.snapshot, list(s.log.entries)
+def state(storage):
+    return storage.term, storage.voted_for, storage.log.snapshot, list(storage.log.entries)
 
 
-def written(folder):
-    """The file after the saves, and the state after each, by the bytes that it takes."""
-    s = opened(folder)
-    states = {s.path.stat().st_size: state(s)}
+def write_and_record_states(folder):
+    """The content of the file after all saves, and the state after each save by the size of the file then."""
+    storage = open_storage(folder)
+    states = {storage.path.stat().st_size: state(storage)}
     for save in SAVES:
-        s.write(save)
-        states[s.path.stat().st_size] = state(s)
-    s.close()
-    return s.path.read_bytes(), states
+        storage.write(save)
+        states[storage.path.stat().st_size] = state(storage)
+    storage.close()
+    return storage.path.read_bytes(), states
 
 
-def test_what_was_written_is_read_again(tmp_path):
-    data, states = written(tmp_path)
-    assert state(opened(tmp_path)) == states[len(data)]
+def test_written_state_is_read_back(tmp_path):
+    data, states = write_and_record_states(tmp_path)
+    assert state(open_storage(tmp_path)) == states[len(data)]
     assert states[len(data)][3] == [command(1, b"a"), command(2, b"c"), command(2, b"d")]
 
 
-def test_a_crash_at_any_byte_leaves_what_was_whole(tmp_path):
-    data, states = written(tmp_path)
-    least = min(states)
-    for size in range(least, len(data), 3):
+def test_a_crash_at_any_byte_leaves_all_complete_records(tmp_path):
+    data, states = write_and_record_states(tmp_path)
+    smallest = min(states)
+    for size in range(smallest, len(data), 3):
         (tmp_path / "log").write_bytes(data[:size])
-        s = opened(tmp_path)
-        whole = max(n for n in states if n <= size)
-        assert state(s) == states[whole] and s.path.stat().st_size == whole
-        s.close()
+        storage = open_storage(tmp_path)
+        complete = max(n for n in states if n <= size)
+        assert state(storage) == states[complete] and storage.path.stat().st_size == complete
+        storage.close()
 
 
-def test_a_last_record_with_a_wrong_sum_is_cut_off_and_others_stop_the_instance(tmp_path):
-    data, states = written(tmp_path)
+def test_a_corrupt_last_record_is_cut_off_and_other_damage_stops_the_instance(tmp_path):
+    data, states = write_and_record_states(tmp_path)
     sizes = sorted(states)
     for k, start in enumerate(sizes[:-1]):
         for at in (start, start + RECORD_HEADER.size + 3):
-            bad = bytearray(data)
-            bad[at] ^= 0x40
-            (tmp_path / "log").write_bytes(bytes(bad))
+            damaged = bytearray(data)
+            damaged[at] ^= 0x40
+            (tmp_path / "log").write_bytes(bytes(damaged))
             if at != start and k == len(sizes) - 2:
-                s = opened(tmp_path)
-                assert state(s) == states[start]
-                s.close()
+                storage = open_storage(tmp_path)
+                assert state(storage) == states[start]
+                storage.close()
             else:
                 with pytest.raises(StorageError, match=f"damaged at byte {start}"):
-                    opened(tmp_path)
+                    open_storage(tmp_path)
 
 
-def test_a_snapshot_takes_the_place_of_what_it_covers_and_bounds_the_file(tmp_path):
-    s = opened(tmp_path)
+def test_a_snapshot_replaces_the_entries_it_covers_and_bounds_the_file(tmp_path):
+    storage = open_storage(tmp_path)
     for i in range(1, 400):
-        s.write(Save(1, None, i, (command(1, b"v" * 50),)))
+        storage.write(Save(1, None, i, (command(1, b"v" * 50),)))
         if i % 50 == 0:
-            s.write(Save(1, None, i + 1, (), Snapshot(i, 1, THREE, b"state")))
-        assert s.path.stat().st_size < 12_000
-    s.close()
-    again = opened(tmp_path)
-    assert again.log.snapshot == Snapshot(350, 1, THREE, b"state") and again.log.last_index == 399
+            storage.write(Save(1, None, i + 1, (), Snapshot(i, 1, THREE, b"state")))
+        assert storage.path.stat().st_size < 12_000
+    storage.close()
+    reopened = open_storage(tmp_path)
+    assert reopened.log.snapshot == Snapshot(350, 1, THREE, b"state") and reopened.log.last_index == 399
 
 
-def test_a_file_that_was_being_written_when_the_process_died_is_left_out(tmp_path):
-    data, states = written(tmp_path)
+def test_an_unfinished_temporary_file_is_removed(tmp_path):
+    data, states = write_and_record_states(tmp_path)
     (tmp_path / "log.new").write_bytes(data[:30])
-    assert state(opened(tmp_path)) == states[len(data)] and not (tmp_path / "log.new").exists()
+    assert state(open_storage(tmp_path)) == states[len(data)] and not (tmp_path / "log.new").exists()
 
 
 @pytest.mark.parametrize("cluster, me", [("d", 0), ("c", 1)])
 def test_the_file_of_another_instance_is_refused(cluster, me, tmp_path):
-    opened(tmp_path).close()
+    open_storage(tmp_path).close()
     with pytest.raises(StorageError, match="of instance 0 of 'c'"):
-        opened(tmp_path, cluster, me)
+        open_storage(tmp_path, cluster, me)
 
 
 def test_two_instances_on_one_folder_are_refused(tmp_path):
-    s = opened(tmp_path)
+    storage = open_storage(tmp_path)
     code = (
         "from caperdeck.raft.storage import *\n"
         f"try: Storage({str(tmp_path)!r}, 'c', 0, Members((0,)))\n"
@@ -112,20 +112,20 @@
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20, check=True)
     assert "another instance runs on it" in out.stdout
-    s.close()
+    storage.close()
 
 
-def test_a_disk_that_is_full_is_written_to_no_more(tmp_path, monkeypatch):
-    """What is there of a write that failed is not known; the next one must not look whole."""
-    s = opened(tmp_path)
+def test_nothing_is_written_after_a_failed_write(tmp_path, monkeypatch):
+    """A failed write may be on disk in part; a later write must not make it look complete."""
+    storage = open_storage(tmp_path)
 
     def full(fd):
         raise OSError(errno.ENOSPC, "No space left on device")
 
-    monkeypatch.setattr(module.os, "fsync", full)
+    monkeypatch.setattr(storage_module.os, "fsync", full)
     with pytest.raises(StorageError, match="No space left"):
-        s.write(SAVES[1])
+        storage.write(SAVES[1])
     monkeypatch.undo()
     with pytest.raises(StorageError, match="No space left"):
-        s.write(SAVES[0])
+        storage.write(SAVES[0])
     assert os.path.exists(tmp_path / "log")
