--- a/caperdeck/raft/codec.py
+++ b/caperdeck/raft/codec.py
@@ -21,7 +21,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 4 << 20
-MAX_NUMBER = 1 << 53  # of a term or an index; a JSON number holds it exactly
+MAX_NUMBER = 1 << 53  # of a term or an index
 MESSAGE_TYPES: dict[str, type] = {
     "ask": VoteRequest, "voted": VoteResponse, "append": AppendEntriesRequest,
     "appended": AppendEntriesResponse, "install": InstallSnapshotRequest,
