--- a/caperdeck/distribution/commands.py
+++ b/caperdeck/distribution/commands.py
@@ -17,8 +17,8 @@
 
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.merge import check_document
-from caperdeck.owner.commands import ask
-from caperdeck.owner.config import OwnerError, Owners, load_owners
+from caperdeck.owner.commands import call_instance
+from caperdeck.owner.config import OwnerError, OwnerEndpoints, load_owners
 from caperdeck.state.addresses import Address
 
 from .document import MAX_DOCUMENT_BYTES, Document, DocumentError, digest, validate
@@ -69,7 +69,9 @@
 # ---- publish
 
 
-def publish(owners: Owners, document: Document, base: int | None, ask: AskInstance = ask) -> int:
+def publish(
+    owners: OwnerEndpoints, document: Document, base: int | None, ask: AskInstance = call_instance
+) -> int:
     """Publishes a document. `base` is the revision that it was derived from; None stands for the newest."""
     newest = read_newest(owners, ask)
     table = VersionTable()
@@ -88,7 +90,7 @@
     raise UnknownError("no answer: the version may be committed or not; `config status` tells the newest")
 
 
-def read_newest(owners: Owners, ask: AskInstance) -> NewestVersion:
+def read_newest(owners: OwnerEndpoints, ask: AskInstance) -> NewestVersion:
     for answer in iter_answers(owners, {"do": "versions", "document": True}, ask):
         revision, document = answer.get("revision"), answer.get("document")
         if isinstance(document, dict) and digest(document) == answer.get("digest"):
@@ -96,7 +98,7 @@
     raise UnknownError("no instance answered that knows the newest version; nothing was proposed")
 
 
-def iter_answers(owners: Owners, body: dict[str, Any], ask: AskInstance) -> Iterator[dict[str, Any]]:
+def iter_answers(owners: OwnerEndpoints, body: dict[str, Any], ask: AskInstance) -> Iterator[dict[str, Any]]:
     """Answers from one instance after another until RETRY_TIMEOUT_S has passed; at least one round."""
     deadline = time.monotonic() + RETRY_TIMEOUT_S
     while True:
@@ -141,7 +143,7 @@
 # ---- status
 
 
-def status(owners: Owners, names: list[str] | None, ask: AskInstance = ask) -> int:
+def status(owners: OwnerEndpoints, names: list[str] | None, ask: AskInstance = call_instance) -> int:
     """Prints the status. `names` are the expected nodes; if None, those that have reported to an instance."""
     known = read_statuses(owners, ask)
     heard = [status for status in known.values() if status is not None]
@@ -153,7 +155,7 @@
     return 0 if summary.confirmed else 1
 
 
-def read_statuses(owners: Owners, ask: AskInstance) -> dict[Address, Status | None]:
+def read_statuses(owners: OwnerEndpoints, ask: AskInstance) -> dict[Address, Status | None]:
     """The status at each instance, None if it did not answer, with ages as of after the last answer."""
     started = time.monotonic()
     with ThreadPoolExecutor(len(owners.instances)) as pool:
@@ -176,7 +178,9 @@
     return status._replace(rows=tuple(row._replace(age=row.age + elapsed_ms) for row in status.rows))
 
 
-def read_summary(owners: Owners, heard: list[Status], names: list[str] | None, ask: AskInstance) -> Summary:
+def read_summary(
+    owners: OwnerEndpoints, heard: list[Status], names: list[str] | None, ask: AskInstance
+) -> Summary:
     """Combines the statuses that were received with the newest version, which is read from the quorum after
     them.
     """
@@ -190,7 +194,7 @@
     return summarise(known, expected)
 
 
-def read_newest_status(owners: Owners, ask: AskInstance) -> Status | None:
+def read_newest_status(owners: OwnerEndpoints, ask: AskInstance) -> Status | None:
     """The newest committed version as of after the call, without rows; None if no quorum answers."""
     for address in owners.instances:
         answer = ask(address, owners.cluster, {"do": "versions"})
--- a/caperdeck/distribution/connection.py
+++ b/caperdeck/distribution/connection.py
@@ -10,7 +10,7 @@
 
 from caperdeck.raft.codec import FrameError
 from caperdeck.state.addresses import Address
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 from .messages import NodeMessage
 from .stream import MAX_PUBLISHER_FRAME_BYTES, decode_from_publisher, encode
@@ -53,7 +53,7 @@
     def __init__(self, reactor: Any, address: Address, cluster: str, listener: WatchListener) -> None:
         self.cluster, self.listener = cluster, listener
         self.phase = Phase.CONNECTING
-        self.connector = reactor.connectTCP(*address, OneConnection(self), CONNECT_TIMEOUT_S)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), CONNECT_TIMEOUT_S)
 
     def send(self, message: NodeMessage) -> bool:
         """Whether the message was written; False while connecting and after the end."""
--- a/caperdeck/ops/admin_server.py
+++ b/caperdeck/ops/admin_server.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from caperdeck.state.addresses import Address
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort, LineConnection
 
@@ -41,7 +41,7 @@
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        self.send_at_once()
+        self.disable_nagle()
         self.timer = self.front.reactor.callLater(PATIENCE, self.transport.abortConnection)
         self.front.came(self)
 
@@ -70,7 +70,7 @@
         if self.ended:
             self.transport.loseConnection()
         else:
-            self.end_sending(self.front.reactor)
+            self.half_close(self.front.reactor)
 
     def keep(self) -> None:
         """Stays open for the next call."""
@@ -92,7 +92,7 @@
 
     def connectionLost(self, reason) -> None:
         cancel(self.timer)
-        cancel(self.lingers)
+        cancel(self.linger_timer)
         self.front.left(self)
 
 
@@ -106,11 +106,11 @@
 
     def listen(self, address: Address) -> BoundedPort:
         port = BoundedPort(address.port, self, BACKLOG, address.host, self.reactor)
-        call_again(port.startListening)
+        call_with_retries(port.startListening)
         return port
 
     @property
-    def acceptable(self) -> int:
+    def acceptable_connections(self) -> int:
         """Callers that there may still be; the rest waits in the kernel for a moment."""
         return max(MOST_CALLERS - len(self.open), 1)
 
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -1,32 +1,32 @@
-"""All that the instances agree on, as one state machine: who holds which work, and the configuration."""
+"""The replicated state machine of the instances: the lease table and the configuration versions."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from caperdeck.distribution.table import VersionTable
-from caperdeck.leases.table import Table
+from caperdeck.leases.table import LeaseTable
 
-VERSIONS = "versions"  # key of a command for the versions; the command is its value
+VERSIONS = "versions"  # key of a command for the versions, whose value is the command itself
 
 
-def for_versions(command: dict[str, Any]) -> dict[str, Any]:
+def wrap_versions_command(command: dict[str, Any]) -> dict[str, Any]:
     return {VERSIONS: command}
 
 
-def is_for_leases(command: Any) -> bool:
+def is_lease_command(command: Any) -> bool:
     return not isinstance(command, dict) or VERSIONS not in command
 
 
-class Agreed:
-    """Each command goes to one of the two tables, by its key, and never to the other."""
+class ReplicatedState:
+    """Applies each command to one of the two tables, chosen by its key."""
 
     def __init__(self) -> None:
-        self.leases = Table()
+        self.leases = LeaseTable()
         self.versions = VersionTable()
 
     def apply(self, command: Any) -> dict[str, Any]:
-        if is_for_leases(command):
+        if is_lease_command(command):
             return self.leases.apply(command)
         if len(command) != 1:
             return {"no": "two-tables"}
@@ -34,7 +34,8 @@
 
     def dump(self) -> Any:
         leases = self.leases.dump()
-        # Danger: an instance of before could not load the other form, and has nothing to lose by this one.
+        # An instance of an older version cannot load the other format. Without versions the old one is
+        # complete.
         if not self.versions.newest.revision:
             return leases
         return {"leases": leases, VERSIONS: self.versions.dump()}
--- a/caperdeck/raft/transport.py
+++ b/caperdeck/raft/transport.py
@@ -211,7 +211,7 @@
         self.port.startListening()
 
     @property
-    def acceptable(self) -> int:
+    def acceptable_connections(self) -> int:
         """How many connections may be accepted now."""
         return max(MAX_INBOUND_CONNECTIONS - len(self.inbound), 1)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,7 @@
 from caperdeck.state.budget import SocketBudget
 from caperdeck.state.hosts import Hosts
 from caperdeck.wire.client import ClientConnection, ClientFactory, ClientPort
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 
 START = 1_000_000.0
 
@@ -43,47 +43,48 @@
 def settings(effect=Effect.REPEATABLE, scope=Scope.ALL, **changes) -> Settings:
     listener = Listener(effect, scope, 5000.0, 300.0, 100.0, 1.0)
     values = {
-        "seed": 7, "me": 0, "nodes": 3, "zone": 0, "listeners": (listener,), "max_dials": 5,
-        "may_withdraw": True, "may_probe": True, "figures": True, "back_off": True, "max_back_off": 1000.0,
+        "seed": 7, "node_number": 0, "nodes": 3, "zone": 0, "listeners": (listener,), "max_dials": 5,
+        "may_withdraw": True, "may_probe": True, "reports_load": True, "may_back_off": True,
+        "max_back_off": 1000.0,
         "cold_from": 0.3, "warm_after": 8000.0, "fall_multiple": 2.5, "fall_span": 1000.0, "subscribe": False,
-        "ask_every": 10000.0, "cross_price": 0.0, "sizes_stand": True,
+        "ask_every": 10000.0, "cross_zone_price": 0.0, "sizes_are_nominal": True,
     }  # fmt: skip
     return Settings(**(values | changes))
 
 
-def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> RosterEntry:
-    return RosterEntry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
+def entry(host, state=HostState.RUNNING, zone=0, cell=0, started_at=0.0, size=1.0) -> RosterEntry:
+    return RosterEntry(host, state, size, zone, cell, started_at, 0x9E3779B1 * (host + 1) % 2**32, started_at)
 
 
 def node(hosts=4, entries=None, **changes) -> Node:
     n = Node(settings(**changes), START)
     n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
-    n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
+    n.probed_at = [START] * len(n.state)  # their answers to a probe are fresh
     return n
 
 
-def ask(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
-    return SessionRequest(session, 0, 0, left, load, group)
+def session_request(session, load=10.0, time_left=1200.0, group=None) -> SessionRequest:
+    return SessionRequest(session, 0, 0, time_left, load, group)
 
 
 def dials(acts):
     return [a for a in acts if isinstance(a, Dial)]
 
 
-def figures(n, values, at=START):
+def report_loads(n, values, at=START):
     """Fresh reports for the hosts in order."""
     for h, value in enumerate(values):
         if value is not None:
-            n._know(at, h, value)
-            n.seen_at[h] = at
-    n._survey(at)
+            n._record_load(at, h, value)
+            n.probed_at[h] = at
+    n._update_fleet_view(at)
 
 
-def standing(n, host, loads, since=START - 60000.0, first=100):
+def establish_sessions(n, host, loads, since=START - 60000.0, first=100):
     """Connections of these loads that stand on a host since long ago."""
     for i, load in enumerate(loads):
-        n.resume_session(since, ask(first + i, load), host)
-        n.sessions[first + i].stands = since
+        n.resume_session(since, session_request(first + i, load), host)
+        n.sessions[first + i].established_at = since
     return range(first, first + len(loads))
 
 
@@ -159,7 +160,7 @@
     return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "east", "state": state, "boot_ms": boot}
 
 
-def desk(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
+def make_handler(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
     """A desk between a reactor, in memory if none is given, and a balancer that knows these hosts."""
     setup = SETUP | {"limits": SETUP["limits"] | limits}
     setup["listeners"] = [SETUP["listeners"][0] | (listener or {})]
@@ -171,8 +172,8 @@
     names = decode_names(setup)
     balancer = Balancer(decode_settings(7, setup), clock())
     budget = SocketBudget(sockets, 10)
-    d = Desk(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
-    d.listed(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
+    d = SessionHandler(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
+    d.update_roster(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
     return d
 
 
@@ -192,9 +193,9 @@
     config = CONFIG | {"admin_addr": "127.0.0.1:9100"} | changes
     environment = write(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
-    service.desk, service.clock = d, d.clock
-    d.look_for_bans = service.ban_calls.look
-    if d.hosts.uid:
+    service.handler, service.clock = d, d.clock
+    d.refresh_bans = service.ban_calls.look
+    if d.hosts.uids:
         service.ban_calls.begin()
     return service
 
@@ -217,7 +218,7 @@
 
 def up(d):
     """A client and the host's side of its session, which stands."""
-    client = connect(d, opening(d.sessions.made))
+    client = connect(d, opening(d.sessions.created_count))
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
     client.transport.clear()
@@ -426,8 +427,8 @@
     def __init__(self, hosts=1, **parts):
         self.reactor = Stepped()
         self.hosts = [Peer() for _ in range(hosts)]
-        self.desk = desk(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
-        self.port = ClientPort(0, ClientFactory(self.desk), 512, "127.0.0.1", self.reactor)
+        self.handler = make_handler(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
+        self.port = ClientPort(0, ClientFactory(self.handler), 512, "127.0.0.1", self.reactor)
         self.port.startListening()
         self.number = self.port.getHost().port
 
@@ -440,26 +441,26 @@
 
     def session(self):
         """The one that the node holds."""
-        (s,) = self.desk.sessions.table.values()
+        (s,) = self.handler.sessions.by_index.values()
         return s
 
     def taken(self, line=OPEN):
         """A client whose line has been read, and its session, whose dial is under way."""
         client = self.client(line)
-        self.reactor.until(lambda: self.desk.sessions.table)
+        self.reactor.until(lambda: self.handler.sessions.by_index)
         return client, self.session()
 
     def hold(self, s):
         """The dial's connection is on its way, not seen to be up yet; returns the host's end of it."""
         self.reactor.runUntilCurrent()
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.removeReader(conn)
         self.reactor.removeWriter(conn)
         self.reactor.until(lambda: any(peer.accept() for peer in self.hosts))
         return next(p for p in self.hosts if ("127.0.0.1", p.port) == tuple(conn.addr)).accepted[-1]
 
     def comes_up(self, s):
-        conn = s.conn.connector.transport
+        conn = s.host_connection.connector.transport
         self.reactor.addReader(conn)
         self.reactor.addWriter(conn)
         self.reactor.settle()
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -22,8 +22,8 @@
 from caperdeck.distribution.stream import MAX_NODE_FRAME_BYTES, decode_from_publisher, encode
 from caperdeck.distribution.table import MAX_CHANGES_BYTES, VersionTable, publish_command
 from caperdeck.distribution.watch_server import MAX_UNSENT_BYTES, MAX_REJECTED_CONNECTIONS, WatchServer
-from caperdeck.owner.replicated_state import Agreed, for_versions
-from caperdeck.owner.config import Owners
+from caperdeck.owner.replicated_state import ReplicatedState, wrap_versions_command
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.raft.codec import MAX_FRAME_BYTES, encode_frame
 from caperdeck.raft.codec import encode as encode_raft
 from caperdeck.raft.core import AppendEntriesRequest
@@ -45,26 +45,26 @@
 
 
 def test_a_command_reaches_only_the_table_of_its_key():
-    agreed = Agreed()
+    agreed = ReplicatedState()
     command = publish_command(agreed.versions, 0, {"a": 1}, 1)
     assert agreed.apply(command) == {"no": "no-work-named"}
-    assert agreed.apply(for_versions(ACQUIRE)) == {"no": "do: unknown command"}
-    assert agreed.apply(for_versions(command) | ACQUIRE) == {"no": "two-tables"}
+    assert agreed.apply(wrap_versions_command(ACQUIRE)) == {"no": "do: unknown command"}
+    assert agreed.apply(wrap_versions_command(command) | ACQUIRE) == {"no": "two-tables"}
     assert agreed.apply([]) == {"no": "no-work-named"}
     assert (agreed.versions.newest.revision, agreed.leases.works) == (0, {})
-    assert agreed.apply(for_versions(command))["revision"] == 1 and agreed.leases.works == {}
+    assert agreed.apply(wrap_versions_command(command))["revision"] == 1 and agreed.leases.works == {}
     assert agreed.apply(ACQUIRE)["token"] == 1 and agreed.versions.newest.revision == 1
 
 
 def test_snapshots_without_versions_load_and_snapshots_with_versions_round_trip():
-    old = Sessions(Agreed().leases)
+    old = Sessions(ReplicatedState().leases)
     old.apply(Entry(1, Kind.COMMAND, orjson.dumps(ACQUIRE), 7, 1))
-    new = Sessions(Agreed())
+    new = Sessions(ReplicatedState())
     new.load(old.dump())
     assert new.machine.leases.row("hosts")["token"] == 1 and new.machine.versions.newest.revision == 0
     assert new.dump() == old.dump()  # so an instance without versions can load it
     publish(new.machine.versions, {"a": 1})
-    copy = Sessions(Agreed())
+    copy = Sessions(ReplicatedState())
     copy.load(new.dump())
     assert copy.dump() == new.dump() and copy.machine.versions.document == {"a": 1}
     copy.load(old.dump())
@@ -72,7 +72,7 @@
 
 
 def test_the_largest_changes_fit_into_a_frame_between_instances_and_larger_ones_are_refused():
-    command = orjson.dumps(for_versions({"changes": "x" * MAX_CHANGES_BYTES}))
+    command = orjson.dumps(wrap_versions_command({"changes": "x" * MAX_CHANGES_BYTES}))
     append = AppendEntriesRequest(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
     assert len(encode_raft(append, "c" * 64)) < MAX_FRAME_BYTES
     versions, key = VersionTable(), "k" * 2000
@@ -283,7 +283,7 @@
 # ---- commands
 
 VERSION = {"discovery": CONFIG["discovery"], "settings": {"listeners": CONFIG["settings"]["listeners"]}}
-OWNERS = Owners("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
+OWNERS = OwnerEndpoints("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
 
 
 class Instances:
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -10,14 +10,14 @@
 
 import pytest
 from helpers import (
-    CONFIG, SETUP, desk, free_ports, logged, ping_until_ready, row, serve_lines, serve_list, service_over,
-    write,
+    CONFIG, SETUP, free_ports, logged, make_handler, ping_until_ready, row, serve_lines, serve_list,
+    service_over, write,
 )  # fmt: skip
 
-from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
-from caperdeck.gossip.shared_decisions import Marked
-from caperdeck.gossip.sharing import ROOM, Uses, life_from
+from caperdeck.gossip.shared_decisions import SharedIdDecisions
+from caperdeck.gossip.sharing import SHARED_ROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
 from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
 from caperdeck.ops.show_peers import show_peers
@@ -46,7 +46,7 @@
 
 
 def test_the_operators_file_of_the_project_is_whole():
-    assert load_uses("deploy/sharing.toml") == Uses(*[True] * len(Uses._fields))
+    assert load_uses("deploy/sharing.toml") == SharingFeatures(*[True] * len(SharingFeatures._fields))
 
 
 @pytest.mark.parametrize("peers, listen, me, reason", [
@@ -91,9 +91,9 @@
     ({"settings": SETUP | {"me": 1}}, "reason=not-allowed"),
 ])  # fmt: skip
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
-    d = desk()
+    d = make_handler()
     with logged() as lines:
-        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
+        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures()) is None
     assert line in lines[0]
 
 
@@ -114,8 +114,8 @@
         pass
 
 
-def made_port(uses=Uses()):  # noqa: B008
-    d = desk()
+def made_port(uses=SharingFeatures()):  # noqa: B008
+    d = make_handler()
     port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = Out(), object()
     return d, port
@@ -142,9 +142,9 @@
 
 
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
-    d = desk()
+    d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
-    service.uses, service.takes = Uses(), True
+    service.uses, service.takes = SharingFeatures(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
     service.join()
     first = service.peers
@@ -159,24 +159,24 @@
 
 
 def shares(cold=False):
-    d = desk()
+    d = make_handler()
     if cold:
-        d.listed(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
+        d.update_roster(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
     s = FleetState(d.balancer._node)
-    return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report)
+    return d, s, SharedIdDecisions(s, SharingFeatures(*[True] * len(SharingFeatures._fields)), d.report_event)
 
 
 def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
     d, s, _ = shares()
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 0.0
-    s.node.part, s.node.rights.saved[ROOM_BUDGET] = 8.0, 8.0
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), ROOM_BUDGET, 1.0) == 1.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 0.0
+    s.node.headroom_share, s.node.quotas.saved[HEADROOM_BUDGET] = 8.0, 8.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), HEADROOM_BUDGET, 1.0) == 1.0
 
 
 def test_a_lot_that_was_won_is_not_lent():
     d, s, _ = shares(cold=True)
-    s.node.unit = 1000.0
-    s.node.rights.settle(d.clock(), 2, 500.0)  # far over what is ever saved
+    s.node.unit_capacity = 1000.0
+    s.node.quotas.set_balance(d.clock(), 2, 500.0)  # far over what is ever saved
     assert s.node.cold == [1] and s.lend(d.clock(), 2, 500.0) == 0.0
     assert s.lend(d.clock(), 1, 500.0) == 0.0  # a warm host has no such budget
 
@@ -185,38 +185,38 @@
     d, s, _ = shares(cold=True)
     n, now = s.node, d.clock()
     s.borrow(now, 2, 3.0, now + 500)
-    assert n.rights.have(now, 2) == 3.0 and n.rights.have(now + 500, 2) == 0.0
+    assert n.quotas.available(now, 2) == 3.0 and n.quotas.available(now + 500, 2) == 0.0
     s.borrow(now, 1, 3.0, now + 500)
-    assert n.rights.have(now, 1) == 0.0
+    assert n.quotas.available(now, 1) == 0.0
 
 
 def test_a_node_is_short_only_while_a_session_has_just_found_no_room():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
-    assert m.wants(now) == []
-    n.short_at = now
-    assert m.wants(now) == [(ROOM, 8.0)] and m.wants(now + 1000) == []
+    n.headroom_share, n.quotas.saved[HEADROOM_BUDGET] = 8.0, 0.0
+    assert m.wanted_quota(now) == []
+    n.no_headroom_at = now
+    assert m.wanted_quota(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wanted_quota(now + 1000) == []
 
 
 def test_a_told_figure_stands_in_for_the_mean_and_ends():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
-    m.told(now, n.stable_id[0], 0.9, now - 100)
+    n.has_reports, n.mean_reported_load = True, 0.5  # there is a mean only where hosts tell figures
+    m.take_peer_load(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
-    m.told(now, n.stable_id[0], 0.1, now - 500)  # older
-    m.told(now, 12345, 0.1, now)  # a host that this node's list does not name
+    m.take_peer_load(now, n.stable_id[0], 0.1, now - 500)  # older
+    m.take_peer_load(now, 12345, 0.1, now)  # a host that this node's list does not name
     assert n._load(now, 0) == 0.9 and n._load(now + 5000, 0) == 0.5
 
 
 def test_a_host_told_lost_is_not_looked_at_for_a_moment_unless_it_has_just_answered():
     d, s, m = shares()
     n, now = s.node, d.clock()
-    n.seen_at = [now - 5000, now]
+    n.probed_at = [now - 5000, now]
     for mark in n.stable_id[:2]:
-        m.told_lost(now, mark, now + 9000)
-    assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
+        m.take_unreachable_report(now, mark, now + 9000)
+    assert now < n.no_probe_until[0] <= now + 1250 and n.no_probe_until[1] <= now
 
 
 def test_two_hosts_with_one_mark_are_not_spoken_of():
