--- a/caperdeck/owner/commands.py
+++ b/caperdeck/owner/commands.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from caperdeck.raft.codec import LONGEST, FrameError, frame, unwrap
+from caperdeck.raft.codec import MAX_FRAME_BYTES, FrameError, decode_frame, encode_frame
 from caperdeck.raft.transport import CALL
 from caperdeck.state.addresses import Address
 
@@ -122,15 +122,15 @@
 
 def call_instance(address: Address, cluster: str, body: dict[str, Any], timeout: float = TIMEOUT_S) -> Any:
     """Sends one call and returns the answer, or None if none arrived."""
-    data = frame(cluster, CALL, [1, body])
+    data = encode_frame(cluster, CALL, [1, body])
     try:
         with socket.create_connection(address, TIMEOUT_S) as conn:
             conn.settimeout(timeout)
             conn.sendall(LENGTH_PREFIX.pack(len(data)) + data)
             length = LENGTH_PREFIX.unpack(_receive_exactly(conn, LENGTH_PREFIX.size))[0]
-            if length > LONGEST:
+            if length > MAX_FRAME_BYTES:
                 return None
-            return unwrap(_receive_exactly(conn, length), cluster)[1][1]
+            return decode_frame(_receive_exactly(conn, length), cluster)[1][1]
     except (OSError, FrameError, LookupError, TypeError):
         return None
 
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from caperdeck.distribution.table import Versions
+from caperdeck.distribution.table import VersionTable
 from caperdeck.leases.table import LeaseTable
 
 VERSIONS = "versions"  # key of a command for the versions, whose value is the command itself
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.leases = LeaseTable()
-        self.versions = Versions()
+        self.versions = VersionTable()
 
     def apply(self, command: Any) -> dict[str, Any]:
         if is_lease_command(command):
