--- a/caperdeck/core/decide.py
+++ b/caperdeck/core/decide.py
@@ -31,9 +31,9 @@
 ADMISSION_LIMIT_IN_ZONE = 0.8  # the limit in this node's zone if leaving the zone has a price
 UTILITY_RESERVE = 0.4  # how much lower the limit is for sessions of no utility when nearly all hosts are full
 MOVE_LAG_MS = 1000.0  # time until the load of a moved session has gone from the host
-COUNT_FACTOR = 1.5  # without load reports: sessions are moved above this multiple of the mean count
-COUNT_SIGMAS = 2.8  # and only this many square roots of the mean above it, so that chance alone moves none
-COUNT_MARGIN = 3.5  # and only this many connections above the mean
+COUNT_FACTOR = 1.5  # without load reports, a host keeps this multiple of the mean connection count
+COUNT_SIGMAS = 2.8  # without load reports, a host is relieved this many square roots above the mean count
+COUNT_MARGIN = 3.5  # without load reports, a host is relieved this many connections above the mean count
 MIN_MOVE_AGE_MS = 2000.0  # younger sessions are not moved
 SHED_INTERVAL_MS = 2500.0  # a report sooner after the last moves does not show them yet
 BACKLOG_SHED_INTERVAL_MS = 900.0  # backlog notes are not delayed and show all but the latest moves
@@ -45,18 +45,18 @@
 PROBE_WAIT_SHARE = 0.25  # share of the handshake target that a session waits for probe results
 MAX_PROBE_ROUNDS = 3
 UNMEASURED_LOAD = 0.2  # a reported 0 is no measurement if the connections suggest at least this load
-REPORT_LIFE_MS = 7000.0
-PEER_LOAD_LIFE_MS = 2000.0
-BACKLOG_LIFE_MS = 1500.0
+REPORT_LIFE_MS = 7000.0  # older load reports are ignored
+PEER_LOAD_LIFE_MS = 2000.0  # older loads from other nodes are ignored
+BACKLOG_LIFE_MS = 1500.0  # older backlog notes are ignored
 BACKLOG_DRAIN_MS = 1000.0  # a backlog counts as the load that works it off in this time
 REPORT_LAG_MS = 1000.0  # typical age of a load when its report arrives
 SAMPLE_SIZE = 16  # hosts drawn to find two that may have headroom
-GROUP_PRIME = 4294967291  # multiplier range that orders hosts pseudo-randomly for each group
+GROUP_PRIME = 4294967291  # modulus of the hash that orders the hosts for a group
 MAX_GROUP_ORDERS = 4096
 GROUP_MARGIN = 0.2  # a group leaves its first host only for one with a load lower by this much
 TICK_MS = 500.0
-FIRST_TIMEOUT_SHARE = 0.6  # share of the handshake target
-TIMEOUT_GROWTH = 1.5  # factor for each further dial
+FIRST_TIMEOUT_SHARE = 0.6  # timeout of the first dial as a share of the handshake target
+TIMEOUT_GROWTH = 1.5  # factor of the timeout from one dial to the next
 RETRY_WAIT_MS = 100.0  # wait before the next attempt to find a host
 EJECTION_SCORE = 2.0  # a host is ejected from this failure score on
 EJECTION_MS = 500.0  # first ejection time, doubled with each further failure
@@ -86,14 +86,14 @@
         self.reported = {}  # hosts with a recent load report, oldest first
         self.failing, self.majority_failing = {}, False  # failing hosts; whether most known hosts fail
         self.probe_credit = 0.0  # probes that new sessions allow
-        self.headroom_share = self.quotas.saved[HEADROOM_BUDGET] = math.inf  # this node's; what is left of it
-        self.full_share, self.no_headroom_at = 0.0, -math.inf  # of the hosts; when headroom was last lacking
-        self.mean_hint, self.request_count, self.mean_session_load = 0.0, 0, 0.0  # requested; established
-        self.mean_reported_load, self.unit_capacity = (
-            None,
-            0.0,
-        )  # load that fills a host of size 1, 0 if unknown
-        self.peers_full_share = 0.0  # without load reports: of the hosts, assumed full by what others met
+        # this node's share of the fleet's headroom, and the part of it that is left to spend
+        self.headroom_share = self.quotas.saved[HEADROOM_BUDGET] = math.inf
+        # share of the hosts that have no headroom, and when a session last found no host or no headroom
+        self.full_share, self.no_headroom_at = 0.0, -math.inf
+        # mean load of requested sessions, number of requests, mean load of established sessions
+        self.mean_hint, self.request_count, self.mean_session_load = 0.0, 0, 0.0
+        self.mean_reported_load, self.unit_capacity = None, 0.0  # capacity of a host of size 1, 0 if unknown
+        self.peers_full_share = 0.0  # without load reports: share of the hosts that other nodes found full
         self.watch_retry_wait, self.watch_retry_at = 250.0, math.inf
         self.apply_settings(now, settings)
 
@@ -250,7 +250,7 @@
         limit = ADMISSION_LIMIT - (UTILITY_RESERVE * max(
             1 - session.listener.utility / self.max_utility, 0.0) * self.full_share)  # fmt: skip
         if session.group is not None:
-            # every host that holds a session of a group pays for the group, so all draw the same hosts
+            # a group costs resources on every host with a session of it, so all nodes draw the same hosts
             yield limit, iter(self._group_hosts(session.group))
         else:
             # Drawn from all hosts, nearly every session needs new probes; in a subset one serves several.
@@ -366,15 +366,15 @@
         if session_load and filled_size:
             self.unit_capacity += (session_load / filled_size - self.unit_capacity) * (
                 max(CAPACITY_SMOOTHING, 1 / self.request_count) if self.unit_capacity else 1.0)  # fmt: skip
-        # Headroom that a cold host may not use yet would otherwise be warm, and sent to the warm hosts.
+        # Headroom that a cold host cannot use yet would otherwise be counted, and sent to the warm hosts.
         caps = [self._cold_fill_rate(now, h) * REPORT_LAG_MS if self._is_cold(now, h) else ADMISSION_LIMIT
                 for _, h in reports]  # fmt: skip
         headrooms = [max(min(ADMISSION_LIMIT - load - self._backlog_load(now, h), cap), 0.0)
                      for (load, h), cap in zip(reports, caps, strict=True)]  # fmt: skip
         self.full_share = sum(headroom == 0 for headroom in headrooms) / len(headrooms)
         if not self.has_reports:
-            # An overload outcome is about one host only. Whether the others are full too is inferred from the
-            # number that all nodes together have met if they do as this one: most hosts in a wave of clients.
+            # An overload outcome is about one host only. Whether others are full too is inferred from what
+            # all nodes like this one have met together: most hosts in a wave, few with three nodes.
             own_full_share = len(reports) / len(self.running)
             self.peers_full_share = self._share_met(len(reports))
             self.full_share = own_full_share + (1 - own_full_share) * self.peers_full_share
--- a/caperdeck/core/model.py
+++ b/caperdeck/core/model.py
@@ -71,6 +71,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Listener:
+    """The rules for the sessions of one listener."""
+
     effect: Effect
     scope: Scope
     memory_span: float  # how long a host remembers what it ran, to drop repeats
@@ -81,6 +83,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """A node's decoded settings."""
+
     seed: int
     node_number: float  # this node's number among the nodes; drawn at random where none is configured
     nodes: int
