--- a/caperdeck/lab/capacity/roles/discovery.py
+++ b/caperdeck/lab/capacity/roles/discovery.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from caperdeck.state.backoff import UNREACHABLE
-from caperdeck.wire.discovery import ANSWER, MOST_HOSTS, SILENT
+from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, MAX_HOSTS, SILENCE_TIMEOUT_S
 
 from ..figure import Figure
 from ..fleet import Fleet
@@ -22,7 +22,7 @@
     return Role(
         "Discovery",
         (
-            row(need, Kind.STATE, "hosts on the list", "", hosts, MOST_HOSTS, "the program's own limit"),
+            row(need, Kind.STATE, "hosts on the list", "", hosts, MAX_HOSTS, "the program's own limit"),
             row(need, Kind.STATE, "watches open at the service", "", members),
             row(need, Kind.MESSAGES, "changes told, a second, over all watches", "/s", members * changes),
             row(need, Kind.MESSAGES, "whole lists when all nodes start", "B", members * hosts * row_bytes),
@@ -56,7 +56,7 @@
                 Kind.TIME,
                 "until a watch that fell silent is open again",
                 "s",
-                Figure(SILENT + ANSWER + WAITS * UNREACHABLE.max_span_s),
+                Figure(SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + WAITS * UNREACHABLE.max_span_s),
                 fleet.target.configuration.within,
             ),
         ),
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -332,7 +332,7 @@
             self.join()
         self.discovery.list_lifetime = new.limits.list_lifetime / MS
         if new.discovery != old.discovery:
-            self.discovery.move_to(new.discovery)
+            self.discovery.switch_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
                     ",".join(new.names.listeners), ",".join(kept) or "-")  # fmt: skip
 
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -90,7 +90,7 @@
             parse_request(message["line"].encode("latin-1")), client, message["since"]
         )
         conn = HostConnection(handler, s, message["deadline"])
-        conn.taken_up = True
+        conn.taken_over = True
         adopt(handler, fds[1], conn)
         s.host, s.dial, s.host_connection = handler.hosts.index_of(message["host"]), message["dial"], conn
         handler.sessions.mark_established(s, message["up_at"])
--- a/caperdeck/wire/__init__.py
+++ b/caperdeck/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on sockets: clients, hosts, probes, discovery. Nothing is decided here."""
+"""The protocols spoken on sockets: clients, hosts, probes, discovery and peers. Decides nothing."""
--- a/caperdeck/wire/client.py
+++ b/caperdeck/wire/client.py
@@ -1,4 +1,4 @@
-"""Clients' connections: the first line is taken to the desk, later ones are passed on."""
+"""Connections from clients: the first line opens a session, later ones are passed on to its host."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from caperdeck.state.sessions import Session
 from caperdeck.state.timers import cancel
 
-from .lines import LINGER, LINGER_SHORT, BoundedPort, LineConnection
+from .lines import LINGER_S, SHORT_LINGER_S, BoundedPort, LineConnection
 
 
 class ClientHandler(Protocol):
-    """What a client's connection needs of the desk, and what it tells it."""
+    """The session handler, as client connections use it."""
 
     reactor: Any
     budget: SocketBudget
@@ -31,20 +31,20 @@
     def client_connected(self, client: ClientConnection) -> None: ...
 
     def descriptors_exhausted(self) -> None:
-        """Clients have connected whom no descriptor is left for."""
+        """Clients wait to be accepted, but no descriptors are left for them."""
 
     def first_line_received(self, client: ClientConnection, line: bytes) -> None: ...
 
     def client_line_received(self, s: Session, line: bytes) -> None: ...
 
     def client_protocol_error(self, client: ClientConnection, reason: str) -> None:
-        """The client has sent what cannot be passed on."""
+        """The client has broken the protocol; the reason is a code for the log."""
 
     def client_disconnected(self, client: ClientConnection, reset: bool) -> None:
-        """The client has ended its side, or its connection is lost."""
+        """The client has closed its side, or the connection was lost."""
 
     def client_socket_closed(self, client: ClientConnection) -> None:
-        """The socket is free."""
+        """The connection's descriptor is free again."""
 
 
 @implementer(IHalfCloseableProtocol)
@@ -68,7 +68,7 @@
         elif self.session.established_at:
             self.handler.client_line_received(self.session, line)
         else:
-            # Danger: who does not wait for its answer sends commands by the hundred; none may reach a host.
+            # A client that does not wait may send hundreds of commands; none of them may reach a host.
             self.handler.client_protocol_error(self, "did-not-wait")
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -76,19 +76,19 @@
             self.handler.client_protocol_error(self, "long-line")
 
     def close(self, last_line: bytes | None = None, linger: bool = True) -> None:
-        """Ends the connection after a last line, if any; hardly lingering where sockets are short."""
+        """Closes the connection after an optional last line; `linger` gives it the full time to go out."""
         if self.closing:
             return
         self.closing = True
         self.transport.unregisterProducer()
         if last_line is not None:
             self.pass_on(last_line)
-        self.half_close(self.handler.reactor, LINGER if linger else LINGER_SHORT)
+        self.half_close(self.handler.reactor, LINGER_S if linger else SHORT_LINGER_S)
         if self.paused:
             self.resumeProducing()
 
     def peek(self) -> bytes | None:
-        """A byte of what has come and is not read yet; b"" if that is the end, None if there is nothing."""
+        """Returns a byte of unread data without reading it, b"" at the end of the stream, else None."""
         try:
             return self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -99,12 +99,13 @@
     def abort(self) -> None:
         self.closing = True
         self.transport.unregisterProducer()
-        # Danger: a reset drops what has not gone out yet; a host that breaks just after its UP would lose it.
+        # Written out first, as a reset drops buffered data: with a host that breaks just after its UP, the
+        # client would not get that line.
         self.transport.doWrite()
         self.transport.abortConnection()
 
     def readConnectionLost(self) -> None:
-        """The client has ended its side."""
+        """The client has closed its side."""
         if not self.closing:
             self.closing = True
             self.handler.client_disconnected(self, reset=False)
@@ -112,7 +113,7 @@
         self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """The last line has gone out."""
+        """This side is closed and the last line has gone out; nothing to do."""
 
     def connectionLost(self, reason) -> None:
         cancel(self.linger_timer)
@@ -123,14 +124,15 @@
 
 
 class ClientPort(BoundedPort):
-    """The clients' port, which a successor may go on with or listen beside."""
+    """The clients' port, which the new process of an upgrade may take over or listen beside."""
 
-    # Danger: shut down where this process ends, the socket would listen no more at a successor that has it.
+    # Twisted would shut the socket down when this process ends. It would then stop listening in the new
+    # process of an upgrade, too, which shares it.
     _shouldShutdown = False  # noqa: N815
 
     def createInternetSocket(self) -> socket.socket:
         sock = super().createInternetSocket()
-        # without it a successor that cannot be handed this socket could not listen beside it
+        # Lets the new process of an upgrade listen on the same port if this socket cannot be passed to it.
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         return sock
--- a/caperdeck/wire/discovery.py
+++ b/caperdeck/wire/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts: a chunked HTTP answer that holds one JSON object a line."""
+"""Watches the host list at discovery: a long-lived HTTP response with one JSON object per line."""
 
 from __future__ import annotations
 
@@ -19,178 +19,188 @@
 from caperdeck.state.timers import cancel
 
 LINE_END = b"\n"
-LONGEST_LIST = 16 << 20
-MOST_HOSTS = 10_000  # of one list
-# What discovery has to tell counts as told 6 s later, if it could be reached, whatever became of the calls.
-# A watch that fell silent, a wait, a lost call and another wait take SILENT + ANSWER and twice 0.6 s, 5.8 s;
-# a refusal and the wait after it 4.8 s. 200 nodes that lose it in one instant make at most 45 calls in 0.1 s,
-# and go on with 670 a second where no connection comes up, 80 where calls hang, 56 where they are refused.
-# Danger: discovery may take calls in turn, and turn away what would wait for over 2 s. A call that is given
-# up sooner is worked on all the same, and all nodes together keep it busy with calls that nobody waits for.
-ANSWER = 2.2  # seconds from a call, its connection with it, until the first line, or the call is given up
-PIECE = 0.5  # seconds without a byte of a line that has begun, after which it is silence
-LINE_LIFE = 1.0  # seconds that a line may take from its first byte on, doubled each time it was cut off
-LONGEST_LINE_LIFE = 48.0
-SILENT = 2.4  # seconds without even an empty line after which the watch is opened anew; one comes every 2 s
-CHECK = 0.1  # seconds until it is looked again whether a line is still on its way
-BACK = 0.02  # seconds until the watch is opened anew by a node that was away
+MAX_LIST_BYTES = 16 << 20
+MAX_HOSTS = 10_000  # in one list
+
+# A change counts as notified 6 s after discovery has it, if discovery could be reached, whatever became of
+# the calls in between. The time-outs below keep within that: a watch that fell silent, a delay, a lost call
+# and another delay take SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + 2 * 0.6 s = 5.8 s; a refusal and the delay
+# after it take 4.8 s. 200 nodes that lose discovery at the same instant make at most 45 calls in 0.1 s. They
+# go on with 670 calls a second if no connection comes up, 80 if calls hang and 56 if calls are refused.
+
+# From the call, including its connection, to the first line. Discovery may serve calls one after another and
+# refuse those that would wait for more than 2 s. With a shorter time-out it would still work on calls that
+# were given up, and all nodes together would keep it busy with calls that nobody waits for.
+ANSWER_TIMEOUT_S = 2.2
+LINE_GAP_TIMEOUT_S = 0.5  # without a byte of a line that has begun, after which the watch counts as silent
+INITIAL_LINE_TIMEOUT_S = 1.0  # from a line's first byte to its end; doubled each time a line was cut off
+MAX_LINE_TIMEOUT_S = 48.0
+SILENCE_TIMEOUT_S = 2.4  # without any line; discovery sends at least an empty one every 2 s
+LINE_CHECK_INTERVAL_S = 0.1  # between checks whether an unfinished line is still arriving
+RECONNECT_AFTER_STALL_S = 0.02
 
 
 @implementer(IAgentEndpointFactory)
-class _ByAddress:
-    """Connects to the address as it stands."""
+class _AddressEndpointFactory:
+    """Connects to a numeric address without resolving it."""
 
-    def __init__(self, reactor: Any, connected: Callable[[Any], None]) -> None:
+    def __init__(self, reactor: Any, on_connect: Callable[[Any], None]) -> None:
         self.reactor = reactor
-        self.connected = connected
+        self.on_connect = on_connect
 
-    def endpointForURI(self, uri: URI) -> _Endpoint:
-        # Danger: the library looks every host up in a thread, an address too; the node has one thread, and a
-        # second one that waits for the first at a start is all that it takes to stall both.
-        endpoint = _Endpoint(self.reactor, uri.host.decode(), uri.port, timeout=ANSWER)
-        endpoint.connected = self.connected
+    def endpointForURI(self, uri: URI) -> _ObservedEndpoint:
+        # Twisted's default endpoint resolves every host name in a thread, even a numeric address. The node
+        # has a single thread; a second one that waits for the first during the start would block both.
+        endpoint = _ObservedEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=ANSWER_TIMEOUT_S)
+        endpoint.on_connect = self.on_connect
         return endpoint
 
 
-class _Endpoint(TCP4ClientEndpoint):
-    """Tells of the transport that it has connected, which the library keeps to itself."""
+class _ObservedEndpoint(TCP4ClientEndpoint):
+    """Passes the connected transport to a callback, as Agent does not expose it."""
 
-    connected: Callable[[Any], None]
+    on_connect: Callable[[Any], None]
 
     def connect(self, protocolFactory: Any) -> Any:  # noqa: N803
-        return super().connect(protocolFactory).addCallback(self._told)
+        return super().connect(protocolFactory).addCallback(self._on_connected)
 
-    def _told(self, protocol: Any) -> Any:
-        self.connected(protocol.transport)
+    def _on_connected(self, protocol: Any) -> Any:
+        self.on_connect(protocol.transport)
         return protocol
 
 
 class WatchBody(Protocol):
-    """The lines of one watch. What a line has come in is put together once, at its end."""
+    """Splits the body of one response into lines."""
 
-    def __init__(self, watch: Discovery, granted: bool = True) -> None:
+    def __init__(self, watch: Discovery, accepted: bool = True) -> None:
         self.watch = watch
-        self.granted = granted
-        self.heard = False  # a whole line has come
-        self.pieces: list[bytes] = []  # of the line that has yet to end
-        self.length = 0  # bytes, of the same
+        self.accepted = accepted
+        self.has_line = False  # at least one complete line has arrived
+        self.chunks: list[bytes] = []  # of the unfinished line
+        self.length = 0  # bytes in chunks
 
     def connectionMade(self) -> None:
-        if self.granted:
+        if self.accepted:
             self.watch.body = self
         else:
-            # Danger: a refusal whose text does not end would be waited for as if it were a watch.
+            # Closed at once: a refusal whose body does not end would be waited for as if it were a watch.
             self.transport.loseConnection()
-            self.watch.again(None, REFUSED)
+            self.watch.schedule_retry(None, REFUSED)
 
     def dataReceived(self, data: bytes) -> None:
-        self.watch.reads += 1
-        # Danger: joined with what came before at each piece, a list takes time by the square of its length.
+        self.watch.read_count += 1
+        # Chunks are joined once, at the end of a line: joined at each read, they take time quadratic in its
+        # length.
         first, *rest = data.split(LINE_END)
-        self._add(first)
-        for piece in rest:
-            line, self.pieces, self.length = b"".join(self.pieces), [], 0
-            self._line(line)
-            self._add(piece)
-        self.watch.progress(ended=bool(rest), unfinished=bool(self.pieces))
-
-    def _add(self, piece: bytes) -> None:
-        if not piece or self.length > LONGEST_LIST:
+        self._add_chunk(first)
+        for chunk in rest:
+            line, self.chunks, self.length = b"".join(self.chunks), [], 0
+            self._end_line(line)
+            self._add_chunk(chunk)
+        self.watch.line_progress(ended=bool(rest), unfinished=bool(self.chunks))
+
+    def _add_chunk(self, chunk: bytes) -> None:
+        if not chunk or self.length > MAX_LIST_BYTES:
             return
-        self.pieces.append(piece)
-        self.length += len(piece)
-        if self.length > LONGEST_LIST:
-            self.pieces.clear()
-            self.watch.complain("list-too-long", f"a line of discovery is over {LONGEST_LIST} bytes")
-            self.watch.again(self)
-
-    def _line(self, line: bytes) -> None:
-        # Danger: the text of a refusal is no word of the hosts; hosts held to drain would be let go by it.
-        if self.watch.body is self and self.granted:
-            self.heard = True
-            self.watch.line(line.strip())
+        self.chunks.append(chunk)
+        self.length += len(chunk)
+        if self.length > MAX_LIST_BYTES:
+            self.chunks.clear()
+            self.watch.on_problem("list-too-long", f"a line of discovery is over {MAX_LIST_BYTES} bytes")
+            self.watch.schedule_retry(self)
+
+    def _end_line(self, line: bytes) -> None:
+        # The body of a refusal says nothing about hosts; taken for a line of the list, it would end the
+        # presumption that hosts drain while discovery is silent.
+        if self.watch.body is self and self.accepted:
+            self.has_line = True
+            self.watch.line_received(line.strip())
 
     def connectionLost(self, reason) -> None:
-        self.watch.again(self)
+        self.watch.schedule_retry(self)
 
 
 class LineInProgress:
-    """Whether a line that has yet to end is still on its way. Seconds of the reactor."""
+    """Decides whether an unfinished line is still arriving. Times are seconds of the reactor."""
 
     def __init__(self) -> None:
-        self.began_at: float | None = None
-        self.heard_at = -math.inf
-        self.longest = LINE_LIFE
+        self.line_began_at: float | None = None
+        self.last_bytes_at = -math.inf
+        self.line_timeout = INITIAL_LINE_TIMEOUT_S
 
-    def heard(self, now: float, ended: bool, unfinished: bool) -> None:
-        """Bytes have come: whether a line ended in them, and whether one has yet to end."""
+    def bytes_received(self, now: float, ended: bool, unfinished: bool) -> None:
+        """Records a read: whether a line ended in it, and whether it left one unfinished."""
         if ended:
-            self.began_at, self.longest = None, LINE_LIFE
-        if unfinished and self.began_at is None:
-            self.began_at = now
-        self.heard_at = now
+            self.line_began_at, self.line_timeout = None, INITIAL_LINE_TIMEOUT_S
+        if unfinished and self.line_began_at is None:
+            self.line_began_at = now
+        self.last_bytes_at = now
 
-    def comes(self, now: float) -> bool:
-        """Whether more of it has come lately, and it may take longer."""
-        return self.began_at is not None and now < min(self.heard_at + PIECE, self.began_at + self.longest)
+    def is_arriving(self, now: float) -> bool:
+        """Whether the unfinished line has grown recently and is within its time-out."""
+        return self.line_began_at is not None and now < min(
+            self.last_bytes_at + LINE_GAP_TIMEOUT_S, self.line_began_at + self.line_timeout
+        )
 
-    def given_up(self, now: float) -> None:
-        """The watch ends; the next line may take longer if this one was still on its way."""
-        # Danger: a list that takes longer than a node waits for it would never be read.
-        if self.began_at is not None and now < self.heard_at + PIECE:
-            self.longest = min(2 * self.longest, LONGEST_LINE_LIFE)
-        self.began_at = None
+    def abandoned(self, now: float) -> None:
+        """Ends the line with its watch; doubles the time-out if the line was still arriving."""
+        # With a fixed time-out, a list that takes longer to arrive would never be read.
+        if self.line_began_at is not None and now < self.last_bytes_at + LINE_GAP_TIMEOUT_S:
+            self.line_timeout = min(2 * self.line_timeout, MAX_LINE_TIMEOUT_S)
+        self.line_began_at = None
 
 
 class Discovery:
-    """Keeps a watch open for as long as the node runs."""
+    """Keeps a watch on the host list open for as long as the node runs."""
 
     def __init__(
-        self, reactor: Any, address: str, rev: int, listed: Callable[[bool, Any], None],
-        spoke: Callable[[], None], complain: Callable[[str, str], None], back_off: BackOff,
-        excused: Callable[[], bool] = lambda: False, list_lifetime: float = math.inf,
+        self, reactor: Any, address: str, rev: int, on_list: Callable[[bool, Any], None],
+        on_line: Callable[[], None], on_problem: Callable[[str, str], None], back_off: BackOff,
+        is_catching_up: Callable[[], bool] = lambda: False, list_lifetime: float = math.inf,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.address = address
         self.rev = rev
-        self.listed = listed
-        self.spoke = spoke  # called for each line, empty ones too
-        self.complain = complain
-        self.excused = excused  # whether the node has yet to read what came while it was away
-        self.list_lifetime = list_lifetime  # seconds that the list of a watch that has ended is sent by
+        self.on_list = on_list
+        self.on_line = on_line  # called for each line, including empty ones
+        self.on_problem = on_problem
+        self.is_catching_up = is_catching_up  # whether data that came during a stall is still unread
+        self.list_lifetime = list_lifetime  # seconds for which the list is used after its watch has ended
         pool = HTTPConnectionPool(reactor, persistent=False)
-        self.agent = Agent.usingEndpointFactory(reactor, _ByAddress(reactor, self.connected), pool)
-        self.transport: Any = None  # of the call that is out, or the watch
+        self.agent = Agent.usingEndpointFactory(
+            reactor, _AddressEndpointFactory(reactor, self.on_connect), pool
+        )
+        self.transport: Any = None  # of the pending call or the open watch
         self.body: WatchBody | None = None
-        self.in_progress = LineInProgress()
-        self.asked: Any = None  # the call that has no answer yet
+        self.line_in_progress = LineInProgress()
+        self.call: Any = None  # the pending call
         self.back_off = back_off
-        self.silence = None
-        self.retry = None
-        self.reads = 0  # how often anything of the list has come
-        self.ended_at: float | None = None  # of a watch, until a call since was answered or failed
-        self.renewing = False  # a call was made because the list had expired
-        self.renewed = False  # and has brought a line, or failed
-
-    def start(self, late: float = 0.0) -> None:
-        """Makes the call; so late, an answer is waited for so much less."""
-        # Danger: the list that a node is given at its start is old, and hosts gone since may be sent nothing;
-        # so the first call waits for nobody, though nodes killed together then ask together.
-        self.retry = None
-        self.listen_for(max(ANSWER - late, BACK))
+        self.silence_timer = None
+        self.retry_timer = None
+        self.read_count = 0  # reads that brought a part of the list
+        self.watch_ended_at: float | None = None  # None once a later call was answered or failed
+        self.refreshing = False  # a call was made because the list had expired
+        self.refreshed = False  # that call has brought a line, or failed
+
+    def start(self, lateness: float = 0.0) -> None:
+        """Calls discovery; the time-out is shorter by the seconds that the call is late."""
+        # The first call is made without a random delay, although nodes that were killed together then call
+        # together: the list that a node has at its start is old, and hosts that left since must get nothing.
+        self.retry_timer = None
+        self.restart_silence_timer(max(ANSWER_TIMEOUT_S - lateness, RECONNECT_AFTER_STALL_S))
         url = f"http://{self.address}/discovery/hosts?watch=1&from={self.rev}".encode()
-        asked = self.asked = self.agent.request(b"GET", url, Headers({b"User-Agent": [b"caperdeck"]}))
-        asked.addCallbacks(self.answered, lambda failure: self.failed(asked, failure))
+        call = self.call = self.agent.request(b"GET", url, Headers({b"User-Agent": [b"caperdeck"]}))
+        call.addCallbacks(self.call_answered, lambda failure: self.call_failed(call, failure))
 
-    def connected(self, transport: Any) -> None:
+    def on_connect(self, transport: Any) -> None:
         self.transport = transport
 
     @property
-    def open(self) -> bool:
-        return self.renewed or (self.body is not None and self.body.heard)
+    def is_open(self) -> bool:
+        return self.refreshed or (self.body is not None and self.body.has_line)
 
-    def unread(self) -> bool:
-        """Whether anything has come that is not read yet, the end of the connection too."""
+    def has_unread_data(self) -> bool:
+        """Whether the socket holds unread data or the end of the stream."""
         if self.transport is None or not self.transport.connected:
             return False
         try:
@@ -198,148 +208,157 @@
         except BlockingIOError:
             return False
         except OSError:
-            pass  # the reactor finds out in the same way
+            pass  # the reactor will find the same error
         return True
 
-    def expired(self) -> bool:
-        """Whether the list is too old to send by, as its watch has ended: once for each, and asks anew."""
-        # Danger: what discovery has counts as told whether or not a watch is open, and the wait for the next
-        # watch may be longer than the grace.
-        if self.ended_at is None or self.reactor.seconds() - self.ended_at < self.list_lifetime:
+    def take_expiry(self) -> bool:
+        """Whether the list has become too old since its watch ended; True once per watch, and calls anew."""
+        # A change counts as notified whether or not a watch is open, and the delay before the next watch may
+        # be longer than the grace period of a drain.
+        if self.watch_ended_at is None or self.reactor.seconds() - self.watch_ended_at < self.list_lifetime:
             return False
-        self.ended_at = None
-        self.woke()
-        self.renewing = True
+        self.watch_ended_at = None
+        self.on_wake()
+        self.refreshing = True
         return True
 
-    def woke(self) -> None:
-        """The node was away: a call that waits is due at once."""
-        self.renewing = self.renewed = False
-        # Danger: with the silence counted anew, a node that is away again and again never opens the watch.
-        if self.retry is not None and self.retry.active():
-            self.retry.cancel()
+    def on_wake(self) -> None:
+        """After a stall of the node: makes a delayed call at once."""
+        self.refreshing = self.refreshed = False
+        # The silence time-out is not restarted: a node that stalls again and again would never reconnect.
+        if self.retry_timer is not None and self.retry_timer.active():
+            self.retry_timer.cancel()
             self.start()
 
-    def move_to(self, address: str) -> None:
-        """Watches another discovery from now on; the list last told holds until it speaks."""
-        # Danger: another discovery may count its versions anew, and would be asked for none of its changes.
+    def switch_to(self, address: str) -> None:
+        """Switches to another discovery; the last list is used until the new one sends its own."""
+        # The other discovery may number its revisions anew: asked for changes since the old revision, it
+        # might send none.
         self.address, self.rev = address, 0
         self.back_off.reset()
-        self.leave()
-        cancel(self.retry)
-        self.give_up()
+        self.close_watch()
+        cancel(self.retry_timer)
+        self.cancel_call()
         self.start()
 
-    def give_up(self) -> None:
-        """Nobody waits for the call that is out any more, if one is."""
-        asked, self.asked = self.asked, None
-        if asked is not None:
+    def cancel_call(self) -> None:
+        """Cancels the pending call, if any."""
+        call, self.call = self.call, None
+        if call is not None:
             self.transport = None
-            asked.cancel()
+            call.cancel()
 
-    def leave(self) -> None:
-        """Ends the watch that is open, if any; nothing that it still says counts."""
+    def close_watch(self) -> None:
+        """Closes the open watch, if any; what it still sends is ignored."""
         body, self.body, self.transport = self.body, None, None
         if body is not None and body.transport is not None:
             body.transport.loseConnection()
 
-    def failed(self, asked: Any, failure: Any) -> None:
-        if self.asked is asked:
-            self.asked = None
-            self._answered_or_failed()
-            if self.back_off.is_reset:  # once for each time that discovery is away
-                self.complain("discovery-unreached", failure.getErrorMessage())
-            self.again(None)
-
-    def answered(self, response) -> None:
-        self.asked = None
-        granted = response.code == 200
-        if not granted:
-            self._answered_or_failed()
-        if not granted and self.back_off.is_reset:
-            self.complain("discovery-refused", f"discovery answered {response.code}")
-        response.deliverBody(WatchBody(self, granted))
-
-    def _answered_or_failed(self) -> None:
-        """A call has been, as far as sends by the list wait for it."""
-        self.ended_at = None
-        self.renewed = self.renewing
-
-    def listen_for(self, seconds: float) -> None:
-        """The watch on silence starts anew."""
-        if self.silence is not None and self.silence.active():
-            self.silence.reset(seconds)
+    def call_failed(self, call: Any, failure: Any) -> None:
+        if self.call is call:
+            self.call = None
+            self._call_concluded()
+            if self.back_off.is_reset:  # reported once per outage
+                self.on_problem("discovery-unreached", failure.getErrorMessage())
+            self.schedule_retry(None)
+
+    def call_answered(self, response) -> None:
+        self.call = None
+        accepted = response.code == 200
+        if not accepted:
+            self._call_concluded()
+        if not accepted and self.back_off.is_reset:
+            self.on_problem("discovery-refused", f"discovery answered {response.code}")
+        response.deliverBody(WatchBody(self, accepted))
+
+    def _call_concluded(self) -> None:
+        """Records the end of a call, for requests that wait for a fresh list."""
+        self.watch_ended_at = None
+        self.refreshed = self.refreshing
+
+    def restart_silence_timer(self, seconds: float) -> None:
+        """Restarts the timer after which the watch counts as silent."""
+        if self.silence_timer is not None and self.silence_timer.active():
+            self.silence_timer.reset(seconds)
         else:
-            self.silence = self.reactor.callLater(seconds, self.fell_silent)
+            self.silence_timer = self.reactor.callLater(seconds, self.on_silence)
 
-    def progress(self, ended: bool, unfinished: bool) -> None:
-        """Bytes of the list have come: whether a line ended in them, and whether one has yet to end."""
-        self.in_progress.heard(self.reactor.seconds(), ended, unfinished)
+    def line_progress(self, ended: bool, unfinished: bool) -> None:
+        """Records a read: whether a line ended in it, and whether it left one unfinished."""
+        self.line_in_progress.bytes_received(self.reactor.seconds(), ended, unfinished)
 
-    def fell_silent(self) -> None:
-        # Danger: after the node itself was away the timer runs out before what lies in the socket is read.
-        if self.excused():
-            self.listen_for(BACK)
+    def on_silence(self) -> None:
+        # After a stall of the node the timer fires before the data in the socket is read.
+        if self.is_catching_up():
+            self.restart_silence_timer(RECONNECT_AFTER_STALL_S)
             return
         now = self.reactor.seconds()
-        if self.body is not None and self.in_progress.comes(now):
-            self.listen_for(CHECK)
+        if self.body is not None and self.line_in_progress.is_arriving(now):
+            self.restart_silence_timer(LINE_CHECK_INTERVAL_S)
             return
-        self.in_progress.given_up(now)
-        late = self._late(self.silence)
+        self.line_in_progress.abandoned(now)
+        lateness = self._lateness(self.silence_timer)
         if self.back_off.is_reset:
-            waited = SILENT if self.body else ANSWER
-            self.complain("discovery-silent", f"nothing from discovery for {waited} s")
-        self.give_up()
-        # a change that a silent watch misses is told later than one that any other end hides
-        self.leave()
-        self.ended_at = None
-        self.again(None, late=late)
-
-    def _late(self, timer: Any) -> float:
-        """By how much a timer that runs now runs late."""
-        # Danger: silence, a wait, a call in vain and a wait, each late by a stall, add up past the bound.
+            waited = SILENCE_TIMEOUT_S if self.body else ANSWER_TIMEOUT_S
+            self.on_problem("discovery-silent", f"nothing from discovery for {waited} s")
+        self.cancel_call()
+        self.close_watch()
+        # The list does not expire: a change that a silent watch misses counts as notified later than one that
+        # any other end of the watch hides.
+        self.watch_ended_at = None
+        self.schedule_retry(None, lateness=lateness)
+
+    def _lateness(self, timer: Any) -> float:
+        """Returns by how many seconds a timer that fires now is late."""
+        # Subtracted from the next delay: silence, a delay, a failed call and another delay, each late by a
+        # short stall, would together exceed the bound on notifications.
         return max(self.reactor.seconds() - timer.getTime(), 0.0)
 
-    def again(self, body: WatchBody | None, policy: BackOffPolicy = UNREACHABLE, late: float = 0.0) -> None:
-        """Opens the watch anew a little later, unless that is on the way already."""
-        if body is not self.body or self.retry is not None:
+    def schedule_retry(
+        self, body: WatchBody | None, policy: BackOffPolicy = UNREACHABLE, lateness: float = 0.0
+    ) -> None:
+        """Closes the watch and schedules the next call; does nothing for a body of an earlier watch."""
+        if body is not self.body or self.retry_timer is not None:
             return
-        if body is not None and body.heard:
-            self.ended_at = self.reactor.seconds()
-        self.leave()
-        cancel(self.silence)
-        # Danger: what was told while the node was away counts as told, whether or not it still can read it.
-        wait = BACK if self.excused() else max(self.back_off.next_delay(policy) - late, 0.0)
-        self.retry = self.reactor.callLater(wait, self._due)
-
-    def _due(self) -> None:
-        self.start(0.0 if self.excused() else self._late(self.retry))
-
-    def line(self, line: bytes) -> None:
-        self.listen_for(SILENT)
-        self._answered_or_failed()
-        self.spoke()
+        if body is not None and body.has_line:
+            self.watch_ended_at = self.reactor.seconds()
+        self.close_watch()
+        cancel(self.silence_timer)
+        # After a stall without the back-off: changes that came meanwhile count as notified.
+        wait = (
+            RECONNECT_AFTER_STALL_S
+            if self.is_catching_up()
+            else max(self.back_off.next_delay(policy) - lateness, 0.0)
+        )
+        self.retry_timer = self.reactor.callLater(wait, self._start_retry)
+
+    def _start_retry(self) -> None:
+        self.start(0.0 if self.is_catching_up() else self._lateness(self.retry_timer))
+
+    def line_received(self, line: bytes) -> None:
+        self.restart_silence_timer(SILENCE_TIMEOUT_S)
+        self._call_concluded()
+        self.on_line()
         self.back_off.reset()
         if not line:
             return
         try:
-            news = orjson.loads(line)
-            whole, rows, rev = bool(news["all"]), news["targets"], int(news["rev"])
-            # Danger: what is no list, taken for an empty one, would take every host away.
+            message = orjson.loads(line)
+            complete, rows, rev = bool(message["all"]), message["targets"], int(message["rev"])
+            # Taken for an empty list, anything else would remove every host.
             if not isinstance(rows, list):
                 raise TypeError("targets is no list")
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-            self.complain("bad-list", f"a line of discovery cannot be read: {error!r:.100}")
+            self.on_problem("bad-list", f"a line of discovery cannot be read: {error!r:.100}")
             return
-        if len(rows) > MOST_HOSTS:
-            self.complain("list-too-long", f"{len(rows)} hosts, over {MOST_HOSTS}; the last list is kept")
+        if len(rows) > MAX_HOSTS:
+            self.on_problem("list-too-long", f"{len(rows)} hosts, over {MAX_HOSTS}; the last list is kept")
             return
-        # Danger: a change older than the list would bring back hosts that drain since.
-        if rev < self.rev and not whole:
-            self.complain("list-went-back", f"version {rev} after {self.rev}; the whole list is asked for")
+        # A change older than the list would bring back hosts that have begun to drain since.
+        if rev < self.rev and not complete:
+            self.on_problem("list-went-back", f"version {rev} after {self.rev}; the whole list is asked for")
             self.rev = 0
-            self.again(self.body)
+            self.schedule_retry(self.body)
             return
         self.rev = rev
-        self.listed(whole, rows)
+        self.on_list(complete, rows)
--- a/caperdeck/wire/host.py
+++ b/caperdeck/wire/host.py
@@ -1,4 +1,4 @@
-"""One session's connection to a host: the request goes out, what comes back is the dial's outcome."""
+"""The connection of one session to a host: sends the request line and passes on what comes back."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HostHandler(Protocol):
-    """What a connection to a host needs of the desk, and what it tells it."""
+    """The session handler, as host connections use it."""
 
     reactor: Any
 
@@ -30,19 +30,19 @@
 
 
 class HostConnection(LineConnection):
-    def __init__(self, handler: HostHandler, session: Session, until: float) -> None:
+    def __init__(self, handler: HostHandler, session: Session, dial_deadline: float) -> None:
         self.handler = handler
         self.session = session
-        self.request_sent = False  # the request line's last byte has been written
-        self.cut = False  # the system took a part of it only; the rest waits in the transport
-        self.taken_up = False  # it stood at another process of this node already
-        self.dial_deadline = until
-        self.ended = False  # concluded; nothing that still comes counts
-        self.announced_end: tuple[Outcome, str] | None = None  # what its last word means, if it said one
+        self.request_sent = False  # the request line has been handed to the transport
+        self.partially_sent = False  # the kernel took only a part of it; the transport buffers the rest
+        self.taken_over = False  # the session was established in another process of this node
+        self.dial_deadline = dial_deadline
+        self.ended = False  # concluded: whatever still arrives is ignored
+        self.announced_end: tuple[Outcome, str] | None = None  # by the host's last line, if any
         self.connector = None
 
-    def dial_to(self, address: Address, time_out: float) -> None:
-        reactor, seconds = self.handler.reactor, time_out / MS
+    def connect_to(self, address: Address, timeout_ms: float) -> None:
+        reactor, seconds = self.handler.reactor, timeout_ms / MS
         factory = RetryingConnectionFactory(reactor, self, seconds)
         self.connector = reactor.connectTCP(*address, factory, seconds)
 
@@ -50,22 +50,22 @@
         self.disable_nagle()
         if self.ended:
             self.transport.abortConnection()
-        elif not self.taken_up:
+        elif not self.taken_over:
             self.handler.dial_connected(self)
 
-    def send_request(self, pieces: list[bytes | memoryview]) -> bool:
-        """One gathered write; False if the connection broke first, so that the host never had the line."""
-        total = sum(len(piece) for piece in pieces)
+    def send_request(self, buffers: list[bytes | memoryview]) -> bool:
+        """Sends the request line in one gathered write; False if the connection broke before."""
+        total = sum(len(buffer) for buffer in buffers)
         try:
-            sent = self.transport.getHandle().sendmsg(pieces)
+            sent = self.transport.getHandle().sendmsg(buffers)
         except BlockingIOError:
             sent = 0
         except OSError:
             return False
-        self.cut = sent < total
-        if self.cut:
-            # what is left follows as the socket drains; a break after this counts as a line that may have run
-            self.transport.write(b"".join(pieces)[sent:])
+        self.partially_sent = sent < total
+        if self.partially_sent:
+            # The rest follows as the socket drains. From now on the host may have had the line.
+            self.transport.write(b"".join(buffers)[sent:])
         self.request_sent = True
         return True
 
@@ -79,20 +79,20 @@
             self.transport.abortConnection()
 
     def close(self, reset: bool) -> None:
-        """Ends the connection, or the attempt at one."""
+        """Closes the connection, or ends the attempt to open one."""
         self.ended = True
         if not self.connected:
             self.connector.disconnect()
             return
         self.transport.unregisterProducer()
-        # Danger: the rest of a request line would still go out, and a dial that was given up would run beside
-        # the next one.
-        if reset or (self.cut and not self.session.established_at):
+        # Reset if a part of the request line is still buffered: it would go out otherwise, and the abandoned
+        # dial would run beside the next one.
+        if reset or (self.partially_sent and not self.session.established_at):
             self.transport.abortConnection()
         else:
             self.transport.loseConnection()
-            # Danger: a machine that vanished never takes what is still to be written, and the socket stays.
-            self.linger(self.handler.reactor)
+            # A machine that has vanished never takes the remaining data, and the socket would stay open.
+            self.abort_after(self.handler.reactor)
 
     def failed(self) -> None:
         if not self.ended:
--- a/caperdeck/wire/lines.py
+++ b/caperdeck/wire/lines.py
@@ -1,4 +1,4 @@
-"""What every connection of the node has in common: lines, their length, and how an end is waited for."""
+"""Base classes for connections and ports: lines of text, orderly closing, bounded accepting and retries."""
 
 from __future__ import annotations
 
@@ -16,48 +16,48 @@
 from caperdeck.state.timers import cancel
 
 CRLF = b"\r\n"
-LONGEST_LINE = 4096
-LINGER = 0.8  # seconds in which what was written last has to go out
-LINGER_SHORT = 0.05  # the same while sockets are short
+MAX_LINE_BYTES = 4096
+LINGER_S = 0.8  # time for the last data to go out before the connection is aborted
+SHORT_LINGER_S = 0.05  # the same while descriptors are short
 
 
 class LineConnection(LineReceiver):
     delimiter = CRLF
-    MAX_LENGTH = LONGEST_LINE
+    MAX_LENGTH = MAX_LINE_BYTES
     linger_timer = None
 
     def disable_nagle(self) -> None:
-        """Small lines are not held back until the one before has been acknowledged."""
-        # a connection that has broken already says so here first; reading finds it out again
+        """Sends small lines at once instead of waiting for earlier ones to be acknowledged."""
+        # Fails if the connection has broken already, which the next read reports.
         with suppress(OSError):
             self.transport.setTcpNoDelay(True)
 
     def pass_on(self, line: bytes) -> None:
         self.transport.writeSequence((line, CRLF))
 
-    def linger(self, reactor: Any, seconds: float = LINGER) -> None:
+    def abort_after(self, reactor: Any, seconds: float = LINGER_S) -> None:
         self.linger_timer = reactor.callLater(seconds, self.transport.abortConnection)
 
-    def half_close(self, reactor: Any, seconds: float = LINGER) -> None:
-        """Ends this side once all that was written has gone out, and waits a while for the other's end."""
-        # Danger: closed with a line of the other side unread, the kernel resets it and our last line is lost.
+    def half_close(self, reactor: Any, seconds: float = LINGER_S) -> None:
+        """Closes the sending side after buffered data, and the connection after a limited time."""
+        # If the socket were closed with unread data, the kernel would reset it and drop the last line.
         self.transport.loseWriteConnection()
-        self.linger(reactor, seconds)
+        self.abort_after(reactor, seconds)
 
     def stopProducing(self) -> None:
-        """The other side of the session is gone; its own connectionLost sees to this one."""
+        """Called as the other side of the session is lost; its connectionLost closes this side."""
 
 
 class BoundedPort(Port):
-    """Accepts no more connections at once than its factory says are `acceptable`.
+    """Accepts at most `acceptable_connections` of its factory at once.
 
-    Where somebody waits and that is 0, `none_acceptable` of the factory is called, which stops the reading.
+    If that is 0 while connections wait, it calls `accept_blocked` of the factory, which must stop reading.
     """
 
-    # The library's own loop takes a hundred in one go, closes unanswered those that find no descriptor, and
-    # gives up on errors that it does not know.
+    # Twisted's own loop accepts a hundred connections in one go, closes those that find no descriptor without
+    # an answer, and gives up on errors that it does not know.
 
-    resuming: Any = None  # the timer after which it accepts again
+    resume_timer: Any = None  # resumes accepting
 
     @property
     def numberAccepts(self) -> int:
@@ -65,17 +65,17 @@
 
     @numberAccepts.setter
     def numberAccepts(self, wanted: int) -> None:
-        """The library sets a number of its own as it begins to listen."""
+        """Ignored: Twisted sets its own number when it begins to listen."""
 
     def doRead(self) -> None:
         self.accept_pending()
 
     def accept_pending(self) -> bool:
-        """Whether nobody waits in the queue any more; False also where that cannot be told just now."""
-        if not (most := self.numberAccepts):
-            # the queue stays readable: the reactor would turn on it and do nothing else
+        """Accepts waiting connections; True if the queue is empty, False if it may not be."""
+        if not (limit := self.numberAccepts):
+            # The queue stays readable, so the reactor would busy-loop on it.
             self.factory.accept_blocked()
-        for _ in range(most):
+        for _ in range(limit):
             try:
                 sock, address = self.socket.accept()
             except BlockingIOError:
@@ -85,11 +85,11 @@
                 if is_transient(error):
                     self._pause()
                     return False
-                continue  # that one connection has broken in the queue
-            self._let_in(sock, address)
+                continue  # this connection broke while it waited
+            self._adopt(sock, address)
         return False
 
-    def _let_in(self, sock: socket.socket, address: tuple[str, int]) -> None:
+    def _adopt(self, sock: socket.socket, address: tuple[str, int]) -> None:
         number, self.sessionno = self.sessionno, self.sessionno + 1
         protocol = self.factory.buildProtocol(IPv4Address("TCP", *address))
         if protocol is None:
@@ -98,21 +98,21 @@
         protocol.makeConnection(self.transport(sock, protocol, address, self, number, self.reactor))
 
     def _pause(self) -> None:
-        # the queue stays readable: without a pause the reactor would turn on it and do nothing else
+        # The queue stays readable, so without a pause the reactor would busy-loop on it.
         super().stopReading()
-        self.resuming = self.reactor.callLater(RETRY_DELAY_S, self.startReading)
+        self.resume_timer = self.reactor.callLater(RETRY_DELAY_S, self.startReading)
 
     def startReading(self) -> None:
-        cancel(self.resuming)
+        cancel(self.resume_timer)
         super().startReading()
 
     def stopReading(self) -> None:
-        cancel(self.resuming)
+        cancel(self.resume_timer)
         super().stopReading()
 
 
 class SingleConnectionFactory(ClientFactory):
-    """For one connection that the node opens; told by `failed` if it does not come up."""
+    """A factory for one outgoing connection, whose `failed` is called if it cannot be opened."""
 
     noisy = False
 
@@ -127,23 +127,23 @@
 
 
 class RetryingConnectionFactory(SingleConnectionFactory):
-    """The same, tried again while this machine lacks something for it, for so many seconds.
+    """Retries for so many seconds while the attempt fails for a momentary lack of local resources.
 
-    `conn.ended` says that nobody waits for it any more.
+    It gives up once `conn.ended` is set.
     """
 
     def __init__(self, reactor: Any, conn: Any, seconds: float) -> None:
         super().__init__(conn)
         self.reactor = reactor
-        self.until = reactor.seconds() + seconds
+        self.deadline = reactor.seconds() + seconds
 
     def clientConnectionFailed(self, connector, reason) -> None:
-        # what this machine lacks for a moment says nothing about the other side, and must not use up dials
-        if is_transient(reason.value) and self.reactor.seconds() + RETRY_DELAY_S < self.until:
-            self.reactor.callLater(RETRY_DELAY_S, self._try_again, connector)
+        # A momentary lack of local resources says nothing about the other side, and must not use up dials.
+        if is_transient(reason.value) and self.reactor.seconds() + RETRY_DELAY_S < self.deadline:
+            self.reactor.callLater(RETRY_DELAY_S, self._retry, connector)
         else:
             self.conn.failed()
 
-    def _try_again(self, connector: Any) -> None:
+    def _retry(self, connector: Any) -> None:
         if not self.conn.ended:
             connector.connect()
--- a/caperdeck/wire/probe.py
+++ b/caperdeck/wire/probe.py
@@ -1,4 +1,4 @@
-"""Probes: one connection a host, kept open between them for as many hosts as the budget has room for."""
+"""Probes hosts, on one connection per host that stays open between probes while the budget allows it."""
 
 from __future__ import annotations
 
@@ -18,63 +18,66 @@
 
 
 class ProbeConnection(LineConnection):
-    def __init__(self, pool: Probes, host: int, address: Address) -> None:
+    def __init__(self, pool: ProbePool, host: int, address: Address) -> None:
         self.pool = pool
         self.host = host
         self.address = address
-        self.waits = None  # the timer of the probe that is out
-        self.sent = False
+        self.timeout_timer = None  # of the probe under way; None if there is none
+        self.probe_sent = False
         self.ended = False
         self.connector = None
 
-    def ask(self) -> None:
-        self.waits = self.pool.reactor.callLater(self.pool.time_out / MS, self.late)
+    def start_probe(self) -> None:
+        self.timeout_timer = self.pool.reactor.callLater(self.pool.timeout_ms / MS, self.on_timeout)
         if self.connected:
-            self.send()
+            self.send_probe()
 
-    def send(self) -> None:
-        self.sent = True
-        self.pass_on(self.pool.question)
+    def send_probe(self) -> None:
+        self.probe_sent = True
+        self.pass_on(self.pool.probe_line)
 
     def connectionMade(self) -> None:
         if self.ended:
             self.transport.abortConnection()
             return
         self.disable_nagle()
-        if self.waits is not None:
-            self.send()
+        if self.timeout_timer is not None:
+            self.send_probe()
 
     def lineReceived(self, line: bytes) -> None:
-        if self.waits is None:
+        if self.timeout_timer is None:
             return
         if line.startswith(b"PONG"):
-            self.conclude(Outcome.GOOD, parse_report(line[4:]))
+            self.complete(Outcome.GOOD, parse_report(line[4:]))
         else:
-            self.conclude(Outcome.ERROR, {})
+            self.complete(Outcome.ERROR, {})
 
     def lineLengthExceeded(self, line: bytes) -> None:
         self.end(Outcome.ERROR)
 
-    def late(self) -> None:
-        if self.pool.later(partial(self.dismiss, self.waits)):
+    def on_timeout(self) -> None:
+        if self.pool.defer(partial(self.end_after_stall, self.timeout_timer)):
             return
-        self.end(Outcome.LATE if self.sent else Outcome.UNREACHED)
+        self.end(Outcome.LATE if self.probe_sent else Outcome.UNREACHED)
 
-    def dismiss(self, timer: Any) -> None:
-        """The node stalled as the time ran out: without an answer by now it is nobody's fault."""
-        if self.waits is timer:
-            self.waits = None
+    def end_after_stall(self, timer: Any) -> None:
+        """Ends a probe whose time-out fired in a stall, if its answer was not among the data read since.
+
+        The probe counts as no result: the timer is cleared first, so that nothing is reported.
+        """
+        if self.timeout_timer is timer:
+            self.timeout_timer = None
             self.end(Outcome.LATE)
 
-    def conclude(self, outcome: Outcome, values: dict[str, float]) -> None:
-        if self.waits is None:
+    def complete(self, outcome: Outcome, values: dict[str, float]) -> None:
+        if self.timeout_timer is None:
             return
-        cancel(self.waits)
-        self.waits, self.sent = None, False
-        self.pool.concluded(ProbeCompleted(self.host, outcome, decode_report(values)))
+        cancel(self.timeout_timer)
+        self.timeout_timer, self.probe_sent = None, False
+        self.pool.on_complete(ProbeCompleted(self.host, outcome, decode_report(values)))
 
     def end(self, outcome: Outcome) -> None:
-        """Closes the connection and concludes the probe that is out, if any."""
+        """Closes the connection and completes the probe under way, if any."""
         if self.ended:
             return
         self.ended = True
@@ -82,73 +85,75 @@
             self.transport.abortConnection()
         else:
             self.connector.disconnect()
-        self.pool.forget(self)
-        self.conclude(outcome, {})
+        self.pool.remove(self)
+        self.complete(outcome, {})
 
     def failed(self) -> None:
         self.end(Outcome.UNREACHED)
 
     def connectionLost(self, reason) -> None:
-        self.end(Outcome.RESET if self.sent else Outcome.UNREACHED)
+        self.end(Outcome.RESET if self.probe_sent else Outcome.UNREACHED)
 
 
-class Probes:
-    """The probe connections, one a host."""
+class ProbePool:
+    """The probe connections, one per host."""
 
     def __init__(
-        self, reactor: Any, budget: SocketBudget, reports: bool, time_out: float,
-        concluded: Callable[[ProbeCompleted], None],
-        later: Callable[[Callable[[], None]], bool] = lambda do: False,
+        self, reactor: Any, budget: SocketBudget, hosts_report_load: bool, timeout_ms: float,
+        on_complete: Callable[[ProbeCompleted], None],
+        defer: Callable[[Callable[[], None]], bool] = lambda do: False,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.budget = budget
-        self.apply_settings(reports, time_out)
-        self.concluded = concluded
-        self.later = later  # whether what is to be done waits until what lies in the sockets is read
-        self.connections: dict[int, ProbeConnection] = {}  # by host, the one that was asked longest ago first
+        self.apply_settings(hosts_report_load, timeout_ms)
+        self.on_complete = on_complete
+        # Whether the node is still reading after a stall; the callback is then called once it has caught up.
+        self.defer = defer
+        self.connections: dict[int, ProbeConnection] = {}  # by host, the least recently used first
 
-    def apply_settings(self, reports: bool, time_out: float) -> None:
-        self.question = b"STATS" if reports else b"PING"
-        self.time_out = time_out
+    def apply_settings(self, hosts_report_load: bool, timeout_ms: float) -> None:
+        self.probe_line = b"STATS" if hosts_report_load else b"PING"
+        self.timeout_ms = timeout_ms
 
     def probe(self, host: int, address: Address | None) -> None:
+        """Starts a probe, unless one is under way; on_complete is called with its result."""
         conn = self.connections.get(host)
         if conn is not None and conn.address != address:
             conn.end(Outcome.UNREACHED)
             conn = None
         if address is None:
-            self.concluded(ProbeCompleted(host, Outcome.UNREACHED))
+            self.on_complete(ProbeCompleted(host, Outcome.UNREACHED))
             return
         if conn is None:
-            if not self._make_room():
-                # what this node lacks says nothing about the host
-                self.concluded(ProbeCompleted(host, Outcome.NEVER_SENT))
+            if not self._ensure_capacity():
+                # A lack of local descriptors says nothing about the host.
+                self.on_complete(ProbeCompleted(host, Outcome.NEVER_SENT))
                 return
             conn = ProbeConnection(self, host, address)
-        self._use(conn)
+        self._mark_used(conn)
         if conn.connector is None:
-            seconds = self.time_out / MS
+            seconds = self.timeout_ms / MS
             factory = RetryingConnectionFactory(self.reactor, conn, seconds)
             conn.connector = self.reactor.connectTCP(*address, factory, seconds)
-        if conn.waits is None:
-            conn.ask()
+        if conn.timeout_timer is None:
+            conn.start_probe()
 
-    def _make_room(self) -> bool:
-        """Whether one more connection may be opened; the one that has rested longest is ended for it."""
+    def _ensure_capacity(self) -> bool:
+        """Whether one more connection may be opened; closes the least recently used idle one if needed."""
         if self.budget.open_probes < self.budget.max_probes:
             return True
-        resting = next((conn for conn in self.connections.values() if conn.waits is None), None)
-        if resting is not None:
-            resting.end(Outcome.WITHDRAWN)
+        idle = next((conn for conn in self.connections.values() if conn.timeout_timer is None), None)
+        if idle is not None:
+            idle.end(Outcome.WITHDRAWN)
             return True
         return self.budget.may_serve()
 
-    def _use(self, conn: ProbeConnection) -> None:
+    def _mark_used(self, conn: ProbeConnection) -> None:
         self.connections.pop(conn.host, None)
         self.connections[conn.host] = conn
         self.budget.open_probes = len(self.connections)
 
-    def forget(self, conn: ProbeConnection) -> None:
+    def remove(self, conn: ProbeConnection) -> None:
         if self.connections.get(conn.host) is conn:
             del self.connections[conn.host]
             self.budget.open_probes = len(self.connections)
--- a/caperdeck/wire/report.py
+++ b/caperdeck/wire/report.py
@@ -1,30 +1,30 @@
-"""What a host reports of its load, as text of the wire."""
+"""Parses the load that hosts report."""
 
 from __future__ import annotations
 
-MOST = 1e6  # figures of a report, at or over this, are no counts or shares
-MOST_LOAD = 1e12  # of a session's load, in whatever unit of time
+MAX_REPORT_VALUE = 1e6  # larger values are neither counts nor ratios
+MAX_LOAD_US_PER_S = 1e12  # of one session
 
 
 def parse_report(text: bytes) -> dict[str, float]:
-    """A load report NAME=NUMBER,...; what is no number from 0 on is left out."""
+    """Parses a load report `NAME=NUMBER,...`; values that are not numbers of at least 0 are left out."""
     values = {}
-    for part in text.split(b","):
-        name, _, value = part.partition(b"=")
-        if (number := _figure(value, MOST)) is not None:
+    for field in text.split(b","):
+        name, _, value = field.partition(b"=")
+        if (number := _parse_number(value, MAX_REPORT_VALUE)) is not None:
             values[name.strip().decode("utf-8", "replace")] = number
     return values
 
 
 def parse_load(text: bytes) -> float | None:
-    """A load in microseconds of work a second."""
-    return _figure(text, MOST_LOAD)
+    """Parses a load in microseconds of work a second; None if it is not a valid number."""
+    return _parse_number(text, MAX_LOAD_US_PER_S)
 
 
-def _figure(text: bytes, most: float) -> float | None:
-    """A number from 0 on and under the most, or None."""
+def _parse_number(text: bytes, limit: float) -> float | None:
+    """Returns a number of at least 0 and under the limit, or None."""
     try:
         number = float(text)
     except ValueError:
         return None
-    return number if 0 <= number < most else None
+    return number if 0 <= number < limit else None
--- a/caperdeck/wire/request.py
+++ b/caperdeck/wire/request.py
@@ -1,6 +1,7 @@
-"""A connection's first line, parsed in place: fields are found in the line, which is never taken apart.
+"""The request line by which a client opens a session.
 
-What goes on to a host is the client's own line around the one figure that changes, for a gathered write.
+It is parsed in place: the line that goes on to a host is the client's own, except for the wait. It is sent in
+one gathered write, without copying.
 """
 
 from __future__ import annotations
@@ -9,66 +10,66 @@
 from dataclasses import dataclass
 
 from .lines import CRLF
-from .report import MOST_LOAD
+from .report import MAX_LOAD_US_PER_S
 
 
 class RequestError(ValueError):
-    """A first line that cannot be served; its text is the reason code."""
+    """Raised for a request line that cannot be served; its text is the reason code in the log."""
 
 
 @dataclass(slots=True)
 class Request:
-    """A session that a client asks for."""
+    """A client's request for a session."""
 
     line: bytes
     id: str
     listener: str
-    wait_ms: float  # how long the client waits, in milliseconds
-    wait_from: int  # where in the line that figure stands
-    wait_to: int
+    wait_ms: float  # how long the client waits for an answer
+    wait_start: int  # position of the wait's digits in the line
+    wait_end: int
     tenant: str | None = None
     group: str | None = None
-    load: float | None = None
-    resume_host: str | None = None
+    load: float | None = None  # microseconds of work a second, as estimated by the client
+    resume_host: str | None = None  # uid of the host on which the session was established before
 
-    def pieces(self, wait: int) -> list[bytes | memoryview]:
-        """The line with another wait, in pieces that are written without joining them."""
+    def buffers(self, wait_ms: int) -> list[bytes | memoryview]:
+        """Returns the line with another wait, as buffers for a gathered write."""
         view = memoryview(self.line)
-        return [view[: self.wait_from], b"%d" % wait, view[self.wait_to :], CRLF]
+        return [view[: self.wait_start], b"%d" % wait_ms, view[self.wait_end :], CRLF]
 
 
 def parse_request(line: bytes) -> Request:
-    """OPEN ID KEY NAME=VALUE,...; names not known are passed over."""
+    """Parses `OPEN ID KEY NAME=VALUE,...`; unknown names are ignored. Raises RequestError."""
     id_end = line.find(b" ", 5)
     key_end = line.find(b" ", id_end + 1)
     if not line.startswith(b"OPEN ") or id_end < 6 or key_end < id_end + 2:
         raise RequestError("bad-line")
-    found: dict[bytes, tuple[int, int]] = {}
-    at, end = key_end + 1, len(line)
-    while at < end:
-        comma = line.find(b",", at)
+    fields: dict[bytes, tuple[int, int]] = {}
+    position, end = key_end + 1, len(line)
+    while position < end:
+        comma = line.find(b",", position)
         stop = end if comma < 0 else comma
-        equals = line.find(b"=", at, stop)
-        if equals <= at:
+        equals = line.find(b"=", position, stop)
+        if equals <= position:
             raise RequestError("bad-line")
-        found[line[at:equals]] = (equals + 1, stop)
-        at = stop + 1
+        fields[line[position:equals]] = (equals + 1, stop)
+        position = stop + 1
 
     def text(name: bytes) -> str | None:
-        if name not in found:
+        if name not in fields:
             return None
-        start, stop = found[name]
+        start, stop = fields[name]
         return line[start:stop].decode("utf-8", "replace")
 
-    wait, load, listener = _number(text(b"d")), _number(text(b"h")), text(b"c")
-    if wait is None or listener is None or wait < 0 or not 0 <= (load or 0.0) < MOST_LOAD:
+    wait_ms, load, listener = _parse_float(text(b"d")), _parse_float(text(b"h")), text(b"c")
+    if wait_ms is None or listener is None or wait_ms < 0 or not 0 <= (load or 0.0) < MAX_LOAD_US_PER_S:
         raise RequestError("bad-line")
-    start, stop = found[b"d"]
+    start, stop = fields[b"d"]
     name = line[5:id_end].decode("utf-8", "replace")
-    return Request(line, name, listener, wait, start, stop, text(b"t"), text(b"g"), load, text(b"at"))
+    return Request(line, name, listener, wait_ms, start, stop, text(b"t"), text(b"g"), load, text(b"at"))
 
 
-def _number(text: str | None) -> float | None:
+def _parse_float(text: str | None) -> float | None:
     if text is None:
         return None
     try:
--- a/caperdeck/wire/session_handler.py
+++ b/caperdeck/wire/session_handler.py
@@ -21,7 +21,7 @@
 
 from .client import ClientConnection
 from .host import HostConnection
-from .probe import Probes
+from .probe import ProbePool
 from .report import parse_load
 from .request import RequestError, parse_request
 
@@ -36,7 +36,7 @@
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
         reports, time_out = self.limits.hosts_report_load, 2 * self.limits.connect_timeout
-        self.probes = Probes(self.reactor, self.budget, reports, time_out, self.probed, self.defer)
+        self.probes = ProbePool(self.reactor, self.budget, reports, time_out, self.probed, self.defer)
 
     def busy(self, back_off: float) -> bytes:
         return b"BUSY %d" % back_off if back_off >= 1 else b"BUSY"
@@ -133,7 +133,7 @@
 
     def send_request(self, conn: HostConnection) -> bool:
         wait = max(int(conn.dial_deadline - self.clock()), 1)
-        return conn.send_request(conn.session.request.pieces(wait))
+        return conn.send_request(conn.session.request.buffers(wait))
 
     def host_line_received(self, conn: HostConnection, line: bytes) -> None:
         s = conn.session
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -243,8 +243,8 @@
 # guards against: the time that a line may take counted from the beginning of an earlier one
 def test_each_line_of_a_watch_has_its_own_time():
     line = LineInProgress()
-    line.heard(0.0, ended=False, unfinished=True)
-    line.heard(5.0, ended=True, unfinished=True)
-    assert line.comes(5.4) and not line.comes(5.6)
-    line.heard(5.5, ended=True, unfinished=False)
-    assert not line.comes(5.5)
+    line.bytes_received(0.0, ended=False, unfinished=True)
+    line.bytes_received(5.0, ended=True, unfinished=True)
+    assert line.is_arriving(5.4) and not line.is_arriving(5.6)
+    line.bytes_received(5.5, ended=True, unfinished=False)
+    assert not line.is_arriving(5.5)
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -16,7 +16,7 @@
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.service import Service
 from caperdeck.state.backoff import UNREACHABLE, BackOff
-from caperdeck.wire.discovery import ANSWER, SILENT, Discovery
+from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S, Discovery
 
 
 class Watched(Loopback):
@@ -44,7 +44,7 @@
         self.reactor.until(self.agent.accept)
         list_socket = self.agent.accepted[-1]
         list_socket.send(HEADERS + chunk(b"\n"))
-        self.reactor.until(lambda: self.watch.reads)
+        self.reactor.until(lambda: self.watch.read_count)
         return list_socket
 
     def list_transport(self):
@@ -137,7 +137,7 @@
         super().__init__(dialTimeout=5.0, nodes=200, grace=grace, listener={"handshakeTarget": 3.0})
         self.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s
         self.opened().close()
-        self.reactor.until(lambda: self.watch.retry is not None)
+        self.reactor.until(lambda: self.watch.retry_timer is not None)
         self.drains = list_of(2, self.row(0, "Terminating"), self.row(1))  # discovery has it from now on
 
     def pass_time(self, seconds):
@@ -314,7 +314,7 @@
             lo.reactor.turn(0.0005)
         lo.stand(0.6)
         lo.reactor.settle(6)
-        assert lo.reactor.now - fell < SILENT + 1.0
+        assert lo.reactor.now - fell < SILENCE_TIMEOUT_S + 1.0
 
 
 @pytest.mark.parametrize("stall", [0.45, 0.6, 5.0])
@@ -322,13 +322,13 @@
     lo = watched(nodes=200)
     list_socket = lo.opened()
     list_socket.close()
-    lo.reactor.until(lambda: lo.watch.retry is not None)
+    lo.reactor.until(lambda: lo.watch.retry_timer is not None)
     lo.stand(0.6 + stall)
     lo.reactor.until(lo.agent.accept)
-    lo.stand(ANSWER - stall - 0.05 if stall < 0.5 else ANSWER - 0.05)
+    lo.stand(ANSWER_TIMEOUT_S - stall - 0.05 if stall < 0.5 else ANSWER_TIMEOUT_S - 0.05)
     lo.handler.last_turn_at = lo.handler.read_clock()
     lo.reactor.settle(6)
-    assert lo.watch.asked is not None and not lo.agent.accept()
+    assert lo.watch.call is not None and not lo.agent.accept()
 
 
 @pytest.mark.parametrize("stall", [0.1, 0.24, 0.45])
@@ -343,4 +343,7 @@
         lo.sweeps()
         lo.reactor.settle(6)
         calls += lo.agent.accept()
-    assert lo.reactor.now - fell <= SILENT + ANSWER + 2 * UNREACHABLE.max_span_s + stall + 0.01
+    assert (
+        lo.reactor.now - fell
+        <= SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + 2 * UNREACHABLE.max_span_s + stall + 0.01
+    )
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from caperdeck.state.backoff import REFUSED, UNREACHABLE, BackOff
-from caperdeck.wire.discovery import ANSWER, SILENT, Discovery
+from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S, Discovery
 
 TOLD = 6.0  # seconds after which a change counts as told, discovery having it and being there
 HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -102,7 +102,10 @@
 
 
 def test_the_bound_is_the_sum_of_its_parts():
-    assert SILENT + ANSWER + 2 * UNREACHABLE.max_span_s < TOLD - 0.15 and REFUSED.max_span_s < TOLD - 1
+    assert (
+        SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + 2 * UNREACHABLE.max_span_s < TOLD - 0.15
+        and REFUSED.max_span_s < TOLD - 1
+    )
 
 
 @runs(max_examples=25, deadline=None)
@@ -124,7 +127,7 @@
     agent.step("silent", 0.3)
     down = Peer()
     down.close()
-    agent.watch.move_to(f"127.0.0.1:{down.port}")
+    agent.watch.switch_to(f"127.0.0.1:{down.port}")
     agent.step("silent", 9.0)
     up = agent.reactor.now
     agent.listen(down.port)
@@ -138,7 +141,7 @@
     agent.watch.start()
     agent.step("hangs", 0.2)
     late = agent.accepted[-1]
-    agent.watch.move_to(f"127.0.0.1:{agent.port}")
+    agent.watch.switch_to(f"127.0.0.1:{agent.port}")
     agent.step("headers", 0.2)
     with pytest.raises((BrokenPipeError, ConnectionResetError)):
         for _ in range(20):
@@ -165,7 +168,9 @@
     assert max(sum(at <= x < at + 0.1 for x in first) for at in first) <= 45
     later = sum(w.next_delay() for w in waits for _ in range(20)) / 4000
     refused = sum(w.next_delay(REFUSED) for w in waits for _ in range(20)) / 4000
-    assert 200 / later <= 680 and 200 / (later + ANSWER) <= 81 and 200 / refused <= 57  # calls a second
+    assert (
+        200 / later <= 680 and 200 / (later + ANSWER_TIMEOUT_S) <= 81 and 200 / refused <= 57
+    )  # calls a second
 
 
 # ---- from the decision to the first byte
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,8 +16,8 @@
 from caperdeck.state.backoff import REFUSED, BackOff
 from caperdeck.state.budget import SocketBudget
 from caperdeck.wire.client import ClientFactory, ClientPort
-from caperdeck.wire.discovery import ANSWER, MOST_HOSTS, SILENT, Discovery, WatchBody
-from caperdeck.wire.probe import Probes
+from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, MAX_HOSTS, SILENCE_TIMEOUT_S, Discovery, WatchBody
+from caperdeck.wire.probe import ProbePool
 from caperdeck.wire.report import parse_report
 from caperdeck.wire.request import RequestError, parse_request
 
@@ -46,7 +46,7 @@
     assert (request.id, request.listener, request.tenant, request.wait_ms, request.group) == (
         "9b1f03aa5c7e2d41", "chat", "acme", 1200.0, "5c0f")  # fmt: skip
     assert request.load == 0.01 and request.resume_host is None
-    assert b"".join(request.pieces(170)) == OPEN.replace(b"d=1200", b"d=170") + b"\r\n"
+    assert b"".join(request.buffers(170)) == OPEN.replace(b"d=1200", b"d=170") + b"\r\n"
 
 
 @pytest.mark.parametrize("line", [
@@ -271,7 +271,7 @@
     pairs = [up(d) for _ in range(3)]
     pairs[0][0].dataReceived(b"one\r\n")
     sweeps(d, 0.5)
-    assert d.probes.connections[0].waits is not None and "end" not in "".join(log)
+    assert d.probes.connections[0].timeout_timer is not None and "end" not in "".join(log)
     if alive == "its probe":
         d.probes.connections[0].makeConnection(Wire())
         d.probes.connections[0].dataReceived(b"PONG x0=0.2\r\n")
@@ -406,7 +406,7 @@
 @pytest.fixture
 def probes():
     told = []
-    pool = Probes(MemoryReactorClock(), SocketBudget(1024, 0), True, 500.0, told.append)
+    pool = ProbePool(MemoryReactorClock(), SocketBudget(1024, 0), True, 500.0, told.append)
     pool.probe(3, Address("127.0.0.1", 9003))
     return pool, told
 
@@ -439,7 +439,11 @@
     lost(conn)
     pool.probe(3, Address("127.0.0.1", 9003))
     lost(probe_up(pool), False)
-    assert [t.outcome for t in told] == [Outcome.UNREACHED, Outcome.LATE, Outcome.RESET] and not pool.open
+    assert [t.outcome for t in told] == [
+        Outcome.UNREACHED,
+        Outcome.LATE,
+        Outcome.RESET,
+    ] and not pool.connections
 
 
 # ---- the roster
@@ -486,13 +490,13 @@
     watch.start()
     body = WatchBody(watch)
     body.makeConnection(Wire())
-    reactor.advance(ANSWER / 2)
+    reactor.advance(ANSWER_TIMEOUT_S / 2)
     body.dataReceived(b"\n")
-    reactor.advance(SILENT / 2)
+    reactor.advance(SILENCE_TIMEOUT_S / 2)
     body.dataReceived(b"\n")
-    reactor.advance(SILENT / 2 + 0.1)
+    reactor.advance(SILENCE_TIMEOUT_S / 2 + 0.1)
     assert not said
-    reactor.advance(SILENT)
+    reactor.advance(SILENCE_TIMEOUT_S)
     reactor.advance(0.4)
     assert said == ["discovery-silent"] and len(reactor.tcpClients) == 2
 
@@ -513,11 +517,11 @@
     heard, said = [], []
     watch = Discovery(MemoryReactorClock(), "127.0.0.1:8500", 4, None, lambda: heard.append(1),
                       lambda reason, text: said.append(reason), BackOff(7, 3))  # fmt: skip
-    body = WatchBody(watch, granted=False)
+    body = WatchBody(watch, accepted=False)
     body.makeConnection(Wire())
     body.dataReceived(b"too many calls\n\n")
     lost(body)
-    assert not heard and not said and watch.retry is not None
+    assert not heard and not said and watch.retry_timer is not None
 
 
 @pytest.mark.parametrize("nodes", [40, 160, 1000])
@@ -526,19 +530,19 @@
     # Danger: discovery takes calls in turn, also those given up since; what would wait too long is refused.
     each, too_long = takes / nodes, 2.0  # it can take a call of every node in that time
     waits = [BackOff(zlib.crc32(b"%d" % n), nodes) for n in range(nodes)]
-    calls = [(p.next(), n) for n, p in enumerate(waits)]
+    calls = [(p.next_delay(), n) for n, p in enumerate(waits)]
     heapq.heapify(calls)
     free, told = 0.0, []
     while calls and calls[0][0] < 60.0:
         at, n = heapq.heappop(calls)
         if max(free, at) + each > at + too_long:
-            heapq.heappush(calls, (at + waits[n].next(REFUSED), n))
+            heapq.heappush(calls, (at + waits[n].next_delay(REFUSED), n))
             continue
         free = max(free, at) + each
-        if free <= at + ANSWER:
+        if free <= at + ANSWER_TIMEOUT_S:
             told.append(free)
         else:
-            heapq.heappush(calls, (at + ANSWER + waits[n].next(), n))
+            heapq.heappush(calls, (at + ANSWER_TIMEOUT_S + waits[n].next_delay(), n))
     assert len(told) == nodes and sorted(told)[nodes // 2] < takes / 2 + 1.0 and told[-1] < takes + 1.5
 
 
@@ -562,7 +566,7 @@
     body = WatchBody(watch)
     body.makeConnection(Wire())
     body.dataReceived(orjson.dumps({"rev": 8, "all": False, "targets": [row("s-0")]}) + b"\n")
-    assert not heard and said == ["list-went-back"] and watch.rev == 0 and watch.retry is not None
+    assert not heard and said == ["list-went-back"] and watch.rev == 0 and watch.retry_timer is not None
     body.dataReceived(orjson.dumps({"rev": 3, "all": True, "targets": [row("s-0")]}) + b"\n")
     assert not heard  # of the watch that was left
 
@@ -571,7 +575,7 @@
     heard, said = [], []
     watch = Discovery(MemoryReactorClock(), "127.0.0.1:8500", 4, lambda *x: heard.append(x), lambda: None,
                       lambda reason, _: said.append(reason), BackOff(7, 3))  # fmt: skip
-    watch.line(orjson.dumps({"rev": 5, "all": True, "targets": [row("s-0")] * (MOST_HOSTS + 1)}))
+    watch.line_received(orjson.dumps({"rev": 5, "all": True, "targets": [row("s-0")] * (MAX_HOSTS + 1)}))
     assert not heard and said == ["list-too-long"] and watch.rev == 4
 
 
@@ -642,7 +646,12 @@
 @pytest.mark.parametrize("open_, waits", [(True, 0.0), (False, 0.45)])
 def test_a_list_that_cannot_be_read_is_waited_for_and_not_without_end(open_, waits):
     d = make_handler()
-    parts = {"open": open_, "reads": 0, "woke": lambda self: None, "expired": lambda self: False}
+    parts = {
+        "is_open": open_,
+        "read_count": 0,
+        "on_wake": lambda self: None,
+        "take_expiry": lambda self: False,
+    }
     d.source = type("Source", (), parts)()
     asleep(d, 3.0)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
@@ -675,7 +684,7 @@
     d.probes.probe(0, d.hosts.addresses[0])
     probe = accept(d)
     asleep(d, 2.0)
-    probe.late()
+    probe.on_timeout()
     d.reactor.advance(0)
     assert probe.ended and 0 not in d.probes.connections and not any(d.balancer._node.ill)
 
@@ -684,7 +693,7 @@
     d = make_handler(hosts=1)
     connect(d, OPEN.replace(b"d=1200", b"d=9000"))
     asleep(d, 2.0)
-    d.dial_failed(next(iter(d.sessions.by_index.values())).host_side)
+    d.dial_failed(next(iter(d.sessions.by_index.values())).host_connection)
     d.reactor.advance(0)
     assert not any(d.balancer._node.ill) and len(d.reactor.tcpClients) == 2
 
@@ -714,7 +723,7 @@
     # Danger: the watch was dropped with the drain in it, and opened anew a moment later.
     reactor, said, excused = MemoryReactorClock(), [], [1]
     _, body = watch_of(reactor, said, excused)
-    reactor.advance(SILENT + 1)
+    reactor.advance(SILENCE_TIMEOUT_S + 1)
     body.dataReceived(orjson.dumps({"rev": 5, "all": False, "targets": [row("s-1")]}) + b"\n")
     assert said == [(False, [row("s-1")])] and len(reactor.tcpClients) == 1
 
@@ -732,5 +741,5 @@
     reactor = MemoryReactorClock()
     watch, body = watch_of(reactor, [], [])
     lost(body)
-    watch.woke()
-    assert len(reactor.tcpClients) == 2 and watch.retry is None
+    watch.on_wake()
+    assert len(reactor.tcpClients) == 2 and watch.retry_timer is None
