--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -1,7 +1,8 @@
-"""Carries out the balancer's orders for sessions, and reports to it what is seen of hosts and clients.
+"""Executes the balancer's commands for sessions, and reports events of hosts and clients to it.
 
-What a front speaks is not known here: it opens host sides, and says in which words a client is answered,
-refused or moved. Every session is answered in `_answer` or by its host, and ends in `_end`.
+It is independent of the protocol: a subclass opens connections to hosts, and provides the lines by which
+clients are refused, failed or redirected. Every session gets its final answer in `_answer_client` or from its
+host, and ends in `_end_session`. Times are milliseconds of the node's clock.
 """
 
 from __future__ import annotations
@@ -32,23 +33,24 @@
 from .backlog import BacklogReader
 from .resumption import Resumption
 
-SILENCE = 2000.0  # a host that has brought nothing back for so long is given up
-SUSPECT = 300.0  # one that has brought nothing back for so long, on any connection, is probed
-SILENT_LIST = 2500.0  # discovery that has said nothing for so long is down
-MOVED_LIFE = 10000.0  # a client sent away so long ago says nothing about its host any more
-OVERDUE_ANSWER = 50.0  # a client that has waited so much longer than it said has been forgotten
-IDLE = 2000.0  # a client that has sent no first line for so long is closed
-IDLE_SHORT = 30.0  # the same while sockets are short
+HOST_SILENCE_MS = 2000.0  # a session whose host has left a line unanswered for so long is redirected
+HOST_SUSPECT_MS = 300.0  # a host that has sent nothing since a line so long ago is probed
+DISCOVERY_SILENCE_MS = 2500.0  # discovery counts as down after so long without a line
+REDIRECT_RELEVANCE_MS = 10000.0  # a redirect by a host is a sign of its drain for so long
+OVERDUE_ANSWER_MS = 50.0  # past a session's deadline, after which its timer counts as lost
+IDLE_MS = 2000.0  # a client without a first line is closed after so long
+SHORT_IDLE_MS = 30.0  # the same while descriptors are short
 
 
-AT_ONCE = (RosterUpdated, BanChanged, SettingsChanged, SubsetsChanged)  # news that lead to nothing being sent
+# Events that lead to nothing being sent, so they need not wait until a backlog has been read.
+IMMEDIATE_EVENTS = (RosterUpdated, BanChanged, SettingsChanged, SubsetsChanged)
 
 
 class CommandExecutor(BacklogReader):
-    """The sessions of one node between clients and hosts, whatever they speak."""
+    """Holds the sessions of one node and connects the balancer to them, independent of the protocol."""
 
-    moved: bytes  # the word that sends a client of a standing session away
-    failed: bytes  # the answer that it failed
+    redirect_line: bytes  # tells the client of an established session to open a new one
+    error_line: bytes  # the final answer to a session that failed
     probes: Prober
 
     def __init__(
@@ -66,111 +68,114 @@
         self.metrics = Metrics()
         self.metrics.add_classes(names.listeners)
         self.idle_clients: dict[ClientSide, None] = {}  # without a first line, the oldest first
-        self.discovery_heard_at = clock()  # when discovery last said anything
-        self.subsets: Subsets | None = None  # None: all hosts are drawn alike
-        self.searched_at = clock()  # for clients that fell silent
+        self.discovery_heard_at = clock()  # when the last line came from discovery
+        self.subsets: Subsets | None = None  # None: no host is preferred
+        self.idle_checked_at = clock()  # when established sessions were last checked for silent clients
         self.stopping = False
-        self.answer_by = math.inf  # every session has its final answer by then, as the process ends
+        self.answer_by = math.inf  # while the process stops, when every session has its final answer
         self.set_accepting: Callable[[bool], None] = lambda on: None
-        # takes in which hosts other processes of this node were told to leave out
+        # Applies bans that were set at other processes of this node.
         self.refresh_bans: Callable[[], None] = lambda: None
-        self.making_room = None  # the timer after which idle clients are looked at again
-        self.orders: deque[Command] = deque()
-        self.at_work = False
-        self.timer = None
-        self.timer_due = 0.0
+        self.idle_timer = None  # of the next check of idle clients while descriptors are short
+        self.commands: deque[Command] = deque()
+        self.executing = False
+        self.balancer_timer = None
+        self.balancer_timer_at = 0.0
 
     @abstractmethod
-    def open_host(self, s: Session, until: float, time_out: float) -> HostSide:
-        """Begins a connection to the session's host; the dial is given up at `until`."""
+    def open_host_connection(
+        self, session: Session, dial_deadline: float, connect_timeout: float
+    ) -> HostSide:
+        """Starts to connect to the session's host; the dial ends at its deadline."""
 
     @abstractmethod
     def send_request(self, conn: HostSide) -> bool:
-        """Sends the first line; False if the host never had it."""
+        """Sends the request line; False if the host cannot have received it."""
 
     @abstractmethod
-    def busy(self, back_off: float) -> bytes:
-        """The answer that trying again is harmless, after so many milliseconds if not 0."""
+    def busy_line(self, back_off: float) -> bytes:
+        """Returns the refusal after which a client may retry, after the back-off in milliseconds if not 0."""
 
     @abstractmethod
-    def hints(self, s: Session) -> tuple[float | None, int | None]:
-        """The load that the session's client guesses, and its group."""
+    def hints(self, session: Session) -> tuple[float | None, int | None]:
+        """Returns the load that the client estimates for its session, and the session's group."""
 
     # ---- stalls
 
-    def _stalled(self, span: float) -> None:
+    def _on_stall(self, span: float) -> None:
         logger.warning("away ms={:.0f} sessions={}", span, len(self.sessions.by_index))
 
-    def _forget_figures(self, now: float) -> None:
+    def _discard_observations(self, now: float) -> None:
         self.balancer.forget_hosts(now)
 
-    def _caught_up(self) -> None:
+    def _on_caught_up(self) -> None:
         self._timer_fired()
 
     # ---- the balancer
 
-    def report_event(self, news: Event) -> None:
-        # Danger: decided between two readings, a second dial would go by the first half of what came.
-        if isinstance(news, AT_ONCE) or not self.defer(partial(self.report_event, news)):
-            self.carry_out(self.balancer.handle_event(self.clock(), news))
+    def report_event(self, event: Event) -> None:
+        """Passes an event to the balancer and executes the commands that follow."""
+        # Deferred while a backlog is read: a dial decided half way would rest on a part of it.
+        if isinstance(event, IMMEDIATE_EVENTS) or not self.defer(partial(self.report_event, event)):
+            self.execute(self.balancer.handle_event(self.clock(), event))
 
-    def carry_out(self, orders: list[Command]) -> None:
-        """Carries orders out, those that they bring about after them."""
-        self.orders += orders
-        if self.at_work:
+    def execute(self, commands: list[Command]) -> None:
+        """Executes commands in order; commands that result from them are executed afterwards."""
+        self.commands += commands
+        if self.executing:
             return
-        self.at_work = True
+        self.executing = True
         try:
-            while self.orders:
-                self._carry_out(self.orders.popleft())
+            while self.commands:
+                self._execute(self.commands.popleft())
         finally:
-            self.at_work = False
+            self.executing = False
         self._set_timer()
 
     def _set_timer(self) -> None:
         if self.catching_up:
             return
         due, now = self.balancer.next_timer_at, self.clock()
-        if self.timer is not None and self.timer.active():
-            if self.timer_due <= due:
+        if self.balancer_timer is not None and self.balancer_timer.active():
+            if self.balancer_timer_at <= due:
                 return
-            self.timer.cancel()
-        self.timer_due = due
-        self.timer = self.reactor.callLater(max(due - now, 0.0) / MS, self._timer_fired)
+            self.balancer_timer.cancel()
+        self.balancer_timer_at = due
+        self.balancer_timer = self.reactor.callLater(max(due - now, 0.0) / MS, self._timer_fired)
 
     def _timer_fired(self) -> None:
         self.clock()
         if self.catching_up:
             return
         try:
-            self.carry_out(self.balancer.run_timers(self.clock()))
+            self.execute(self.balancer.run_timers(self.clock()))
         finally:
             self._set_timer()
 
-    def _carry_out(self, order: Command) -> None:
-        if isinstance(order, ProbeHost):
-            self.probes.probe(order.host, self.hosts.addresses[order.host])
+    def _execute(self, command: Command) -> None:
+        if isinstance(command, ProbeHost):
+            self.probes.probe(command.host, self.hosts.addresses[command.host])
             return
-        s = self.sessions.by_index.get(order.session)
-        if s is None:
+        session = self.sessions.by_index.get(command.session)
+        if session is None:
             return
-        match order:
-            case Connect(_, dial, host, until):
-                # Danger: a timer of this turn runs before the client's end is read, which lies there.
-                if s.client.peek() != b"":
-                    self.dial(s, dial, host, until, self.limits.connect_timeout)
+        match command:
+            case Connect(_, dial, host, dial_deadline):
+                # Peeks first: timers run before sockets are read, so the client's end may be unread yet.
+                if session.client.peek() != b"":
+                    self.dial(session, dial, host, dial_deadline, self.limits.connect_timeout)
                     return
-                self._end(s, "client-left")
-                self.report_event(ClientDisconnected(s.index))
-                self.report_event(DialEnded(s.index, dial, Outcome.NEVER_SENT, True))
+                self._end_session(session, "client-left")
+                self.report_event(ClientDisconnected(session.index))
+                self.report_event(DialEnded(session.index, dial, Outcome.NEVER_SENT, True))
             case CancelDial():
-                self._end_dial(s, Outcome.WITHDRAWN)
+                self._end_dial(session, Outcome.WITHDRAWN)
             case RefuseSession(_, back_off):
-                self._answer(s, self.busy(back_off), "refused", Status.THROTTLED)
+                self._answer_client(session, self.busy_line(back_off), "refused", Status.THROTTLED)
             case FailSession():
-                self._answer(s, self.failed, "failed")
+                self._answer_client(session, self.error_line, "failed")
             case RedirectClient():
-                self.redirect(s, "moved")
+                self.redirect(session, "moved")
 
     # ---- clients
 
@@ -181,20 +186,20 @@
             self.descriptors_exhausted()
 
     def descriptors_exhausted(self) -> None:
-        """Nobody more can be taken in until descriptors are free."""
+        """Stops accepting clients until descriptors are free."""
         self.set_accepting(False)
-        self._make_room()
+        self._close_idle_repeatedly()
 
-    def _make_room(self) -> None:
-        """Ends idle clients, now and again until others can be taken in."""
-        # Danger: who asks waits behind a crowd that says nothing, and a sweep comes only every 0.25 s.
-        self.close_idle_clients(self.clock() - IDLE_SHORT)
-        waits = self.making_room is not None and self.making_room.active()
+    def _close_idle_repeatedly(self) -> None:
+        """Closes idle clients, repeatedly until clients can be accepted again."""
+        # Between the sweeps of every 0.25 s, clients with a request would wait behind a crowd of silent ones.
+        self.close_idle_clients(self.clock() - SHORT_IDLE_MS)
+        waits = self.idle_timer is not None and self.idle_timer.active()
         if not self.budget.may_accept() and self.idle_clients and not waits:
-            self.making_room = self.reactor.callLater(IDLE_SHORT / MS, self._make_room)
+            self.idle_timer = self.reactor.callLater(SHORT_IDLE_MS / MS, self._close_idle_repeatedly)
 
     def client_socket_closed(self, client: ClientSide) -> None:
-        """Its descriptor is free again."""
+        """The descriptor of the client's connection is free again."""
         self.budget.client_connections -= 1
         if client in self.idle_clients:
             del self.idle_clients[client]
@@ -203,188 +208,201 @@
             self.set_accepting(True)
 
     def client_disconnected(self, client: ClientSide, reset: bool) -> None:
-        """The client has ended its connection."""
-        s = client.session
-        if s is not None and not s.finished:
-            how = "client-reset" if reset else "client-closed"
-            self._lose_client(s, how if s.established_at else "client-left", reset)
-
-    def _lose_client(self, s: Session, reason: str, reset: bool) -> None:
-        """Nobody waits for the session any more: ends it, and its host's side in the same way."""
-        up, dialing = bool(s.established_at), s.host_connection is not None
-        self._end(s, reason)
-        self._hang_up(s, reset and up)
-        if s.request.resume_host is not None and not up:
-            return  # the balancer has not heard of it yet
-        if not up:
-            self.report_event(ClientDisconnected(s.index))
+        """The client has closed or reset its connection."""
+        session = client.session
+        if session is not None and not session.finished:
+            reason = "client-reset" if reset else "client-closed"
+            self._end_without_client(session, reason if session.established_at else "client-left", reset)
+
+    def _end_without_client(self, session: Session, reason: str, reset: bool) -> None:
+        """Ends a session whose client has gone, and closes its host connection in the same way."""
+        established, dialing = bool(session.established_at), session.host_connection is not None
+        self._end_session(session, reason)
+        self._close_host_connection(session, reset and established)
+        if session.request.resume_host is not None and not established:
+            return  # the balancer does not know the session yet
+        if not established:
+            self.report_event(ClientDisconnected(session.index))
         if dialing:
-            self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report_event(DialEnded(session.index, session.dial, Outcome.WITHDRAWN, True))
 
     # ---- dials
 
-    def dial(self, s: Session, dial: int, host: int, until: float, connect_time_out: float) -> None:
-        """Dials the host for the session, and gives the dial up at `until`."""
-        s.host, s.dial, s.dialed_at = host, dial, self.clock()
-        wait = max(until - self.clock(), 0.0)
-        s.host_connection = self.open_host(s, until, min(connect_time_out, wait + 1))
-        s.dial_timer = self.reactor.callLater(wait / MS, self._late, s.host_connection)
+    def dial(
+        self, session: Session, dial: int, host: int, dial_deadline: float, connect_timeout: float
+    ) -> None:
+        """Dials the host for the session; the dial ends at its deadline."""
+        session.host, session.dial, session.dialed_at = host, dial, self.clock()
+        wait = max(dial_deadline - self.clock(), 0.0)
+        session.host_connection = self.open_host_connection(
+            session, dial_deadline, min(connect_timeout, wait + 1)
+        )
+        session.dial_timer = self.reactor.callLater(wait / MS, self._dial_timed_out, session.host_connection)
 
     def dial_connected(self, conn: HostSide) -> None:
-        """The connection is up; the one place where a request line goes out."""
-        s = conn.session
+        """The connection to the host is open; the only place where request lines are sent."""
+        session = conn.session
         if self.defer(partial(self.dial_connected, conn)) or conn.ended:
             return
-        if self.list_waits():
-            # discovery's socket is read before this runs again
+        if self.has_unread_list():
+            # Discovery's socket is read before this runs again.
             self.reactor.callLater(0, self.dial_connected, conn)
             return
-        unread = s.client.peek()
+        unread = session.client.peek()
         if unread is None:
-            self._send(s, conn)
+            self._send_or_end_dial(session, conn)
         elif not unread:
-            self.client_disconnected(s.client, reset=False)
+            self.client_disconnected(session.client, reset=False)
         else:
-            # who does not wait for its answer is turned away once that has been read
+            # Once its data has been read, a client that did not wait for its answer is refused.
             self.reactor.callLater(0, self.dial_connected, conn)
 
-    def _send(self, s: Session, conn: HostSide) -> None:
+    def _send_or_end_dial(self, session: Session, conn: HostSide) -> None:
         self.refresh_bans()
-        # Danger: what held when the host was chosen may have lapsed while its connection came up.
-        if s.request.resume_host is None and not self.balancer.may_send_request(self.clock(), s.index):
-            self._end_dial(s, Outcome.NEVER_SENT)
+        # The host may have been banned, or its quota have expired, while the connection was being opened.
+        if session.request.resume_host is None and not self.balancer.may_send_request(
+            self.clock(), session.index
+        ):
+            self._end_dial(session, Outcome.NEVER_SENT)
         elif not self.send_request(conn):
-            self._end_dial(s, Outcome.UNREACHED)
+            self._end_dial(session, Outcome.UNREACHED)
         else:
             self.metrics.relayed_requests += 1
 
     def dial_failed(self, conn: HostSide) -> None:
         self.clock()
-        # Danger: a connection that ran out of time in a stall of the node says nothing about its host.
+        # A time-out during a stall of this node says nothing about the host.
         self._end_dial(conn.session, Outcome.NEVER_SENT if self.stall else Outcome.UNREACHED)
 
-    def _late(self, conn: HostSide) -> None:
-        if not self.defer(partial(self._late, conn)) and not conn.ended:
+    def _dial_timed_out(self, conn: HostSide) -> None:
+        if not self.defer(partial(self._dial_timed_out, conn)) and not conn.ended:
             self._end_dial(conn.session, Outcome.LATE if conn.request_sent else Outcome.UNREACHED)
 
-    def _end_dial(self, s: Session, outcome: Outcome) -> None:
-        """A dial that has not come to stand is over."""
-        if s.host_connection is None or s.established_at:
+    def _end_dial(self, session: Session, outcome: Outcome) -> None:
+        """Ends a dial that did not establish its session."""
+        if session.host_connection is None or session.established_at:
             return
         name = outcome.name.lower().replace("_", "-")
         self.metrics.failed_dials[name] += 1
         logger.info(
-            "dial id={} dial={} host={} outcome={} sent={} ms={:.0f}", s.request.id, s.dial,
-            self.hosts.uids[s.host], name, s.host_connection.request_sent, self.clock() - s.dialed_at,
+            "dial id={} dial={} host={} outcome={} sent={} ms={:.0f}", session.request.id, session.dial,
+            self.hosts.uids[session.host], name, session.host_connection.request_sent,
+            self.clock() - session.dialed_at,
         )  # fmt: skip
-        self._hang_up(s, reset=False)
-        if s.request.resume_host is None:
-            self.report_event(DialEnded(s.index, s.dial, outcome, False))
+        self._close_host_connection(session, reset=False)
+        if session.request.resume_host is None:
+            self.report_event(DialEnded(session.index, session.dial, outcome, False))
         else:
-            self.resumption.dial_failed(s, name)
+            self.resumption.dial_failed(session, name)
 
-    def _hang_up(self, s: Session, reset: bool) -> None:
-        """Ends the host's side of a session."""
-        conn, s.host_connection = s.host_connection, None
-        cancel(s.dial_timer)
+    def _close_host_connection(self, session: Session, reset: bool) -> None:
+        """Closes the session's host connection, if any, and cancels the timer of its dial."""
+        conn, session.host_connection = session.host_connection, None
+        cancel(session.dial_timer)
         if conn is not None and not conn.ended:
             conn.close(reset)
 
     # ---- hosts
 
-    def _resumed(self, s: Session, now: float) -> None:
-        """The balancer learns of a session that stood before."""
-        request = s.request
-        # Danger: its class may have been dropped since; of one that stands no more is asked of it.
+    def _resume_in_balancer(self, session: Session, now: float) -> None:
+        """Tells the balancer of a session that was established in an earlier process."""
+        request = session.request
+        # The class may have been dropped from the settings; an established session no longer needs it.
         listener = self.names.listeners.get(request.listener, -1)
-        customer, hints = self.names.customers.get(request.tenant, -1), self.hints(s)
-        self.carry_out(self.balancer.resume_session(now, s.index, listener, customer, s.host, *hints))
+        customer, hints = self.names.customers.get(request.tenant, -1), self.hints(session)
+        self.execute(
+            self.balancer.resume_session(now, session.index, listener, customer, session.host, *hints)
+        )
 
     def restore_learned_state(self, memory: dict[str, Any], able: dict[str, float]) -> None:
-        """What another process of this node has learned, and the load that fills each host."""
+        """Adopts what another process of this node has learned, with the capacity of each host by uid."""
         index = self.hosts.index_by_uid
         self.balancer.restore_learned_state(
             memory, {index[uid]: load for uid, load in able.items() if uid in index}
         )
 
-    def session_handed_over(self, s: Session) -> None:
-        """Another process of this node has the session now; it has not ended."""
-        s.client.closing = s.host_connection.ended = True
-        s.host_connection = None
-        self.sessions.remove(s)
+    def session_handed_over(self, session: Session) -> None:
+        """Forgets a session that goes on in another process of this node."""
+        session.client.closing = session.host_connection.ended = True
+        session.host_connection = None
+        self.sessions.remove(session)
         self.budget.session_count -= 1
         self.budget.client_connections -= 1
-        self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+        self.report_event(DialEnded(session.index, session.dial, Outcome.WITHDRAWN, True))
 
     def host_disconnected(self, conn: HostSide, reset: bool) -> None:
-        """The host has ended its connection."""
-        s = conn.session
-        if s.finished or s.host_connection is not conn:
+        """The host has closed or reset its connection."""
+        session = conn.session
+        if session.finished or session.host_connection is not conn:
             return
-        if not s.established_at:
-            self._end_dial(s, Outcome.RESET if conn.request_sent else Outcome.UNREACHED)
+        if not session.established_at:
+            self._end_dial(session, Outcome.RESET if conn.request_sent else Outcome.UNREACHED)
             return
         outcome, reason = conn.announced_end or (Outcome.RESET, "host-reset" if reset else "host-closed")
-        self._end(s, reason)
-        s.host_connection = None
+        self._end_session(session, reason)
+        session.host_connection = None
         if reset and not conn.announced_end:
-            s.client.abort()
+            session.client.abort()
         else:
-            s.client.close()
-        self.report_event(DialEnded(s.index, s.dial, outcome, True))
+            session.client.close()
+        self.report_event(DialEnded(session.index, session.dial, outcome, True))
 
     # ---- ends
 
-    def _answer(self, s: Session, line: bytes, reason: str, status: Status = Status.FAULTED) -> None:
-        """The final answer to a client whose session does not come to stand."""
-        self.metrics.count_answer(s.request.listener, status)
-        self._end(s, reason)
-        self._hang_up(s, reset=False)
-        s.client.close(line)
-
-    def fail_session(self, s: Session, reason: str) -> None:
-        """Answers a session that does not stand, whatever became of its dial."""
-        dialing = s.host_connection is not None
-        self._answer(s, self.failed, reason)
-        if s.request.resume_host is not None:
-            return  # the balancer has not heard of it yet
-        self.report_event(ClientDisconnected(s.index))
+    def _answer_client(
+        self, session: Session, line: bytes, reason: str, status: Status = Status.FAULTED
+    ) -> None:
+        """Gives a client the final answer that its session is not established."""
+        self.metrics.count_answer(session.request.listener, status)
+        self._end_session(session, reason)
+        self._close_host_connection(session, reset=False)
+        session.client.close(line)
+
+    def fail_session(self, session: Session, reason: str) -> None:
+        """Fails a session that is not established, and abandons its dial if one is under way."""
+        dialing = session.host_connection is not None
+        self._answer_client(session, self.error_line, reason)
+        if session.request.resume_host is not None:
+            return  # the balancer does not know the session yet
+        self.report_event(ClientDisconnected(session.index))
         if dialing:
-            self.report_event(DialEnded(s.index, s.dial, Outcome.WITHDRAWN, True))
+            self.report_event(DialEnded(session.index, session.dial, Outcome.WITHDRAWN, True))
 
     def answer_pending(self) -> None:
-        """The process ends: who has no answer by now has one from this node, or from nobody."""
-        for s in list(self.sessions.opening):
-            self.fail_session(s, "stopping")
+        """Fails all sessions without an answer, and closes idle clients, before the process ends."""
+        for session in list(self.sessions.opening):
+            self.fail_session(session, "stopping")
         self.close_idle_clients(math.inf)
 
-    def redirect(self, s: Session, reason: str, outcome: Outcome = Outcome.WITHDRAWN) -> None:
-        """Tells the client of a standing session to come again; lines are whole, so it is between two."""
-        if not s.established_at or s.finished:
+    def redirect(self, session: Session, reason: str, outcome: Outcome = Outcome.WITHDRAWN) -> None:
+        """Tells the client of an established session to open a new one. Only whole lines are passed on, so
+        this line always comes between two of them.
+        """
+        if not session.established_at or session.finished:
             return
-        self._end(s, reason)
-        self._hang_up(s, reset=outcome is Outcome.RESET)
-        s.client.close(self.moved)
-        self.report_event(DialEnded(s.index, s.dial, outcome, True))
-
-    def _end(self, s: Session, reason: str) -> None:
-        """The one log line of a session."""
-        self.sessions.remove(s)
+        self._end_session(session, reason)
+        self._close_host_connection(session, reset=outcome is Outcome.RESET)
+        session.client.close(self.redirect_line)
+        self.report_event(DialEnded(session.index, session.dial, outcome, True))
+
+    def _end_session(self, session: Session, reason: str) -> None:
+        """Removes a session, and writes its only log line."""
+        self.sessions.remove(session)
         self.budget.session_count -= 1
-        self.resumption.ended(s)
+        self.resumption.session_ended(session)
         self.metrics.ended_sessions[reason] += 1
         now = self.clock()
-        host = self.hosts.uids[s.host] if s.host >= 0 else "-"
+        host = self.hosts.uids[session.host] if session.host >= 0 else "-"
         logger.info(
             "end id={} reason={} class={} host={} dials={} ms={:.0f} up_ms={:.0f}",
-            s.request.id, reason, s.request.listener, host, s.dial + 1, now - s.requested_at,
-            now - s.established_at if s.established_at else 0,
+            session.request.id, reason, session.request.listener, host, session.dial + 1,
+            now - session.requested_at, now - session.established_at if session.established_at else 0,
         )  # fmt: skip
 
-    # ---- other settings, figures
+    # ---- settings and metrics
 
     def apply_settings(self, settings: Settings, names: Names, limits: Limits) -> None:
-        """All of them in one step; sessions keep what they began under."""
+        """Applies new settings in one step; open sessions keep those that they began with."""
         self.names, self.limits = names, limits
         self.metrics.add_classes(names.listeners)
         self.probes.apply_settings(limits.hosts_report_load, 2 * limits.connect_timeout)
@@ -400,32 +418,33 @@
 
     # ---- the roster and probes
 
-    def probed(self, news: ProbeCompleted) -> None:
-        uid = self.hosts.uids[news.host]
-        report = news.report
+    def probe_completed(self, event: ProbeCompleted) -> None:
+        uid = self.hosts.uids[event.host]
+        report = event.report
         logger.debug(
-            "look uid={} outcome={} load={} held={}", uid, news.outcome.name, report.load, report.connections
+            "look uid={} outcome={} load={} held={}", uid, event.outcome.name, report.load, report.connections
         )
-        alive = news.outcome in (Outcome.GOOD, Outcome.ERROR)
-        if alive:
-            self.hosts.heard_at[news.host] = self.clock()
-        # Danger: an answer that lay there all the while tells an old figure as a new one.
+        answered = event.outcome in (Outcome.GOOD, Outcome.ERROR)
+        if answered:
+            self.hosts.heard_at[event.host] = self.clock()
+        # After a long stall, an answer that waited in the socket would pass for a fresh load report.
         if self.observations_stale:
             return
-        self.report_event(news)
-        # Danger: a probe that this node had no descriptor for says nothing about its host.
-        if not alive and news.outcome is not Outcome.NEVER_SENT and self._suspect(news.host):
-            for s in self.sessions.established():
-                if s.host == news.host:
-                    self.redirect(s, "host-silent", Outcome.RESET)
+        self.report_event(event)
+        # A probe for which this node had no descriptor says nothing about the host.
+        if not answered and event.outcome is not Outcome.NEVER_SENT and self._is_suspect(event.host):
+            for session in self.sessions.established():
+                if session.host == event.host:
+                    self.redirect(session, "host-silent", Outcome.RESET)
 
     def set_ban(self, uid: str, out: bool) -> None:
-        """An operator takes a host out, or lets it serve again."""
+        """Bans a host, or readmits it."""
         self.report_event(BanChanged(self.hosts.index_of(uid), out))
         logger.info("roster reason={} uids={}", "taken-out" if out else "called-back", uid)
 
     def update_roster(self, whole: bool, rows: Any) -> None:
-        entries = self.hosts.update(self.read_clock(), whole, rows, self.complain_entry)
+        """Applies a whole list of hosts, or a change, from discovery."""
+        entries = self.hosts.update(self.read_clock(), whole, rows, self.report_bad_entry)
         self.budget.running_hosts = self.hosts.running_count()
         for host in list(self.probes.connections):
             if self.hosts.states[host] is HostState.GONE:
@@ -434,7 +453,7 @@
         self.update_subsets()
 
     def update_subsets(self) -> None:
-        """Tells the decisions which hosts this node draws first."""
+        """Tells the balancer which hosts this node prefers."""
         if self.subsets is None:
             return
         sized = self.balancer.settings.sizes_stand
@@ -448,74 +467,80 @@
         self.report_event(SubsetsChanged(self.subsets.narrowed(False), self.subsets.narrowed(True)))
 
     def discovery_heard(self) -> None:
-        """Anything at all has come from discovery."""
+        """A line has come from discovery, possibly an empty one."""
         self.discovery_heard_at = self.clock()
         if self.hosts.presumed_draining:
             self.report_event(RosterUpdated(False, self.hosts.end_presumption()))
 
-    def _mind_silence(self, now: float) -> None:
-        # Danger: what a silent discovery has to tell counts as told all the same; a host that drains
-        # then shows it only by sending its clients away.
-        if now - self.discovery_heard_at > SILENT_LIST and (
-            entries := self.hosts.presume_draining(now - MOVED_LIFE)
+    def _check_discovery_silence(self, now: float) -> None:
+        # Changes count as notified even while discovery is silent. That a host drains then shows only by its
+        # redirecting clients.
+        if now - self.discovery_heard_at > DISCOVERY_SILENCE_MS and (
+            entries := self.hosts.presume_draining(now - REDIRECT_RELEVANCE_MS)
         ):
             uids = ",".join(self.hosts.uids[e.host] for e in entries)
             logger.info("roster reason=held-to-drain uids={}", uids)
             self.report_event(RosterUpdated(False, entries))
 
-    def complain_entry(self, text: str) -> None:
+    def report_bad_entry(self, text: str) -> None:
         logger.warning("roster reason=bad-entry {}", text)
 
-    def _suspect(self, host: int) -> bool:
-        """Whether a line to the host has waited too long and nothing at all has come from it since."""
-        waiting = self.sessions.unanswered_before(self.clock() - SUSPECT)
-        return any(s.host == host and self._unheard(s) for s in waiting)
+    def _is_suspect(self, host: int) -> bool:
+        """Whether a line has waited too long for the host, which has sent nothing since."""
+        waiting = self.sessions.unanswered_before(self.clock() - HOST_SUSPECT_MS)
+        return any(session.host == host and self._host_unheard(session) for session in waiting)
 
-    def _unheard(self, s: Session) -> bool:
-        # a host held up by a client that does not read is not silent
-        return not s.host_connection.paused and self.hosts.heard_at[s.host] <= s.unanswered_since
+    def _host_unheard(self, session: Session) -> bool:
+        # A host that is held up by a client that does not read is not silent.
+        return (
+            not session.host_connection.paused
+            and self.hosts.heard_at[session.host] <= session.unanswered_since
+        )
 
     # ---- housekeeping
 
     def sweep(self) -> None:
+        """Periodic checks of time-outs that have no timer of their own."""
         now = self.clock()
         self.last_turn_at = now
         if self.budget.may_accept():
             self.set_accepting(True)
-        # Danger: after the node itself stood still, what it has not read yet looks like silence.
+        # After a stall of this node, unread data would pass for silence.
         if not self.catching_up:
-            self._mind_silence(now)
-            # every wait has a timer of its own; should one be lost, its client is answered all the same
-            for s in self.sessions.overdue(now - OVERDUE_ANSWER):
+            self._check_discovery_silence(now)
+            # Every deadline has a timer; should one be lost, the client still gets its answer here.
+            for session in self.sessions.overdue(now - OVERDUE_ANSWER_MS):
                 self.metrics.overdue_answers += 1
-                self.fail_session(s, "overdue")
-            # Danger: a machine that vanished says nothing and its connections stay open.
-            for s in self.sessions.unanswered_before(now - SILENCE):
-                if not s.host_connection.paused:
-                    self.redirect(s, "host-silent", Outcome.RESET)
-            # Danger: found out by each connection for itself, a lost zone keeps its clients waiting for
-            # seconds; one line and one probe without an answer tell it for all connections of the host.
+                self.fail_session(session, "overdue")
+            # A machine that has vanished sends nothing, and its connections stay open.
+            for session in self.sessions.unanswered_before(now - HOST_SILENCE_MS):
+                if not session.host_connection.paused:
+                    self.redirect(session, "host-silent", Outcome.RESET)
+            # Detected on each connection separately, the loss of a zone would keep its clients waiting for
+            # seconds. One line and one probe without an answer are enough for all connections of a host.
             if self.limits.may_probe:
                 for host in {
-                    s.host: None for s in self.sessions.unanswered_before(now - SUSPECT) if self._unheard(s)
+                    session.host: None
+                    for session in self.sessions.unanswered_before(now - HOST_SUSPECT_MS)
+                    if self._host_unheard(session)
                 }:
                     self.probes.probe(host, self.hosts.addresses[host])
-        # Danger: a client's machine that vanished says nothing either, and keeps two descriptors.
-        if not self.catching_up and now - self.searched_at > self.limits.idle_timeout / 10:
-            self.searched_at = now
-            for s in self.sessions.established():
-                if now - s.client_heard_at > self.limits.idle_timeout:
-                    self.redirect(s, "client-silent")
-        # Danger: clients that connect and say nothing would take every descriptor.
+        # A client's machine that has vanished sends nothing either, and its session holds two descriptors.
+        if not self.catching_up and now - self.idle_checked_at > self.limits.idle_timeout / 10:
+            self.idle_checked_at = now
+            for session in self.sessions.established():
+                if now - session.client_heard_at > self.limits.idle_timeout:
+                    self.redirect(session, "client-silent")
+        # Clients that connect and send nothing could otherwise take every descriptor.
         if not self.catching_up:
-            self.close_idle_clients(now - (IDLE if self.budget.may_serve() else IDLE_SHORT))
+            self.close_idle_clients(now - (IDLE_MS if self.budget.may_serve() else SHORT_IDLE_MS))
 
     def close_idle_clients(self, before: float) -> None:
-        """Ends the clients that have come before that time and sent no first line."""
+        """Closes the clients that connected before that time and have sent no first line."""
         for client in list(self.idle_clients):
             if client.opened_at >= before:
                 break
-            # Danger: closed over a line that has come in this instant, the client would have no answer to it;
-            # and one that crosses the close finds this one.
+            # A client whose first line has just arrived is not closed, as it would get no answer to it. One
+            # whose line crosses the close on the way gets this answer.
             if not client.peek():
-                client.close(self.busy(0.0), linger=self.budget.may_serve() and not self.stopping)
+                client.close(self.busy_line(0.0), linger=self.budget.may_serve() and not self.stopping)
--- a/caperdeck/execution/resumption.py
+++ b/caperdeck/execution/resumption.py
@@ -1,7 +1,7 @@
-"""Takes up again the connections that stood at their hosts before this node started.
+"""Resumes sessions that were established on their hosts before this node started.
 
-The client of one names its host. It waits until the list has the host and a descriptor is free, and a dial
-that fails is made again. Times are milliseconds.
+The client names the host. The session waits until the host is on the list and a descriptor is free, and a
+failed dial is retried. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,73 +15,79 @@
 from caperdeck.state.hosts import Hosts
 from caperdeck.state.sessions import Session
 
-AGAIN = 200.0  # until the next try
-CONNECT_TIME_OUT = 3000.0  # of one try
-LONGEST = 40_000.0  # the stated target for such a connection to come up
-ANSWER_MARGIN = 30.0  # an answer is out so long before the client stops waiting
+RETRY_DELAY_MS = 200.0
+CONNECT_TIMEOUT_MS = 3000.0  # of one attempt
+MAX_WAIT_MS = 40_000.0  # the stated target for such a session to be established again
+ANSWER_MARGIN_MS = 30.0  # between the final answer and the time at which the client stops waiting
 
 
 class Dialer(Protocol):
-    """What a session that stood before needs of the carrier."""
+    """The command executor, as resumed sessions use it."""
 
     reactor: Any
     hosts: Hosts
     budget: SocketBudget
 
     def clock(self) -> float:
-        """The time in milliseconds."""
+        """Returns the time in milliseconds."""
 
-    def dial(self, s: Session, dial: int, host: int, until: float, connect_time_out: float) -> None: ...
+    def dial(
+        self, session: Session, dial: int, host: int, dial_deadline: float, connect_timeout: float
+    ) -> None: ...
 
-    def fail_session(self, s: Session, reason: str) -> None: ...
+    def fail_session(self, session: Session, reason: str) -> None: ...
 
 
 class Resumption:
-    """The sessions that stood before, until each stands again or is answered."""
+    """The sessions to be resumed, until each is established again or failed."""
 
-    def __init__(self, carrier: Dialer) -> None:
-        self.carrier = carrier
-        self.waiting: dict[Session, str] = {}  # without a host's side, and for what they wait
+    def __init__(self, dialer: Dialer) -> None:
+        self.dialer = dialer
+        self.waiting: dict[Session, str] = {}  # sessions without a host connection, and what they wait for
 
-    def begin(self, s: Session) -> None:
-        s.deadline = min(s.deadline, s.requested_at + LONGEST)
-        self._try(s)
+    def begin(self, session: Session) -> None:
+        """Starts to resume a session."""
+        session.deadline = min(session.deadline, session.requested_at + MAX_WAIT_MS)
+        self._try(session)
 
-    def ended(self, s: Session) -> None:
-        """The session has been answered or has ended, whatever it waited for."""
-        self._waits(s, None)
+    def session_ended(self, session: Session) -> None:
+        """Forgets a session that has been answered or has ended."""
+        self._set_waiting(session, None)
 
-    def dial_failed(self, s: Session, reason: str) -> None:
-        self._later(s, reason)
+    def dial_failed(self, session: Session, reason: str) -> None:
+        """Retries later, or fails the session if there is no time left."""
+        self._retry_later(session, reason)
 
-    def _try(self, s: Session) -> None:
-        if s.finished:
+    def _try(self, session: Session) -> None:
+        if session.finished:
             return
-        carrier = self.carrier
-        host = carrier.hosts.index_by_uid.get(s.request.resume_host, -1)
-        if host < 0 or carrier.hosts.addresses[host] is None:
-            self._later(s, "unknown-host")
-        elif not carrier.budget.free_descriptors:
-            self._later(s, "no-sockets")
+        dialer = self.dialer
+        host = dialer.hosts.index_by_uid.get(session.request.resume_host, -1)
+        if host < 0 or dialer.hosts.addresses[host] is None:
+            self._retry_later(session, "unknown-host")
+        elif not dialer.budget.free_descriptors:
+            self._retry_later(session, "no-sockets")
         else:
-            self._waits(s, None)
-            carrier.dial(s, 0, host, self._answer_by(s), CONNECT_TIME_OUT)
-
-    def _later(self, s: Session, reason: str) -> None:
-        self._waits(s, reason)
-        now = self.carrier.clock()
-        if now + AGAIN < self._answer_by(s):
-            self.carrier.reactor.callLater(AGAIN / MS, self._try, s)
+            self._set_waiting(session, None)
+            dialer.dial(session, 0, host, self._answer_by(session), CONNECT_TIMEOUT_MS)
+
+    def _retry_later(self, session: Session, reason: str) -> None:
+        self._set_waiting(session, reason)
+        now = self.dialer.clock()
+        if now + RETRY_DELAY_MS < self._answer_by(session):
+            self.dialer.reactor.callLater(RETRY_DELAY_MS / MS, self._try, session)
         else:
-            self.carrier.fail_session(s, "host-lost")
+            self.dialer.fail_session(session, "host-lost")
 
-    def _answer_by(self, s: Session) -> float:
-        return s.deadline - ANSWER_MARGIN
+    def _answer_by(self, session: Session) -> float:
+        return session.deadline - ANSWER_MARGIN_MS
 
-    def _waits(self, s: Session, reason: str | None) -> None:
-        before = self.waiting.pop(s, None)
+    def _set_waiting(self, session: Session, reason: str | None) -> None:
+        before = self.waiting.pop(session, None)
         if reason is not None:
-            self.waiting[s] = reason
+            self.waiting[session] = reason
             if reason != before:
-                logger.info("resume id={} host={} waits={}", s.request.id, s.request.resume_host, reason)
-        self.carrier.budget.undialed_sessions = len(self.waiting)
+                logger.info(
+                    "resume id={} host={} waits={}", session.request.id, session.request.resume_host, reason
+                )
+        self.dialer.budget.undialed_sessions = len(self.waiting)
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.task import LoopingCall
 
-from caperdeck.execution.backlog import SWEEP
+from caperdeck.execution.backlog import SWEEP_INTERVAL_MS
 from caperdeck.core.facade import Balancer
 from caperdeck.core.settings import MS
 from caperdeck.ops.ban_calls import BanCalls
@@ -236,7 +236,7 @@
         self.handler.last_turn_at = self.clock()
         loop = LoopingCall(self.sweep)
         loop.clock = self.reactor
-        loop.start(SWEEP / MS, now=False).addErrback(self.keep_sweeping)
+        loop.start(SWEEP_INTERVAL_MS / MS, now=False).addErrback(self.keep_sweeping)
 
     def sweep(self) -> None:
         if (step := self.date_watch.detect_step()) is not None:
--- a/caperdeck/state/hosts.py
+++ b/caperdeck/state/hosts.py
@@ -40,20 +40,20 @@
 
     def listed(self) -> list[int]:
         """Returns the indices of the hosts that are on the list."""
-        return [h for h, state in enumerate(self.states) if state is not HostState.GONE]
+        return [host for host, state in enumerate(self.states) if state is not HostState.GONE]
 
     def update(
         self, now: float, whole: bool, rows: object, report_error: Callable[[str], None]
     ) -> list[RosterEntry]:
         """Applies a whole list or a change, reports unusable rows, and returns the entries."""
         entries = self._read_rows(whole, rows, report_error)
-        self.start_times.observe(now, whole, {e.host: e.roster_start for e in entries})
-        return [self._with_start_time(e) for e in entries]
+        self.start_times.observe(now, whole, {entry.host: entry.roster_start for entry in entries})
+        return [self._with_start_time(entry) for entry in entries]
 
-    def _with_start_time(self, e: RosterEntry) -> RosterEntry:
+    def _with_start_time(self, entry: RosterEntry) -> RosterEntry:
         """Stores and returns the entry with the host's start on the node's clock."""
-        placed = self.entries[e.host] = e._replace(
-            started_at=self.start_times.node_time(e.host, e.roster_start)
+        placed = self.entries[entry.host] = entry._replace(
+            started_at=self.start_times.node_time(entry.host, entry.roster_start)
         )
         return placed
 
@@ -73,31 +73,31 @@
         if errors > MAX_REPORTED_ERRORS:
             report_error(f"{errors - MAX_REPORTED_ERRORS} more entries cannot be used")
         if whole:
-            listed = {e.host for e in entries}
-            for h in range(len(self.states)):
-                if h not in listed:
-                    self.states[h] = HostState.GONE
+            listed = {entry.host for entry in entries}
+            for host in range(len(self.states)):
+                if host not in listed:
+                    self.states[host] = HostState.GONE
         return entries
 
     def _known_entry(self, row: object) -> RosterEntry | None:
         """Returns the last entry of the host whose row is unusable, with its present state."""
         uid = row.get("uid") if isinstance(row, dict) else None
-        h = self.index_by_uid.get(uid) if isinstance(uid, str) else None
+        host = self.index_by_uid.get(uid) if isinstance(uid, str) else None
         # Not in the listed state: a host that has left the list since would be ready again.
-        return None if h is None else self.entries[h]._replace(state=self.states[h])
+        return None if host is None else self.entries[host]._replace(state=self.states[host])
 
     def index_of(self, uid: str) -> int:
         """Returns the host's index, and assigns one to a uid that is new."""
-        h = self.index_by_uid.get(uid)
-        if h is None:
-            h = self.index_by_uid[uid] = len(self.uids)
+        host = self.index_by_uid.get(uid)
+        if host is None:
+            host = self.index_by_uid[uid] = len(self.uids)
             self.uids.append(uid)
             self.addresses.append(None)
             self.states.append(HostState.GONE)
             self.entries.append(None)
             self.redirected_at.append(-math.inf)
             self.heard_at.append(-math.inf)
-        return h
+        return host
 
     def _read_row(self, row: object) -> RosterEntry:
         if not isinstance(row, dict) or not isinstance(row.get("uid"), str) or not row["uid"]:
@@ -109,13 +109,15 @@
         if not all(isinstance(x, (int, float)) for x in (size, cell, boot)) or size < 0:
             raise EntryError(f"host {uid} has a figure that is no number, or a size under 0")
         address = self._read_address(uid, row)
-        h = self.index_of(uid)
+        host = self.index_of(uid)
         zone = row.get("az")
         zone = self.zones.get(zone, -1) if isinstance(zone, str) else -1
         stable_id = zlib.crc32(uid.encode())
-        entry = RosterEntry(h, HOST_STATES[state], float(size), zone, int(cell), 0.0, stable_id, float(boot))
-        self.addresses[h], self.states[h], self.entries[h] = address, entry.state, entry
-        self.presumed_draining.pop(h, None)
+        entry = RosterEntry(
+            host, HOST_STATES[state], float(size), zone, int(cell), 0.0, stable_id, float(boot)
+        )
+        self.addresses[host], self.states[host], self.entries[host] = address, entry.state, entry
+        self.presumed_draining.pop(host, None)
         return entry
 
     def export_rows(self) -> list[dict]:
@@ -126,19 +128,20 @@
             {i: z for z, i in self.zones.items()},
         )
         return [
-            {"uid": self.uids[e.host], "endpoint": "{}:{}".format(*self.addresses[e.host]),
-             "state": names[e.state if e.host in self.presumed_draining else self.states[e.host]],
-             "az": zones.get(e.zone),
-             "pod_group": e.cell, "capacity_hint": e.size, "boot_ms": e.roster_start,
-             "sent_away": max(self.redirected_at[e.host], 0.0), "start": starts.get(self.uids[e.host])}
-            for e in self.entries if e is not None and self.addresses[e.host] is not None
+            {"uid": self.uids[entry.host], "endpoint": "{}:{}".format(*self.addresses[entry.host]),
+             "state": names[entry.state if entry.host in self.presumed_draining else self.states[entry.host]],
+             "az": zones.get(entry.zone),
+             "pod_group": entry.cell, "capacity_hint": entry.size, "boot_ms": entry.roster_start,
+             "sent_away": max(self.redirected_at[entry.host], 0.0),
+             "start": starts.get(self.uids[entry.host])}
+            for entry in self.entries if entry is not None and self.addresses[entry.host] is not None
         ]  # fmt: skip
 
     def export_starts(self) -> tuple[float, dict[str, tuple[float, float]]]:
         """Returns the clock offset and the known starts by uid, for another process of this node."""
         times = self.start_times
         # Plain tuples: the encoder of packets takes no subclasses, and a packet that fails ends the link.
-        return times.offset, {self.uids[h]: tuple(start) for h, start in times.starts.items()}
+        return times.offset, {self.uids[host]: tuple(start) for host, start in times.starts.items()}
 
     def import_starts(self, offset: float, starts: dict[str, tuple[float, float]]) -> None:
         """Adopts what export_starts returned in the other process; call it before the list is taken in."""
@@ -152,25 +155,25 @@
         not the sign of a drain.
         """
         new = [
-            h for h, at in enumerate(self.redirected_at)
-            if at >= since and self.states[h] is HostState.RUNNING
+            host for host, at in enumerate(self.redirected_at)
+            if at >= since and self.states[host] is HostState.RUNNING
         ]  # fmt: skip
         if 2 * (len(new) + len(self.presumed_draining)) >= self.running_count() + len(self.presumed_draining):
             return []
-        for h in new:
-            self.states[h] = HostState.DRAINING
-            self.presumed_draining[h] = None
-        return [self.entries[h]._replace(state=HostState.DRAINING) for h in new]
+        for host in new:
+            self.states[host] = HostState.DRAINING
+            self.presumed_draining[host] = None
+        return [self.entries[host]._replace(state=HostState.DRAINING) for host in new]
 
     def end_presumption(self) -> list[RosterEntry]:
         """Restores the listed state of hosts that were presumed to drain, and returns their entries."""
         presumed, self.presumed_draining = self.presumed_draining, {}
-        for h in presumed:
-            self.states[h] = self.entries[h].state
-        return [self.entries[h] for h in presumed]
+        for host in presumed:
+            self.states[host] = self.entries[host].state
+        return [self.entries[host] for host in presumed]
 
     def _read_address(self, uid: str, row: dict) -> Address | None:
         if HOST_STATES[row["state"]] is HostState.GONE:
-            h = self.index_by_uid.get(uid)
-            return None if h is None else self.addresses[h]
+            host = self.index_by_uid.get(uid)
+            return None if host is None else self.addresses[host]
         return parse_address(row.get("endpoint"))
--- a/caperdeck/state/sessions.py
+++ b/caperdeck/state/sessions.py
@@ -94,45 +94,45 @@
         return session_id in self.ids
 
     def create(self, request: OpenRequest, client: ClientSide, now: float) -> Session:
-        s = Session(self.created_count, request, client, now, now + request.wait_ms)
+        session = Session(self.created_count, request, client, now, now + request.wait_ms)
         self.created_count += 1
-        self.by_index[s.index] = s
-        self.opening[s] = None
+        self.by_index[session.index] = session
+        self.opening[session] = None
         self.ids.add(request.id)
-        return s
+        return session
 
-    def remove(self, s: Session) -> None:
-        s.finished = True
-        self.opening.pop(s, None)
-        self.unanswered.pop(s, None)
-        self.by_index.pop(s.index, None)
-        self.ids.discard(s.request.id)
+    def remove(self, session: Session) -> None:
+        session.finished = True
+        self.opening.pop(session, None)
+        self.unanswered.pop(session, None)
+        self.by_index.pop(session.index, None)
+        self.ids.discard(session.request.id)
 
-    def mark_established(self, s: Session, now: float) -> None:
+    def mark_established(self, session: Session, now: float) -> None:
         """Records that the session has its final answer, and that lines pass from now on."""
-        s.established_at = s.client_heard_at = now
-        self.opening.pop(s, None)
+        session.established_at = session.client_heard_at = now
+        self.opening.pop(session, None)
 
     def overdue(self, now: float) -> list[Session]:
         """Returns the sessions whose client has stopped waiting for an answer."""
-        return [s for s in self.opening if s.deadline < now]
+        return [session for session in self.opening if session.deadline < now]
 
-    def line_from_client(self, s: Session, now: float) -> None:
+    def line_from_client(self, session: Session, now: float) -> None:
         """Records a line of the client, which waits for one from the host."""
-        s.client_heard_at = now
-        if not s.unanswered_since:
-            s.unanswered_since = now
-            self.unanswered[s] = None
+        session.client_heard_at = now
+        if not session.unanswered_since:
+            session.unanswered_since = now
+            self.unanswered[session] = None
 
-    def line_from_host(self, s: Session) -> None:
+    def line_from_host(self, session: Session) -> None:
         """Records a line of the host, which answers whatever waited."""
-        if s.unanswered_since:
-            s.unanswered_since = 0.0
-            del self.unanswered[s]
+        if session.unanswered_since:
+            session.unanswered_since = 0.0
+            del self.unanswered[session]
 
     def unanswered_before(self, before: float) -> list[Session]:
         """Returns the sessions with a line that has waited since before that time."""
-        return list(takewhile(lambda s: s.unanswered_since < before, self.unanswered))
+        return list(takewhile(lambda session: session.unanswered_since < before, self.unanswered))
 
     def established(self) -> list[Session]:
-        return [s for s in self.by_index.values() if s.established_at]
+        return [session for session in self.by_index.values() if session.established_at]
--- a/caperdeck/wire/report.py
+++ b/caperdeck/wire/report.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MAX_REPORT_VALUE = 1e6  # larger values are neither counts nor ratios
-MAX_LOAD_US_PER_S = 1e12  # of one session
+MAX_SESSION_LOAD = 1e12  # in any unit that is used
 
 
 def parse_report(text: bytes) -> dict[str, float]:
@@ -18,7 +18,7 @@
 
 def parse_load(text: bytes) -> float | None:
     """Parses a load in microseconds of work a second; None if it is not a valid number."""
-    return _parse_number(text, MAX_LOAD_US_PER_S)
+    return _parse_number(text, MAX_SESSION_LOAD)
 
 
 def _parse_number(text: bytes, limit: float) -> float | None:
--- a/caperdeck/wire/request.py
+++ b/caperdeck/wire/request.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .lines import CRLF
-from .report import MAX_LOAD_US_PER_S
+from .report import MAX_SESSION_LOAD
 
 
 class RequestError(ValueError):
@@ -29,7 +29,7 @@
     wait_end: int
     tenant: str | None = None
     group: str | None = None
-    load: float | None = None  # microseconds of work a second, as estimated by the client
+    load: float | None = None  # seconds of work a second, as estimated by the client
     resume_host: str | None = None  # uid of the host on which the session was established before
 
     def buffers(self, wait_ms: int) -> list[bytes | memoryview]:
@@ -62,7 +62,7 @@
         return line[start:stop].decode("utf-8", "replace")
 
     wait_ms, load, listener = _parse_float(text(b"d")), _parse_float(text(b"h")), text(b"c")
-    if wait_ms is None or listener is None or wait_ms < 0 or not 0 <= (load or 0.0) < MAX_LOAD_US_PER_S:
+    if wait_ms is None or listener is None or wait_ms < 0 or not 0 <= (load or 0.0) < MAX_SESSION_LOAD:
         raise RequestError("bad-line")
     start, stop = fields[b"d"]
     name = line[5:id_end].decode("utf-8", "replace")
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -77,13 +77,13 @@
 
 
 def say_twice(monkeypatch):
-    join = SessionHandler._join
+    join = SessionHandler._couple_flow_control
 
     def twice(self, client, conn):
         join(self, client, conn)
         client.pass_on(b"ERR")
 
-    monkeypatch.setattr(SessionHandler, "_join", twice)
+    monkeypatch.setattr(SessionHandler, "_couple_flow_control", twice)
 
 
 def forget_drains(monkeypatch):
@@ -96,11 +96,11 @@
 
 
 def never_notice_a_sleep(monkeypatch):
-    monkeypatch.setattr(backlog, "OVERDUE", float("inf"))
+    monkeypatch.setattr(backlog, "STALL_MS", float("inf"))
 
 
 def leave_dials_out(monkeypatch):
-    hang_up = SessionHandler._hang_up
+    hang_up = SessionHandler._close_host_connection
 
     def forget(self, s, reset):
         if s.established_at or s.host_connection is None:
@@ -108,7 +108,7 @@
         else:
             s.host_connection.ended, s.host_connection = True, None
 
-    monkeypatch.setattr(SessionHandler, "_hang_up", forget)
+    monkeypatch.setattr(SessionHandler, "_close_host_connection", forget)
 
 
 def spend_whole_cold_budgets(monkeypatch):
@@ -117,7 +117,7 @@
 
 
 def lose_sessions(monkeypatch):
-    monkeypatch.setattr(SessionHandler, "_pick", lambda self, s, listener: None)
+    monkeypatch.setattr(SessionHandler, "_open_session", lambda self, s, listener: None)
 
 
 COLD = {
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -259,7 +259,9 @@
     service = service_over(d, tmp_path)
     service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
     at, clients = [], [up(d)[0] for _ in range(20)]
-    monkeypatch.setattr(d, "redirect", lambda s, reason: at.append(d.clock() - START) or d._end(s, reason))
+    monkeypatch.setattr(
+        d, "redirect", lambda s, reason: at.append(d.clock() - START) or d._end_session(s, reason)
+    )
     service.stop()
     d.reactor.pump([0.01] * 400)
     assert len(at) == len(clients) and first <= at[0] <= first + 20 and at[-1] <= last
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -11,7 +11,7 @@
 from test_race_conditions import HEADERS, chunk, list_of
 from twisted.internet.tcp import Client
 
-from caperdeck.execution.backlog import LIST_WAIT, MS
+from caperdeck.execution.backlog import LIST_WAIT_MS, MS
 from caperdeck.lifecycle.config import load_config
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.service import Service
@@ -274,7 +274,7 @@
 
 def test_a_new_process_whose_discovery_says_nothing_serves_by_the_list_that_it_was_given(started):
     client = started.client(OPEN)
-    started.reactor.pass_time(LIST_WAIT / MS - 0.05, step=0.01)
+    started.reactor.pass_time(LIST_WAIT_MS / MS - 0.05, step=0.01)
     assert not started.sent(0) + started.sent(1)
     started.reactor.pass_time(0.1, step=0.01)
     started.reactor.settle()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -666,7 +666,7 @@
     client = connect(d, OPEN)
     host = accept(d)
     asleep(d, 2.0)
-    d._late(host)
+    d._dial_timed_out(host)
     host.dataReceived(b"UP r1\r\n")
     d.reactor.advance(0)
     assert client.transport.lines() == [b"UP r1"] and not host.ended
