--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -32,7 +32,7 @@
 
 
 @contextmanager
-def logged():
+def captured_log():
     """The log lines of a test."""
     lines = []
     number = logger.add(lines.append, format="{message}")
@@ -40,7 +40,7 @@
     logger.remove(number)
 
 
-def settings(effect=Effect.REPEATABLE, scope=Scope.ALL, **changes) -> Settings:
+def make_settings(effect=Effect.REPEATABLE, scope=Scope.ALL, **changes) -> Settings:
     listener = Listener(effect, scope, 5000.0, 300.0, 100.0, 1.0)
     values = {
         "seed": 7, "me": 0, "nodes": 3, "zone": 0, "listeners": (listener,), "max_dials": 5,
@@ -51,18 +51,18 @@
     return Settings(**(values | changes))
 
 
-def entry(host, state=HostState.RUNNING, zone=0, cell=0, born=0.0, size=1.0) -> RosterEntry:
-    return RosterEntry(host, state, size, zone, cell, born, 0x9E3779B1 * (host + 1) % 2**32, born)
+def roster_entry(host, state=HostState.RUNNING, zone=0, cell=0, started_at=0.0, size=1.0) -> RosterEntry:
+    return RosterEntry(host, state, size, zone, cell, started_at, 0x9E3779B1 * (host + 1) % 2**32, started_at)
 
 
-def node(hosts=4, entries=None, **changes) -> Node:
-    n = Node(settings(**changes), START)
-    n.update_roster(START, RosterScope.SAVED, entries or [entry(h) for h in range(hosts)])
+def make_node(hosts=4, entries=None, **changes) -> Node:
+    n = Node(make_settings(**changes), START)
+    n.update_roster(START, RosterScope.SAVED, entries or [roster_entry(h) for h in range(hosts)])
     n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
     return n
 
 
-def ask(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
+def session_request(session, load=10.0, left=1200.0, group=None) -> SessionRequest:
     return SessionRequest(session, 0, 0, left, load, group)
 
 
@@ -70,7 +70,7 @@
     return [a for a in acts if isinstance(a, Dial)]
 
 
-def figures(n, values, at=START):
+def set_reported_loads(n, values, at=START):
     """Fresh reports for the hosts in order."""
     for h, value in enumerate(values):
         if value is not None:
@@ -79,10 +79,10 @@
     n._survey(at)
 
 
-def standing(n, host, loads, since=START - 60000.0, first=100):
+def add_established(n, host, loads, since=START - 60000.0, first=100):
     """Connections of these loads that stand on a host since long ago."""
     for i, load in enumerate(loads):
-        n.resume_session(since, ask(first + i, load), host)
+        n.resume_session(since, session_request(first + i, load), host)
         n.sessions[first + i].stands = since
     return range(first, first + len(loads))
 
@@ -90,7 +90,7 @@
 # ---- sockets
 
 
-class Wire(StringTransport):
+class RecordingTransport(StringTransport):
     """A transport that keeps what is written and how it was ended."""
 
     broken = False  # what the peer did before the request went out
@@ -139,23 +139,23 @@
     "listeners": [{"name": "chat", "effect": "idempotent", "handshakeTarget": 0.3, "hardLimit": 1.2}],
     "projects": [{"name": "acme"}], "report": {"how": "pull"},
 }  # fmt: skip
-OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=1200,h=0.01,g=5c0f"
+OPEN_LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=1200,h=0.01,g=5c0f"
 
 
-def opening(number):
+def open_line(number):
     """A first line with an id of its own."""
-    return OPEN.replace(b"9b1f", b"%04x" % number)
+    return OPEN_LINE.replace(b"9b1f", b"%04x" % number)
 
 
-UP_WITHIN = 40.0  # seconds, the stated target for connections that stood before a node's start
+RESUME_WITHIN_S = 40.0  # seconds, the stated target for connections that stood before a node's start
 
 
-def opening_at(number, host="s-0", wait=b"9223372036854"):
+def resume_line(number, host="s-0", wait=b"9223372036854"):
     """The first line of a client whose connection stood at that host."""
-    return opening(number).replace(b"d=1200", b"d=" + wait) + b",at=" + host.encode()
+    return open_line(number).replace(b"d=1200", b"d=" + wait) + b",at=" + host.encode()
 
 
-def row(uid, state="Ready", port=9000, boot=0):
+def host_row(uid, state="Ready", port=9000, boot=0):
     return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "east", "state": state, "boot_ms": boot}
 
 
@@ -172,17 +172,20 @@
     balancer = Balancer(decode_settings(7, setup), clock())
     budget = SocketBudget(sockets, 10)
     d = SessionHandler(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
-    d.update_roster(True, [row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))])
+    d.update_roster(
+        True, [host_row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))]
+    )
     return d
 
 
 CONFIG = {
     "name": "n1", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"sockets": 256}, "known": {"rev": 41, "all": True, "targets": [row("s-0")]}, "settings": SETUP,
+    "limits": {"sockets": 256}, "known": {"rev": 41, "all": True, "targets": [host_row("s-0")]},
+    "settings": SETUP,
 }  # fmt: skip
 
 
-def write(path, value):
+def write_config(path, value):
     path.write_text(value if isinstance(value, str) else json.dumps(value))
     return {"EDGE_CONFIG": str(path)}
 
@@ -190,7 +193,7 @@
 def service_over(d, folder, **changes):
     """A service whose desk is this one; its file and what it leaves to a successor lie in the folder."""
     config = CONFIG | {"admin_addr": "127.0.0.1:9100"} | changes
-    environment = write(folder / "c", config) | {"TMPDIR": str(folder)}
+    environment = write_config(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
     service.handler, service.clock = d, d.clock
     d.refresh_bans = service.ban_calls.look
@@ -202,7 +205,7 @@
 def connect(d, *lines):
     """A client's connection to the desk that has sent these lines."""
     client = ClientConnection(d)
-    client.makeConnection(Wire())
+    client.makeConnection(RecordingTransport())
     for line in lines:
         client.dataReceived(line + b"\r\n")
     return client
@@ -211,13 +214,13 @@
 def accept(d, transport=None):
     """The host's side of the connection that the node has asked for last comes up."""
     conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
-    conn.makeConnection(transport or Wire())
+    conn.makeConnection(transport or RecordingTransport())
     return conn
 
 
-def up(d):
+def establish(d):
     """A client and the host's side of its session, which stands."""
-    client = connect(d, opening(d.sessions.created_count))
+    client = connect(d, open_line(d.sessions.created_count))
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
     client.transport.clear()
@@ -225,7 +228,7 @@
     return client, host
 
 
-def lost(protocol, clean=True):
+def lose_connection(protocol, clean=True):
     protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
 
@@ -251,13 +254,13 @@
     return server.getsockname()[1]
 
 
-def at_host(line):
+def answer_as_host(line):
     if line.startswith((b"STATS", b"PING")):
         return b"PONG x0=0.2\r\n"
     return b"UP r1\r\n" if line.startswith(b"OPEN") else line
 
 
-def serve_list(*rows):
+def serve_host_list(*rows):
     """A discovery that answers each watch with these hosts."""
     body = json.dumps({"rev": 42, "all": True, "targets": rows}).encode() + b"\n"
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(body), body)
@@ -277,7 +280,7 @@
     raise AssertionError("not ready in its time")
 
 
-def left_running(mark):
+def processes_with_environment(mark):
     """Processes whose environment holds the mark."""
     found = []
     for entry in Path("/proc").iterdir():
@@ -304,7 +307,7 @@
         selectable.connectionLost(Failure(ConnectionDone()))
 
 
-def made_and_closed(kind):
+def closing_factory(kind):
     """What a fixture yields from: a function that makes these, each closed after the test."""
     made = []
 
@@ -320,7 +323,7 @@
 # ---- a stepped reactor: real loopback sockets, a clock that only the test moves
 
 
-class Stepped(SelectReactor):
+class SteppedReactor(SelectReactor):
     """Reads and writes sockets when told to; its timers run by `now`, which a test sets."""
 
     def __init__(self):
@@ -374,7 +377,7 @@
             self.turn(0.0002)
 
 
-class Peer:
+class FakePeer:
     """A stand-in peer: a listening socket whose connections the test accepts, reads and ends by hand."""
 
     def __init__(self):
@@ -415,17 +418,17 @@
         data += piece
 
 
-def reset(sock):
+def reset_connection(sock):
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-class Loopback:
+class LoopbackNode:
     """A desk whose clients and hosts are real sockets on loopback; the test is all of them."""
 
     def __init__(self, hosts=1, **parts):
-        self.reactor = Stepped()
-        self.hosts = [Peer() for _ in range(hosts)]
+        self.reactor = SteppedReactor()
+        self.hosts = [FakePeer() for _ in range(hosts)]
         self.handler = make_handler(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
         self.port = ClientPort(0, ClientFactory(self.handler), 512, "127.0.0.1", self.reactor)
         self.port.startListening()
@@ -443,7 +446,7 @@
         (s,) = self.handler.sessions.by_index.values()
         return s
 
-    def taken(self, line=OPEN):
+    def taken(self, line=OPEN_LINE):
         """A client whose line has been read, and its session, whose dial is under way."""
         client = self.client(line)
         self.reactor.until(lambda: self.handler.sessions.by_index)
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -7,7 +7,9 @@
 import time
 from pathlib import Path
 
-from helpers import CONFIG, at_host, free_ports, opening, row, serve_lines, serve_list, write
+from helpers import (
+    CONFIG, answer_as_host, free_ports, host_row, open_line, serve_host_list, serve_lines, write_config,
+)  # fmt: skip
 
 TESTS = Path(__file__).parent
 # the fault is in place before the program is loaded
@@ -34,11 +36,11 @@
 
     def __init__(self, boot=0):
         self.requests = 0  # first lines that the host has had
-        self.discovery = serve_list(row("s-0", port=serve_lines(self._at_host), boot=boot))
+        self.discovery = serve_host_list(host_row("s-0", port=serve_lines(self._at_host), boot=boot))
 
     def _at_host(self, line):
         self.requests += line.startswith(b"OPEN")
-        return at_host(line)
+        return answer_as_host(line)
 
 
 class NodeProcesses:
@@ -65,7 +67,7 @@
         n = len(self.started)
         config = self.config | {"admin_addr": f"127.0.0.1:{self.admin[n]}"}
         environment = {key: value for key, value in os.environ.items() if key != "TMPDIR"}
-        environment |= write(self.folder / f"c{n}", config) | self.scratch
+        environment |= write_config(self.folder / f"c{n}", config) | self.scratch
         words = ["-m", "caperdeck", "serve"]
         if fault:
             environment["PYTHONPATH"] = f"{TESTS.parent}:{TESTS}"
@@ -90,7 +92,7 @@
 
     def client(self, number):
         sock, lines = self._connect()
-        sock.sendall(opening(number) + b"\r\n")
+        sock.sendall(open_line(number) + b"\r\n")
         return sock, lines
 
     def resting_client(self):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -4,7 +4,10 @@
 from dataclasses import replace
 
 import pytest
-from helpers import START, ask, dials, entry, figures, node, settings, standing
+from helpers import (
+    START, add_established, dials, make_node, make_settings, roster_entry, session_request,
+    set_reported_loads,
+)  # fmt: skip
 
 from caperdeck.core.decide import ROOM
 from caperdeck.core.model import (
@@ -13,94 +16,96 @@
 
 
 def placed(n, count=1, **kw):
-    return [dials(n.open_session(START, ask(i, **kw)))[0].host for i in range(count)]
+    return [dials(n.open_session(START, session_request(i, **kw)))[0].host for i in range(count)]
 
 
 def test_the_lesser_loaded_of_two_takes_a_new_connection():
-    n = node(2)
-    figures(n, [0.5, 0.2])
+    n = make_node(2)
+    set_reported_loads(n, [0.5, 0.2])
     assert placed(n) == [1]
 
 
 def test_dials_since_the_report_count_so_a_burst_spreads():
-    n = node(4)
-    standing(n, 0, [10.0] * 40)
-    figures(n, [0.3, 0.3, 0.3, 0.2])
+    n = make_node(4)
+    add_established(n, 0, [10.0] * 40)
+    set_reported_loads(n, [0.3, 0.3, 0.3, 0.2])
     hosts = placed(n, 40)
     assert max(hosts.count(h) for h in range(4)) <= 16
 
 
 def test_without_any_figure_the_count_decides():
-    n = node(2, may_probe=False)
-    standing(n, 0, [1.0] * 5)
-    standing(n, 1, [1.0], first=200)
+    n = make_node(2, may_probe=False)
+    add_established(n, 0, [1.0] * 5)
+    add_established(n, 1, [1.0], first=200)
     assert placed(n) == [1]
 
 
 def test_with_no_room_anywhere_a_session_is_refused_rather_than_piled_on():
-    n = node(3)
-    figures(n, [0.9, 1.1, 0.95])
-    acts = n.open_session(START, ask(1, left=50.0))
+    n = make_node(3)
+    set_reported_loads(n, [0.9, 1.1, 0.95])
+    acts = n.open_session(START, session_request(1, left=50.0))
     assert [type(a) for a in acts] == [Refuse]
 
 
 def test_where_few_hosts_have_room_it_is_kept_for_the_higher_utility():
-    high = settings().listeners[0]
-    n = node(4, listeners=(high, replace(high, utility=0.2)))
-    figures(n, [0.8, 0.8, 0.8, ROOM - 0.15])
-    assert not dials(n.open_session(START, ask(1)._replace(listener=1, left=50.0)))
-    assert dials(n.open_session(START, ask(2)))[0].host == 3
-    figures(n, [0.4, 0.4, 0.4, 0.8])
-    assert dials(n.open_session(START, ask(3)._replace(listener=1)))
+    high = make_settings().listeners[0]
+    n = make_node(4, listeners=(high, replace(high, utility=0.2)))
+    set_reported_loads(n, [0.8, 0.8, 0.8, ROOM - 0.15])
+    assert not dials(n.open_session(START, session_request(1)._replace(listener=1, left=50.0)))
+    assert dials(n.open_session(START, session_request(2)))[0].host == 3
+    set_reported_loads(n, [0.4, 0.4, 0.4, 0.8])
+    assert dials(n.open_session(START, session_request(3)._replace(listener=1)))
 
 
 @pytest.mark.parametrize("cross_price", [0.0, 0.02])
 def test_the_own_subset_is_drawn_first_and_the_rest_once_it_has_no_room(cross_price):
-    n = node(12, cross_price=cross_price)
-    figures(n, [0.2] * 12)
+    n = make_node(12, cross_price=cross_price)
+    set_reported_loads(n, [0.2] * 12)
     n.first, n.first_near = [3, 4, 5], [3, 4]
     assert set(placed(n, 12)) <= {3, 4, 5}
-    figures(n, [0.2] * 3 + [ROOM + 0.05] * 3 + [0.2] * 6)
-    assert {dials(n.open_session(START, ask(i)))[0].host for i in range(100, 112)}.isdisjoint({3, 4, 5})
+    set_reported_loads(n, [0.2] * 3 + [ROOM + 0.05] * 3 + [0.2] * 6)
+    assert {dials(n.open_session(START, session_request(i)))[0].host for i in range(100, 112)}.isdisjoint(
+        {3, 4, 5}
+    )
 
 
 def test_a_subset_of_hosts_that_have_gone_keeps_nobody_from_the_others():
-    n = node(6)
-    figures(n, [0.2] * 6)
+    n = make_node(6)
+    set_reported_loads(n, [0.2] * 6)
     n.first = [4, 5]
-    n.update_roster(START, RosterScope.CHANGES, [entry(h, state=HostState.GONE) for h in (4, 5)])
+    n.update_roster(START, RosterScope.CHANGES, [roster_entry(h, state=HostState.GONE) for h in (4, 5)])
     assert set(placed(n, 6)) <= {0, 1, 2, 3}
 
 
 def test_work_piled_up_counts_as_load():
-    n = node(2)
-    figures(n, [0.5, 0.5])
-    standing(n, 0, [1.0])
+    n = make_node(2)
+    set_reported_loads(n, [0.5, 0.5])
+    add_established(n, 0, [1.0])
     n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 600.0)
     assert placed(n, 5) == [1] * 5
 
 
 def test_candidates_with_old_figures_are_looked_at_before_one_is_chosen():
-    n = node(9)
+    n = make_node(9)
     n.seen_at = [-1e9] * 9
-    acts = n.open_session(START, ask(1))
+    acts = n.open_session(START, session_request(1))
     first, second = [a.host for a in acts if isinstance(a, Probe)]
     assert n.probe_completed(START + 5, first, Outcome.GOOD, LoadReport(0.6)) == []
     assert n.probe_completed(START + 9, second, Outcome.GOOD, LoadReport(0.2))[0].host == second
 
 
 def test_a_candidate_that_does_not_answer_in_time_is_passed_over():
-    n = node(2)
+    n = make_node(2)
     n.seen_at = [-1e9] * 2
-    wake = n.open_session(START, ask(1))[-1]
+    wake = n.open_session(START, session_request(1))[-1]
     n.probe_completed(START + 5, 1, Outcome.GOOD, LoadReport(0.2))
     assert dials(n.timer_fired(START + wake.after - 0.001, wake.token))[0].host == 1
 
 
 def test_a_look_leaves_a_client_in_a_hurry_time_for_its_answer():
-    n = node(9)
+    n = make_node(9)
     n.seen_at = [-1e9] * 9
-    now, acts = START, n.open_session(START, ask(1, left=30.0))
+    now, acts = START, n.open_session(START, session_request(1, left=30.0))
     while not isinstance(acts[-1], Refuse):
         now += acts[-1].after
         assert now < START + 31
@@ -108,22 +113,22 @@
 
 
 def test_a_host_nobody_looked_at_is_found_though_the_mean_is_full():
-    n = node(3)
-    figures(n, [0.9, 0.9, None])
+    n = make_node(3)
+    set_reported_loads(n, [0.9, 0.9, None])
     n.seen_at[2] = -1e9
-    assert n.open_session(START, ask(1))[0] == Probe(2)
+    assert n.open_session(START, session_request(1))[0] == Probe(2)
 
 
 @pytest.mark.parametrize("group", [None, 7])
 def test_a_host_that_is_full_by_an_old_figure_is_looked_at_before_a_refusal(group):
-    n = node(3, nodes=100)
-    figures(n, [0.9, 0.9, 0.9])
+    n = make_node(3, nodes=100)
+    set_reported_loads(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
-    assert not [a for a in n.open_session(START, ask(0, group=group)) if isinstance(a, Probe)]
-    n = node(3)
-    figures(n, [0.9, 0.9, 0.9])
+    assert not [a for a in n.open_session(START, session_request(0, group=group)) if isinstance(a, Probe)]
+    n = make_node(3)
+    set_reported_loads(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
-    assert n.open_session(START, ask(1, group=group))[0] == Probe(1)
+    assert n.open_session(START, session_request(1, group=group))[0] == Probe(1)
     assert dials(n.probe_completed(START + 5, 1, Outcome.GOOD, LoadReport(0.3)))[0].host == 1
 
 
@@ -131,34 +136,36 @@
 def test_all_nodes_together_do_not_fill_more_than_the_room_that_reports_show(nodes):
     sent = 0
     for seed in range(20):
-        n = node(40, nodes=nodes, seed=seed * 0x9E3779B1)
+        n = make_node(40, nodes=nodes, seed=seed * 0x9E3779B1)
         n.unit = 300.0
-        figures(n, [0.6] * 40)
-        sent += sum(bool(dials(n.open_session(START, ask(i, left=50.0)))) for i in range(100))
+        set_reported_loads(n, [0.6] * 40)
+        sent += sum(bool(dials(n.open_session(START, session_request(i, left=50.0)))) for i in range(100))
     room = 40 * (ROOM - 0.6) * 30
     assert 0 < sent / 20 <= 3 * room / nodes + 1
 
 
 def test_the_own_zone_comes_first_until_it_has_no_room():
-    n = node(entries=[entry(0), entry(1, zone=1), entry(2, zone=1)], cross_price=0.1)
-    figures(n, [0.5, 0.1, 0.1])
+    n = make_node(
+        entries=[roster_entry(0), roster_entry(1, zone=1), roster_entry(2, zone=1)], cross_price=0.1
+    )
+    set_reported_loads(n, [0.5, 0.1, 0.1])
     assert placed(n) == [0]
-    figures(n, [0.85, 0.1, 0.1])
+    set_reported_loads(n, [0.85, 0.1, 0.1])
     assert set(placed(n, 5)) <= {1, 2}
 
 
 def test_a_group_gathers_on_the_same_host_at_every_node():
     hosts = set()
     for seed in (1, 2, 3):
-        n = node(8, seed=seed)
-        figures(n, [0.3] * 8)
+        n = make_node(8, seed=seed)
+        set_reported_loads(n, [0.3] * 8)
         hosts |= set(placed(n, 5, group=77))
     assert len(hosts) == 1
 
 
 def test_an_ill_host_is_shunned_but_not_when_most_are():
-    n = node(3)
-    figures(n, [0.3] * 3)
+    n = make_node(3)
+    set_reported_loads(n, [0.3] * 3)
     for _ in range(3):
         n._failed(START, 0)
     n._survey(START)
@@ -171,17 +178,17 @@
 
 @pytest.mark.parametrize("notes, low, high", [([], 10, 10), ([(0, 50.0)], 40, 50), ([(15900, 50.0)], 10, 12)])
 def test_the_forecast_is_the_smoothed_mean_of_the_load_notes(notes, low, high):
-    n = node(1)
-    standing(n, 0, [10.0])
+    n = make_node(1)
+    add_established(n, 0, [10.0])
     for at, value in notes:
         n.handle_note(START + at, 100, NoteKind.LOAD, value)
     assert low <= n._forecast(START + 16000, n.sessions[100]) <= high
 
 
 def test_past_the_threshold_the_heaviest_own_connections_move_up_to_the_share():
-    n = node(3)
-    standing(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
-    figures(n, [0.5, 0.1, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
+    set_reported_loads(n, [0.5, 0.1, 0.1])
     assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.8)) == []
     acts = n.probe_completed(START + 120000, 0, Outcome.GOOD, LoadReport(0.95))
     assert acts[0] == Move(182) and len(acts) <= 2
@@ -190,18 +197,18 @@
 def test_a_share_below_one_connection_is_not_rounded_up_by_every_node():
     moved = 0
     for seed in range(100):
-        n = node(3, seed=seed)
-        standing(n, 0, [50.0, 50.0])
-        figures(n, [0.5, 0.1, 0.1])
+        n = make_node(3, seed=seed)
+        add_established(n, 0, [50.0, 50.0])
+        set_reported_loads(n, [0.5, 0.1, 0.1])
         moved += len(n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.95)))
     assert 10 <= moved <= 50
 
 
 @pytest.mark.parametrize("figure, again", [(0.95, False), (1.3, True)])
 def test_past_full_load_a_lot_that_failed_is_drawn_again_with_the_next_report(figure, again):
-    n = node(3)
-    standing(n, 0, [1000.0, 999.0])
-    figures(n, [0.5, 0.1, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [1000.0, 999.0])
+    set_reported_loads(n, [0.5, 0.1, 0.1])
     n.chance = lambda: 1.0
     assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(figure)) == []
     n.chance = lambda: 0.0
@@ -209,32 +216,32 @@
 
 
 def test_a_steep_rise_lowers_the_threshold():
-    n = node(3)
-    standing(n, 0, [1.0] * 80 + [8.0])
-    figures(n, [0.5, 0.1, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [1.0] * 80 + [8.0])
+    set_reported_loads(n, [0.5, 0.1, 0.1])
     assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(0.8))[0] == Move(180)
 
 
 def test_a_report_that_does_not_show_the_last_moves_moves_nothing():
-    n = node(3)
-    standing(n, 0, [10.0] * 6)
-    figures(n, [1.2, 0.1, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [10.0] * 6)
+    set_reported_loads(n, [1.2, 0.1, 0.1])
     assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(1.2))
     assert n.probe_completed(START + 2000, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
 
 @pytest.mark.parametrize("figure, moves", [(0.95, 0), (1.3, 2)])
 def test_with_nowhere_better_to_go_only_past_full_load_is_moved(figure, moves):
-    n = node(2)
-    standing(n, 0, [10.0] * 4)
-    figures(n, [0.95, 0.95])
+    n = make_node(2)
+    add_established(n, 0, [10.0] * 4)
+    set_reported_loads(n, [0.95, 0.95])
     assert len(n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(figure))) == moves
 
 
 def test_work_piling_up_moves_connections_before_a_report_shows_it():
-    n = node(3)
-    standing(n, 0, [10.0] * 10)
-    figures(n, [0.5, 0.1, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [10.0] * 10)
+    set_reported_loads(n, [0.5, 0.1, 0.1])
     assert n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 40.0) == []
     acts = n.handle_note(START + 1000, 100, NoteKind.MESSAGE_DELAY, 240.0)
     assert 2 <= len([a for a in acts if isinstance(a, Move)]) <= 5
@@ -242,9 +249,9 @@
 
 
 def test_young_connections_are_spared():
-    n = node(2)
-    standing(n, 0, [40.0], since=START - 4000)
-    figures(n, [1.2, 0.1])
+    n = make_node(2)
+    add_established(n, 0, [40.0], since=START - 4000)
+    set_reported_loads(n, [1.2, 0.1])
     assert n.probe_completed(START, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
 
@@ -256,8 +263,8 @@
 
 
 def test_without_a_figure_the_count_triggers():
-    n = node(3, figures=False)
-    standing(n, 0, [10.0] * 6)
+    n = make_node(3, figures=False)
+    add_established(n, 0, [10.0] * 6)
     assert by_counts(n, [0, 1])
 
 
@@ -265,10 +272,10 @@
     (200, 60, 1, True), (200, 60, 1, False), (3, 3, 6, True)])  # fmt: skip
 def test_counts_move_nothing_where_figures_are_only_late_or_connections_few(nodes, hosts, each, figures_told):
     """Two hundred nodes did so at once, and four to five in ten standing connections had to come again."""
-    n = node(hosts, nodes=nodes, figures=figures_told)
+    n = make_node(hosts, nodes=nodes, figures=figures_told)
     used = range(0, hosts, 5)
     for h in used:
-        standing(n, h, [10.0] * each, first=100 * h)
+        add_established(n, h, [10.0] * each, first=100 * h)
     assert by_counts(n, used) == []
 
 
@@ -277,10 +284,10 @@
     """Clients come to 60 hosts by chance; at 200 nodes two in five connections were moved in 20 s."""
     rnd, moved, taken = random.Random(nodes), 0, 0
     for seed in range(20):
-        n = node(60, nodes=nodes, may_probe=False, seed=seed)
+        n = make_node(60, nodes=nodes, may_probe=False, seed=seed)
         for sid in range(7000 // nodes):
             taken += 1
-            n.resume_session(START - 60000, ask(sid, 10.0), rnd.randrange(60))
+            n.resume_session(START - 60000, session_request(sid, 10.0), rnd.randrange(60))
             n.sessions[sid].stands = START - 60000
         n.seen_at, n.probe_credit = [START - 3000.0] * 60, 100.0
         moved += sum(isinstance(act, Move) for act in n.timer_fired(START, -1))
@@ -289,18 +296,25 @@
 
 def test_hosts_that_looked_full_close_no_other_where_no_figures_come():
     # Danger: the mean of what is known is full load then, for all hosts, and their room is the fleet's.
-    n = node(8, may_probe=False, figures=False)
+    n = make_node(8, may_probe=False, figures=False)
     for h in range(2):
-        n.resume_session(START, ask(900 + h, 10.0), h)
+        n.resume_session(START, session_request(900 + h, 10.0), h)
         n.dial_ended(START, 900 + h, 0, Outcome.LATE, True)
     n._survey(START)
-    assert {act.host for i in range(30) for act in dials(n.open_session(START, ask(i)))} == {2, 3, 4, 5, 6, 7}
+    assert {act.host for i in range(30) for act in dials(n.open_session(START, session_request(i)))} == {
+        2,
+        3,
+        4,
+        5,
+        6,
+        7,
+    }
 
 
 def marked(n, hosts, at=START):
     """A connection of the own at each of the hosts has come too late."""
     for h in hosts:
-        n.resume_session(at, ask(900 + h, 10.0), h)
+        n.resume_session(at, session_request(900 + h, 10.0), h)
         n.dial_ended(at, 900 + h, 0, Outcome.LATE, True)
     n._survey(at)
 
@@ -310,29 +324,29 @@
     (60, 18, 1, True), (190, 57, 1, True), (190, 400, 1, False)])  # fmt: skip
 def test_full_hosts_close_the_others_as_far_as_the_other_nodes_have_met_them(nodes, hosts, full, closed):
     # Danger: in a wave each of many nodes has met but a few hosts, and all of them together have met most.
-    n = node(hosts, nodes=nodes, may_probe=False, figures=False)
-    standing(n, hosts - 1, [10.0])
+    n = make_node(hosts, nodes=nodes, may_probe=False, figures=False)
+    add_established(n, hosts - 1, [10.0])
     marked(n, range(full))
-    assert all(not dials(n.open_session(START, ask(i, left=50.0))) for i in range(20)) == closed
+    assert all(not dials(n.open_session(START, session_request(i, left=50.0))) for i in range(20)) == closed
     n.timer_fired(START + 7000.0, -1)
-    assert dials(n.open_session(START + 7000.0, ask(50)))
+    assert dials(n.open_session(START + 7000.0, session_request(50)))
 
 
 @pytest.mark.parametrize("nodes, ends", [(3, 2333.0), (190, 36.0)])
 def test_a_host_that_took_a_connection_stays_open_until_all_nodes_have_used_what_room_it_showed(nodes, ends):
-    n = node(8, nodes=nodes, may_probe=False, figures=False)
+    n = make_node(8, nodes=nodes, may_probe=False, figures=False)
     marked(n, range(7))
     n.taken_at[7] = START
-    assert [act.host for act in dials(n.open_session(START + ends, ask(1)))] == [7]
+    assert [act.host for act in dials(n.open_session(START + ends, session_request(1)))] == [7]
     n.session_established(START + ends, 1)
     assert n.taken_at[7] == START + ends
-    assert not dials(n.open_session(START + 2 * ends + 2.0, ask(2, left=50.0)))
+    assert not dials(n.open_session(START + 2 * ends + 2.0, session_request(2, left=50.0)))
 
 
 @pytest.mark.parametrize("nodes, part", [(1, 0.0), (3, 0.234), (190, 1.0)])
 def test_own_sends_count_for_others_as_far_as_others_send_there(nodes, part):
     # Danger: at three nodes all were held to send where this one did, and a restarted node closed every host.
-    n = node(8, nodes=nodes, may_probe=False, figures=False)
+    n = make_node(8, nodes=nodes, may_probe=False, figures=False)
     n.unit, before = 100.0, n._load(START, 0)
     n._add(START, 0, 10.0)
     assert n._load(START, 0) - before == pytest.approx(part * nodes**0.5 * 0.1, rel=0.01)
@@ -340,7 +354,7 @@
 
 def test_what_was_sent_to_a_host_counts_no_longer_than_a_figure_where_no_report_comes():
     # Danger: it added up, for as long as the node lived, until the host was closed to it for good.
-    n = node(2, may_probe=False, figures=False)
+    n = make_node(2, may_probe=False, figures=False)
     n.unit = 100.0
     n._add(START, 0, 1000.0)
     n._add(START + 5000.0, 0, 10.0)
@@ -353,7 +367,7 @@
 
 
 def test_hosts_that_looked_full_long_ago_close_no_other():
-    n = node(4, may_probe=False, figures=False, nodes=100)
+    n = make_node(4, may_probe=False, figures=False, nodes=100)
     for h in range(4):
         n._know(START, h, 1.0)
     n._survey(START)
@@ -363,27 +377,27 @@
 
 
 def test_a_list_that_leaves_no_host_running_stops_nothing():
-    n = node(2)
-    standing(n, 0, [10.0] * 5)
-    figures(n, [0.5, 0.5])
-    n.update_roster(START, RosterScope.FULL, [entry(h, HostState.DRAINING) for h in range(2)])
+    n = make_node(2)
+    add_established(n, 0, [10.0] * 5)
+    set_reported_loads(n, [0.5, 0.5])
+    n.update_roster(START, RosterScope.FULL, [roster_entry(h, HostState.DRAINING) for h in range(2)])
     assert Wake(500.0, -1) in n.timer_fired(START, -1)
 
 
 def test_the_room_of_a_host_that_drains_is_no_room():
-    n = node(3)
-    standing(n, 1, [10.0] * 20)
-    figures(n, [0.0, 0.6, 0.6])
+    n = make_node(3)
+    add_established(n, 1, [10.0] * 20)
+    set_reported_loads(n, [0.0, 0.6, 0.6])
     before = n.part
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, HostState.DRAINING)])
+    n.update_roster(START, RosterScope.CHANGES, [roster_entry(0, HostState.DRAINING)])
     n.timer_fired(START, -1)
     assert 0 < n.part < before / 2
 
 
 @pytest.mark.parametrize("figures_told, again", [(True, 1), (False, 0)])
 def test_a_host_that_has_told_no_figure_yet_is_asked_at_each_tick(figures_told, again):
-    n = node(1, figures=figures_told)
-    standing(n, 0, [10.0] * 3)
+    n = make_node(1, figures=figures_told)
+    add_established(n, 0, [10.0] * 3)
     for tick in range(1, 9):
         n.timer_fired(START + 500.0 * tick, -1)
         n.probe_completed(START + 500.0 * tick, 0, Outcome.GOOD, LoadReport())
@@ -394,10 +408,10 @@
 
 @pytest.mark.parametrize("nodes, looks", [(3, 4), (300, 2)])
 def test_few_nodes_look_at_their_hosts_though_no_session_pays(nodes, looks):
-    n = node(4, nodes=nodes)
+    n = make_node(4, nodes=nodes)
     for h in range(4):
-        standing(n, h, [10.0] * 3, first=100 * h)
-    figures(n, [0.5] * 4)
+        add_established(n, h, [10.0] * 3, first=100 * h)
+    set_reported_loads(n, [0.5] * 4)
     n.probe_credit, seen = 0.0, []
     for tick in range(1, 9):
         acts = n.timer_fired(START + 500.0 * tick, -1)
@@ -414,8 +428,8 @@
 @pytest.mark.parametrize("others", [0, 90])
 def test_what_fills_a_host_is_learned_from_all_that_it_holds(others):
     """A node that has just started holds few of the connections, or all of them while the others are away."""
-    n = node(hosts=2)
-    standing(n, 0, [10.0] * 10)
+    n = make_node(hosts=2)
+    add_established(n, 0, [10.0] * 10)
     for h in range(2):
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.5, None, (10.0 + 2 * others) / 2))
     n._survey(START)
@@ -423,7 +437,7 @@
 
 
 def test_a_host_that_holds_connections_and_tells_no_load_has_not_measured_it():
-    n = node(hosts=2)
+    n = make_node(hosts=2)
     n.probe_completed(START, 0, Outcome.GOOD, LoadReport(0.0, None, 120.0))
     n.probe_completed(START, 1, Outcome.GOOD, LoadReport(0.0, None, 0.0))
     assert (n.figure[0], n.figure[1]) == (None, 0.0)
@@ -434,22 +448,24 @@
 
 def test_a_host_whose_look_failed_is_not_looked_at_again_at_once():
     # Danger: a host that drains answers no probe; sessions that wait all look again, by the hundred.
-    n = node(2, entries=[entry(0)])
+    n = make_node(2, entries=[roster_entry(0)])
     n.seen_at = [-1e9]
-    looks = n.open_session(START, ask(1))
+    looks = n.open_session(START, session_request(1))
     assert Probe(0) in looks
     n.probe_completed(START + 1, 0, Outcome.ERROR, LoadReport())
-    later = [n.timer_fired(START + t, 1) for t in (101.0, 202.0)] + [n.open_session(START + 300, ask(2))]
+    later = [n.timer_fired(START + t, 1) for t in (101.0, 202.0)] + [
+        n.open_session(START + 300, session_request(2))
+    ]
     assert not any(isinstance(a, Probe) for acts in later for a in acts)
-    assert Probe(0) in n.open_session(START + 1500, ask(3))
+    assert Probe(0) in n.open_session(START + 1500, session_request(3))
 
 
 @pytest.mark.parametrize("others", [0.3, 0.9])
 def test_where_few_hosts_have_room_all_nodes_are_held_to_draw_the_same(others):
     # Danger: 40 nodes see one host with room; each counting for the root of them fills it six times over.
-    n = node(4, nodes=40)
-    standing(n, 0, [10.0] * 10)
-    figures(n, [0.3, others, others, others])
+    n = make_node(4, nodes=40)
+    add_established(n, 0, [10.0] * 10)
+    set_reported_loads(n, [0.3, others, others, others])
     before = n._load(START, 0)
     n._add(START, 0, 10.0)
     rise = (n._load(START, 0) - before) * n.unit / 10.0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,7 +23,9 @@
 from pathlib import Path
 
 import pytest
-from helpers import CONFIG, OPEN, START, make_handler, free_ports, row, serve_lines, serve_list, write
+from helpers import (
+    CONFIG, OPEN_LINE, START, free_ports, host_row, make_handler, serve_host_list, serve_lines, write_config,
+)  # fmt: skip
 
 from caperdeck.lab.wall_clock import WallClock
 from caperdeck.state.clocks import WallClockMonitor, node_clock
@@ -43,7 +45,7 @@
     def __init__(self):
         self.at_host = None
         host = serve_lines(lambda line: self.at_host(line))
-        self.discovery = serve_list(row("s-0", port=host))
+        self.discovery = serve_host_list(host_row("s-0", port=host))
 
 
 class RunningNode:
@@ -54,7 +56,7 @@
         (self.port,) = free_ports(1)
         config = CONFIG | {"listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{discovery}",
                            "known": {"rev": 41, "targets": []}}  # fmt: skip
-        environment = os.environ | write(folder / "c", config)
+        environment = os.environ | write_config(folder / "c", config)
         self.process = subprocess.Popen(
             [sys.executable, "-c", RUN, str(self.clock.path)], env=environment, stderr=subprocess.PIPE
         )
@@ -113,7 +115,7 @@
     node = run_node(host)
     with node.client() as client:
         sent = time.monotonic()
-        client.sendall(OPEN + b"\r\n")
+        client.sendall(OPEN_LINE + b"\r\n")
         assert host.asked.wait(5)
         node.clock.step_to(step)
         answer = client.makefile("rb").readline()
@@ -126,7 +128,7 @@
     host = SlowHost(0.15)  # less than the time-out of a first dial
     node = run_node(host)
     with node.client() as client, node.client() as other:
-        client.sendall(OPEN + b"\r\n")
+        client.sendall(OPEN_LINE + b"\r\n")
         assert host.asked.wait(5)
         node.clock.step_to(step)
         other.sendall(b"PING\r\n")  # wakes the node before the host answers
@@ -140,7 +142,7 @@
     node = run_node(SlowHost(0.0))
     with node.client() as client:
         answers = client.makefile("rb")
-        client.sendall(OPEN + b"\r\n")
+        client.sendall(OPEN_LINE + b"\r\n")
         assert answers.readline() == b"UP r1\r\n"
         sent = time.monotonic()
         node.process.send_signal(signal.SIGTERM)
@@ -162,7 +164,7 @@
     node = run_node(at_host)
     with node.client() as client:
         answers = client.makefile("rb")
-        client.sendall(OPEN + b"\r\n")
+        client.sendall(OPEN_LINE + b"\r\n")
         assert answers.readline() == b"UP r1\r\n"
         vanished.set()
         node.clock.step_to(-HOUR)
@@ -182,7 +184,7 @@
     """The age and the warmth of a host that started so long ago, at a node whose date is so much ahead."""
     d = make_handler(hosts=1)
     d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() + date_ahead)
-    d.update_roster(whole, [row("s-0"), row("s-9", boot=BOOT - true_age)])
+    d.update_roster(whole, [host_row("s-0"), host_row("s-9", boot=BOOT - true_age)])
     node, h = d.balancer._node, d.hosts.index_by_uid["s-9"]
     return d.clock() - node.started_at[h], node._warmth(d.clock(), h)
 
@@ -207,7 +209,7 @@
 def test_a_host_is_cold_for_as_long_as_it_warms_up_under_a_date_an_hour_behind():
     d = make_handler(hosts=1)
     d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() - HOUR * 1000)
-    d.update_roster(False, [row("s-9", boot=BOOT)])
+    d.update_roster(False, [host_row("s-9", boot=BOOT)])
     d.reactor.advance(8.1)
     assert d.balancer._node._warmth(d.clock(), 1) == 1.0
 
@@ -236,7 +238,7 @@
 
 def test_another_process_of_the_node_reads_the_same_clock_and_knows_the_same_starts(monkeypatch):
     before = make_handler(hosts=1)
-    before.update_roster(False, [row("s-9", boot=BOOT)])
+    before.update_roster(False, [host_row("s-9", boot=BOOT)])
     read = node_clock()
     monkeypatch.setattr("time.time", lambda: 0.0)
     assert 0 <= node_clock() - read < 1000.0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import CONFIG, SETUP, write
+from helpers import CONFIG, SETUP, write_config
 
 from caperdeck.__main__ import main
 from caperdeck.distribution.publisher_selection import Place
@@ -79,7 +79,7 @@
     path = control_file(tmp_path / "control", tmp_path, **changes)
     with pytest.raises(ConfigError, match=text):
         load_control(path, "n1")
-    write(tmp_path / "c", CONFIG)
+    write_config(tmp_path / "c", CONFIG)
     for command in ("check", "serve"):
         assert main([command, f"--config={tmp_path / 'c'}", f"--control={path}"]) == 2
         said = capsys.readouterr().err
@@ -87,7 +87,7 @@
 
 
 def test_check_takes_a_control_file(tmp_path, capsys):
-    write(tmp_path / "c", CONFIG)
+    write_config(tmp_path / "c", CONFIG)
     path = control_file(tmp_path / "control", tmp_path)
     assert main(["check", f"--config={tmp_path / 'c'}", f"--control={path}"]) == 0
 
@@ -102,7 +102,7 @@
 
 
 def own(tmp_path, **changes):
-    return load_config(write(tmp_path / "own", CONFIG | changes), keep=True)
+    return load_config(write_config(tmp_path / "own", CONFIG | changes), keep=True)
 
 
 ROW = SETUP["listeners"][0]
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -5,7 +5,9 @@
 import sys
 
 import pytest
-from helpers import CONFIG, SETUP, START, Stepped, Wire, make_handler, logged, write
+from helpers import (
+    CONFIG, SETUP, START, RecordingTransport, SteppedReactor, captured_log, make_handler, write_config,
+)  # fmt: skip
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.protocol import ServerFactory
@@ -37,7 +39,7 @@
     return {"settings": {"fleetSize": nodes}}
 
 
-class Socket(Wire):
+class Socket(RecordingTransport):
     def setsockopt(self, *_):
         pass
 
@@ -105,7 +107,7 @@
     def __init__(self, folder, name="n1", reactor=None, address=ADDRESS, **own):
         self.folder, self.disk = folder, Disk()
         self.reactor = reactor or MemoryReactorClock()
-        self.environment = write(folder / "c", CONFIG | own | {"name": name})
+        self.environment = write_config(folder / "c", CONFIG | own | {"name": name})
         place = Place("o0", "z0", "north")
         control = Control("t", Place(name, "z0", "north"), str(folder), {"o0": Instance(place, address)})
         self.published = Published(self.reactor, control, self.read_own, self.disk)
@@ -261,7 +263,7 @@
     row = SETUP["listeners"][0]
     served(tmp_path, {"settings": {"listeners": [row, row | {"name": "second"}]}})
     aims = {"settings": SETUP | {"specifics": {"messageAim": [0.3, "none"]}}}
-    with logged() as log:
+    with captured_log() as log:
         node = Node(tmp_path, **aims).start()
     assert any("version refused revision=1 settings.listeners: " in line for line in log)
     assert node.revision == 0 and node.watch.subscriber.refusal.revision == 1
@@ -273,7 +275,7 @@
     node.disk.held_up = True
     instances.publish(fleet_size(6))
     node.play(instances)
-    write(tmp_path / "c", CONFIG | {"limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"limits": {"sockets": 512}})
     node.service.reload()
     assert node.service.config.sockets == 256
     node.disk.tell()
@@ -282,14 +284,14 @@
 
 def test_a_reload_puts_the_version_over_the_nodes_file_again(tmp_path):
     node, _ = served(tmp_path, fleet_size(5))
-    write(tmp_path / "c", CONFIG | {"discovery": "127.0.0.1:8600", "limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"discovery": "127.0.0.1:8600", "limits": {"sockets": 512}})
     node.service.reload()
     config = node.service.config
     assert (config.discovery, config.sockets, config.settings.nodes) == ("127.0.0.1:8600", 512, 5)
-    write(tmp_path / "c", "{")
+    write_config(tmp_path / "c", "{")
     node.service.reload()
     assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
-    write(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
+    write_config(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
     node.service.reload()
     assert node.service.config is config  # a file that was cut short
 
@@ -298,7 +300,7 @@
     node, _ = served(tmp_path, {"settings": {"projects": [{"name": "acme"}]}})
     config = node.service.config
     short = {key: value for key, value in SETUP.items() if key != "projects"}
-    write(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
     node.service.reload()
     assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
 
@@ -320,7 +322,7 @@
 def test_a_version_that_the_disk_did_not_take_is_tried_again_ever_more_slowly_until_it_does(tmp_path):
     node, instances = served(tmp_path, fleet_size(5))
     node.disk.full = True
-    with logged() as log:
+    with captured_log() as log:
         instances.publish(fleet_size(6))
         node.play(instances, 200.0)
     tries = [line for line in log if "version refused revision=2" in line]
@@ -338,7 +340,7 @@
     monkeypatch.setattr("caperdeck.distribution.node.MOST_RETRIES", 2)
     node, instances = served(tmp_path, fleet_size(5))
     node.disk.full = True
-    with logged() as log:
+    with captured_log() as log:
         instances.publish(fleet_size(6))
         node.play(instances, 60.0)
         assert sum("version refused revision=2" in line for line in log) == 3
@@ -386,7 +388,7 @@
 def test_a_damaged_file_is_told_of_and_counts_as_nothing_held(tmp_path):
     node, instances = served(tmp_path, fleet_size(5))
     (tmp_path / "version").write_bytes(b"{}")
-    with logged() as log:
+    with captured_log() as log:
         second = Node(tmp_path)
     assert len([line for line in log if "version reason=file" in line and "damaged" in line]) == 1
     second.reactor.advance(node.reactor.seconds())
@@ -503,7 +505,7 @@
 
 
 def test_versions_come_over_loopback_sockets(tmp_path):
-    reactor = Stepped()
+    reactor = SteppedReactor()
     factory = ServerFactory.forProtocol(Watched)
     port = reactor.listenTCP(0, factory, interface="127.0.0.1")
     address = Address("127.0.0.1", port.getHost().port)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -7,7 +7,7 @@
 import time
 
 import tomli_w
-from helpers import CONFIG, SETUP, free_ports, write
+from helpers import CONFIG, SETUP, free_ports, write_config
 from test_distribution_processes import ROOT, Instances, until
 
 from caperdeck.distribution import commands
@@ -30,7 +30,7 @@
         self.start()
 
     def start(self):
-        environment = os.environ | write(self.folder / "c", self.config)
+        environment = os.environ | write_config(self.folder / "c", self.config)
         words = [sys.executable, "-m", "caperdeck", "serve", f"--control={self.folder / 'control'}"]
         self.process = subprocess.Popen(words, cwd=ROOT, env=environment, stderr=subprocess.PIPE)
         assert b"start node=n1" in next(x for x in self.process.stderr if b"version " not in x)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,7 +1,7 @@
 """Choices that add up: subsets, turns, signals, further tries; properties over fleets of any size."""
 
 import pytest
-from helpers import make_handler, row
+from helpers import host_row, make_handler
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -144,13 +144,13 @@
 def test_a_node_is_told_its_subset_with_each_list_and_none_where_that_leaves_nobody_out():
     d = make_handler(hosts=30)
     d.subsets = Subsets(3, 40)
-    d.update_roster(True, [row(f"s-{h}", port=9000 + h) for h in range(30)])
+    d.update_roster(True, [host_row(f"s-{h}", port=9000 + h) for h in range(30)])
     first = d.balancer._node.preferred
     assert len(first) in (8, 9) and first == d.subsets.narrowed(False)
     gone = d.hosts.uids[first[0]]
-    d.update_roster(False, [row(gone, state="Gone")])
+    d.update_roster(False, [host_row(gone, state="Gone")])
     assert first[0] not in d.balancer._node.preferred and len(d.balancer._node.preferred) in (8, 9)
-    d.update_roster(True, [row(f"s-{h}", port=9000 + h) for h in range(5)])
+    d.update_roster(True, [host_row(f"s-{h}", port=9000 + h) for h in range(5)])
     assert d.balancer._node.preferred == []
 
 
--- a/tests/test_core_parts.py
+++ b/tests/test_core_parts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import START, ask, entry, node, settings
+from helpers import START, make_node, make_settings, roster_entry, session_request
 
 from caperdeck.core.forecast import FORECAST_TAU, forecast, take_load_note
 from caperdeck.core.host_table import HostTable
@@ -45,9 +45,9 @@
 
 
 def test_a_forecast_starts_at_the_hint_or_the_mean_and_goes_to_the_last_note_by_its_time_constant():
-    n = node(1)
-    n.resume_session(START, ask(1, load=10.0), 0)
-    n.resume_session(START, ask(2, load=None), 0)
+    n = make_node(1)
+    n.resume_session(START, session_request(1, load=10.0), 0)
+    n.resume_session(START, session_request(2, load=None), 0)
     hinted, unknown = n.sessions[1], n.sessions[2]
     assert forecast(hinted, START, 30.0) == 10.0 and forecast(unknown, START, 30.0) == 30.0
     take_load_note(hinted, START, 50.0, 30.0)
@@ -73,7 +73,7 @@
 
 
 def table(*entries) -> HostTable:
-    hosts = HostTable(settings())
+    hosts = HostTable(make_settings())
     for e in entries:
         hosts._enter(START, e)
     hosts._recount(START)
@@ -82,23 +82,24 @@
 
 def test_a_table_tells_the_hosts_that_run_those_near_and_those_cold():
     hosts = table(
-        entry(0), entry(1, zone=1), entry(2, HostState.DRAINING), entry(3, born=START - 4000.0, size=2.0),
+        roster_entry(0), roster_entry(1, zone=1), roster_entry(2, HostState.DRAINING),
+        roster_entry(3, started_at=START - 4000.0, size=2.0),
     )  # fmt: skip
     assert (hosts.running, hosts.near, hosts.cold) == ([0, 1, 3], [0, 3], [3])
     assert hosts.whole_size == 4.0 and hosts._warmth(START, 3) == pytest.approx(0.65)
 
 
 def test_a_host_that_starts_anew_loses_what_was_learned_and_keeps_its_own_sessions():
-    hosts = table(entry(0))
+    hosts = table(roster_entry(0))
     hosts.figure[0], hosts.ill[0], hosts.held[0] = 0.5, 3.0, 2
-    hosts._enter(START, entry(0, born=0.0))
+    hosts._enter(START, roster_entry(0, started_at=0.0))
     assert (hosts.figure[0], hosts.ill[0]) == (0.5, 3.0)
-    hosts._enter(START, entry(0, born=START - 10.0))
+    hosts._enter(START, roster_entry(0, started_at=START - 10.0))
     assert (hosts.figure[0], hosts.ill[0], hosts.held[0]) == (None, 0.0, 2)
 
 
 def test_a_host_taken_out_by_hand_counts_as_draining_and_as_cold_once_it_is_back():
-    hosts = table(entry(0), entry(1))
+    hosts = table(roster_entry(0), roster_entry(1))
     hosts._enter_ban(START, 0, True)
     hosts._recount(START)
     assert (hosts.state[0], hosts.running) == (HostState.DRAINING, [1])
@@ -108,14 +109,14 @@
 
 
 def test_what_the_whole_roster_does_not_name_is_gone():
-    n = node(3)
-    n.update_roster(START, RosterScope.FULL, [entry(1)])
+    n = make_node(3)
+    n.update_roster(START, RosterScope.FULL, [roster_entry(1)])
     assert n.listed == [HostState.GONE, HostState.RUNNING, HostState.GONE]
 
 
 def test_a_dial_and_a_stream_count_at_their_host():
-    n = node(1)
-    n.open_session(START, ask(1))
+    n = make_node(1)
+    n.open_session(START, session_request(1))
     assert (n.held, n.dialing, n.sent, n.extra) == ([1], [1], {(0, 0.0): 1}, [10.0])
     n.session_established(START, 1)
     assert (n.held, n.dialing, list(n.standing[0]), list(n.mine)) == ([1], [0], [1], [0])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """The terms of the full fleet that one node can break alone."""
 
 import pytest
-from helpers import OPEN, SETUP, accept, connect, make_handler, lost, row
+from helpers import OPEN_LINE, SETUP, accept, connect, host_row, lose_connection, make_handler
 from twisted.internet.error import ConnectionRefusedError as Refused
 from twisted.python.failure import Failure
 
@@ -21,7 +21,7 @@
 
 def test_a_session_never_sent_on_is_refused_with_a_back_off_and_not_failed():
     d = once_only(make_handler())
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     refused_by_all(d)
     (line,) = client.transport.lines()
     assert line.startswith(b"BUSY ") and 500 <= int(line[5:]) <= 1000
@@ -29,15 +29,15 @@
 
 def test_a_once_only_session_whose_answer_is_lost_fails_and_is_sent_to_nobody_else():
     d = once_only(make_handler())
-    client = connect(d, OPEN)
-    lost(accept(d), clean=False)
+    client = connect(d, OPEN_LINE)
+    lose_connection(accept(d), clean=False)
     assert client.transport.lines() == [b"ERR"] and len(d.reactor.tcpClients) == 1
 
 
 @pytest.mark.parametrize("late", [b"UP r1\r\n", b"\x00\xff spoilt\r\n", b"BUSY\r\n", b""])
 def test_what_a_host_says_after_the_dial_timeout_reaches_nobody(late):
     d = make_handler(mostDials=1)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     host = accept(d)
     d.reactor.pump([0.05] * 24)
     answered = client.transport.lines()
@@ -47,8 +47,8 @@
 
 def test_an_answer_is_not_held_back_once_it_is_given_up():
     d = make_handler(hosts=1)
-    d.update_roster(False, [row("s-0", "Terminating")])
-    client = connect(d, OPEN)
+    d.update_roster(False, [host_row("s-0", "Terminating")])
+    client = connect(d, OPEN_LINE)
     d.reactor.advance(SETUP["listeners"][0]["handshakeTarget"])
     assert client.transport.lines()[0].startswith(b"BUSY ")
 
@@ -56,9 +56,9 @@
 def test_a_client_that_comes_again_with_its_id_is_served_each_time_and_held_once():
     d = make_handler()
     for _ in range(50):
-        client = connect(d, OPEN)
+        client = connect(d, OPEN_LINE)
         accept(d)
-        lost(client, clean=False)
-    again = connect(d, OPEN)
+        lose_connection(client, clean=False)
+    again = connect(d, OPEN_LINE)
     accept(d).dataReceived(b"UP r1\r\n")
     assert again.transport.lines() == [b"UP r1"] and len(d.sessions.by_index) == d.budget.session_count == 1
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import SETUP, free_ports, left_running, ping_until_ready
+from helpers import SETUP, free_ports, ping_until_ready, processes_with_environment
 from test_lab_virtual import FOLDER, SCENARIOS
 
 from caperdeck.lab.history import read
@@ -110,7 +110,7 @@
 
 
 def test_no_process_of_a_run_is_left(runs):
-    assert left_running(runs[0]) == []
+    assert processes_with_environment(runs[0]) == []
 
 
 def test_virtual_and_real_agree_on_a_calm_fleet(runs):
@@ -131,15 +131,15 @@
         env=os.environ | {"TMPDIR": str(tmp_path)},
     )  # fmt: skip
     end = time.monotonic() + 30
-    while len(left_running(tmp_path)) < 8 and time.monotonic() < end:
+    while len(processes_with_environment(tmp_path)) < 8 and time.monotonic() < end:
         time.sleep(0.1)
-    assert len(left_running(tmp_path)) >= 8  # the rig, its four parts and three nodes
+    assert len(processes_with_environment(tmp_path)) >= 8  # the rig, its four parts and three nodes
     rig.send_signal(number)
     rig.wait(20)
     end = time.monotonic() + 10
-    while left_running(tmp_path) and time.monotonic() < end:
+    while processes_with_environment(tmp_path) and time.monotonic() < end:
         time.sleep(0.1)
-    assert left_running(tmp_path) == []
+    assert processes_with_environment(tmp_path) == []
 
 
 @pytest.mark.parametrize("words, reason", [
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from helpers import left_running
+from helpers import processes_with_environment
 
 from caperdeck.lab.cli import InterruptedRunError
 from caperdeck.lab.scale import checks
@@ -422,7 +422,7 @@
     # a rack that has just been started again is told a little later than the run may last
     whole = [view for view in m.views if view.at < m.fault("rack").at]
     assert whole[-1].told > 0.9 and whole[-1].known > 0.1
-    assert left_running(tmp_path) == []
+    assert processes_with_environment(tmp_path) == []
 
 
 def test_an_interrupt_beside_the_steps_ends_the_run_at_once(monkeypatch):
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -8,8 +8,9 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, ask, at_host, make_handler, entry, free_ports, node, opening, opening_at,
-    ping_until_ready, row, serve_lines, serve_list, write,
+    CONFIG, RESUME_WITHIN_S, START, RecordingTransport, answer_as_host, free_ports, host_row, make_handler,
+    make_node, open_line, ping_until_ready, resume_line, roster_entry, serve_host_list, serve_lines,
+    session_request, write_config,
 )  # fmt: skip
 from node_processes import connected
 from test_race_conditions import HEADERS, Agent
@@ -29,19 +30,21 @@
     """A node as a process; all servers of its list are one stand-in."""
 
     def __init__(self, folder, servers):
-        port = serve_lines(at_host)
-        rows = [row(f"s-{i:08x}", port=port) for i in range(servers)]
+        port = serve_lines(answer_as_host)
+        rows = [host_row(f"s-{i:08x}", port=port) for i in range(servers)]
         self.port = free_ports(1)[0]
         config = CONFIG | {
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{serve_list(*rows)}",
+            "discovery": f"127.0.0.1:{serve_host_list(*rows)}",
             "limits": {"sockets": OVER_STANDING + 2 * STANDING},
             "known": {"rev": 41, "all": True, "targets": rows},
         }
         self.sockets = []
         with open(folder / "log", "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "caperdeck", "serve"], env=write(folder / "c", config), stderr=log
+                [sys.executable, "-m", "caperdeck", "serve"],
+                env=write_config(folder / "c", config),
+                stderr=log,
             )
 
     def client(self, line):
@@ -78,10 +81,10 @@
 # guards against: lost connections that stood before a node's start, where its list has thousands of servers
 @pytest.mark.parametrize("fleet", [1200, 3200], indirect=True)
 def test_connections_that_stood_before_come_up_in_a_fleet_of_thousands_of_servers(fleet):
-    until = time.monotonic() + UP_WITHIN
+    until = time.monotonic() + RESUME_WITHIN_S
     ping_until_ready(fleet.port, until)
     for i in range(STANDING):
-        fleet.client(opening_at(i, f"s-{7 * i:08x}"))
+        fleet.client(resume_line(i, f"s-{7 * i:08x}"))
     assert fleet.answers(until) == [b"UP r1\r\n"] * STANDING
 
 
@@ -90,7 +93,7 @@
 def test_new_clients_are_served_in_a_fleet_of_thousands_of_servers(fleet):
     ping_until_ready(fleet.port, time.monotonic() + READY_WITHIN)
     for i in range(STANDING):
-        fleet.client(opening(i))
+        fleet.client(open_line(i))
     assert fleet.answers(time.monotonic() + 5.0) == [b"UP r1\r\n"] * STANDING
 
 
@@ -99,7 +102,7 @@
     d.probes.probe(host, d.hosts.addresses[host])
     if answers:
         conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
-        conn.makeConnection(Wire())
+        conn.makeConnection(RecordingTransport())
         conn.dataReceived(b"PONG x0=0.2\r\n")
 
 
@@ -147,11 +150,13 @@
 def busy_node(servers, cold):
     """A node of a fleet of 200 in a release; more servers are smaller ones, all together do the same."""
     born = [START - 2000.0] * cold + [0.0] * (servers - cold)
-    n = node(nodes=200, entries=[entry(h, zone=h % 3, born=born[h]) for h in range(servers)])
+    n = make_node(
+        nodes=200, entries=[roster_entry(h, zone=h % 3, started_at=born[h]) for h in range(servers)]
+    )
     for h in range(0, servers, servers // 60):
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
     for i in range(40):
-        n.resume_session(START, ask(1000 + i), i * servers // 40)
+        n.resume_session(START, session_request(1000 + i), i * servers // 40)
     n.timer_fired(START, TICK_TOKEN)
     return n
 
@@ -160,7 +165,7 @@
     """20 sessions of groups of their own come, look, and leave; two ticks."""
     for i in range(20):
         now, number = start + 50.0 * i, int(start) + i
-        n.open_session(now, ask(number, group=number))
+        n.open_session(now, session_request(number, group=number))
         n.timer_fired(now + 20.0, number)
         n.client_disconnected(now + 40.0, number)
         if i % 10 == 9:
@@ -181,7 +186,7 @@
 
 
 def large_list(servers):
-    rows = [row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
+    rows = [host_row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
     return orjson.dumps({"rev": 9, "all": True, "targets": rows}) + b"\n"
 
 
@@ -196,7 +201,7 @@
     """Processor seconds to read the list of so many servers in pieces of that size."""
     heard, text = [], large_list(servers)
     body = WatchBody(watch_of(MemoryReactorClock(), heard))
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     began = time.process_time()
     for at in range(0, len(text), size):
         body.dataReceived(text[at : at + size])
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -14,8 +14,8 @@
 import pytest
 from conftest import known_red
 from helpers import (
-    CONFIG, OPEN, SETUP, START, accept, at_host, connect, make_handler, free_ports, logged, row, serve_lines,
-    serve_list, service_over, settings, up, write,
+    CONFIG, OPEN_LINE, SETUP, START, accept, answer_as_host, captured_log, connect, establish, free_ports,
+    host_row, make_handler, make_settings, serve_host_list, serve_lines, service_over, write_config,
 )  # fmt: skip
 
 from caperdeck.core.facade import (
@@ -31,7 +31,7 @@
 
 
 def balancer(hosts=2, **changes):
-    b = Balancer(settings(**changes), START)
+    b = Balancer(make_settings(**changes), START)
     b.handle_event(
         START,
         RosterUpdated(True, [RosterEntry(h, HostState.RUNNING, 1.0, 0, 0, 0.0, h) for h in range(hosts)]),
@@ -83,7 +83,7 @@
 
 
 def test_a_configuration_is_read_whole(tmp_path):
-    config = load_config(write(tmp_path / "c", CONFIG))
+    config = load_config(write_config(tmp_path / "c", CONFIG))
     assert (config.listen, config.sockets, config.rev) == (Address("127.0.0.1", 9000), 256, 41)
     assert config.settings.seed == 0x8C1F30D27A5BE964 and config.names.listeners == {"chat": 0}
 
@@ -96,7 +96,7 @@
 ])  # fmt: skip
 def test_a_bad_configuration_has_a_named_reason(tmp_path, change, word):
     with pytest.raises(ConfigError, match=word):
-        load_config(write(tmp_path / "c", change if isinstance(change, str) else CONFIG | change))
+        load_config(write_config(tmp_path / "c", change if isinstance(change, str) else CONFIG | change))
 
 
 def test_without_a_configuration_the_node_says_so():
@@ -126,9 +126,11 @@
 def test_another_discovery_and_other_limits_are_taken_while_sessions_stay(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
-    client, host = up(d)
+    client, host = establish(d)
     service.discovery.start()
-    write(tmp_path / "c", CONFIG | {"discovery": "127.0.0.2:8600", "limits": {"sockets": 512}, "name": "n2"})
+    write_config(
+        tmp_path / "c", CONFIG | {"discovery": "127.0.0.2:8600", "limits": {"sockets": 512}, "name": "n2"}
+    )
     service.reload()
     assert (d.reactor.tcpClients[-1][1], service.discovery.rev) == (8600, 0)
     assert (d.budget.limit, service.config.name, service.config.sockets) == (512, "n1", 512)
@@ -147,8 +149,8 @@
     if text is None:
         os.mkfifo(tmp_path / "c")
     else:
-        write(tmp_path / "c", text)
-    with logged() as log:
+        write_config(tmp_path / "c", text)
+    with captured_log() as log:
         service.reload()
     assert service.config is before and service.discovery.address == "127.0.0.1:8500"
     assert not d.reactor.tcpClients and [line for line in log if "reload reason=unusable" in line]
@@ -165,15 +167,15 @@
 def test_an_added_class_has_its_own_rules_and_a_dropped_one_lives_on_in_its_sessions(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
-    old, host = up(d)
-    waiting = connect(d, OPEN.replace(b"9b1f", b"aaaa"))
+    old, host = establish(d)
+    waiting = connect(d, OPEN_LINE.replace(b"9b1f", b"aaaa"))
     once = ROW | {"name": "once", "effect": "at_most_once"}
-    write(tmp_path / "c", classes(once, mostDials=1))
+    write_config(tmp_path / "c", classes(once, mostDials=1))
     service.reload()
-    assert connect(d, OPEN.replace(b"9b1f", b"bbbb")).transport.lines() == [b"ERR"]
+    assert connect(d, OPEN_LINE.replace(b"9b1f", b"bbbb")).transport.lines() == [b"ERR"]
     accept(d).dataReceived(b"ERR\r\n")  # the class of the one that waits was repeatable, with three dials
     assert not waiting.transport.lines() and len(d.reactor.tcpClients) == 3
-    new = connect(d, OPEN.replace(b"9b1f", b"cccc").replace(b"c=chat", b"c=once"))
+    new = connect(d, OPEN_LINE.replace(b"9b1f", b"cccc").replace(b"c=chat", b"c=once"))
     accept(d).dataReceived(b"ERR\r\n")
     assert new.transport.lines() == [b"ERR"]
     old.dataReceived(b"one\r\n")
@@ -184,8 +186,8 @@
 def test_a_connection_taken_up_after_its_class_was_dropped_stands_all_the_same(tmp_path):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
-    client = connect(d, OPEN + b",at=s-0")
-    write(tmp_path / "c", classes(ROW | {"name": "other"}))
+    client = connect(d, OPEN_LINE + b",at=s-0")
+    write_config(tmp_path / "c", classes(ROW | {"name": "other"}))
     service.reload()
     accept(d).dataReceived(b"UP r1\r\n")
     assert client.transport.lines() == [b"UP r1"]
@@ -206,7 +208,7 @@
 def test_a_window_a_wait_or_a_budget_that_cannot_be_is_named(tmp_path, config, field):
     text = json.dumps(config).replace("NaN", '"NaN"')
     with pytest.raises(ConfigError, match=field.replace("[", r"\[")):
-        load_config(write(tmp_path / "c", text))
+        load_config(write_config(tmp_path / "c", text))
 
 
 LONG = json.dumps(CONFIG)
@@ -226,8 +228,8 @@
     d = make_handler()
     service = service_over(d, tmp_path)
     before = service.config, d.names, d.limits, d.balancer._node.set
-    write(tmp_path / "c", text)
-    with logged() as log:
+    write_config(tmp_path / "c", text)
+    with captured_log() as log:
         service.reload()
     assert before == (service.config, d.names, d.limits, d.balancer._node.set)
     assert (d.metrics.accepted_configs, d.metrics.rejected_configs) == (0, 1)
@@ -241,12 +243,12 @@
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.stopped_at, d.stopping = d.clock(), True
-    sessions = [up(d) for _ in range(20)]
+    sessions = [establish(d) for _ in range(20)]
     front = connect(d)
     service.move_some()
     first = sum(client.transport.lines() == [b"MOVE"] for client, _ in sessions)
     d.reactor.pump([0.05] * 24)
-    late, _ = up(d)
+    late, _ = establish(d)
     d.reactor.pump([0.05] * 3)
     assert 0 < first < 10 and all(client.transport.lines() == [b"MOVE"] for client, _ in sessions)
     assert late.transport.lines() == [b"MOVE"] and front.closing
@@ -258,7 +260,7 @@
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.config = replace(service.config, limits=replace(service.config.limits, max_client_wait=longest))
-    at, clients = [], [up(d)[0] for _ in range(20)]
+    at, clients = [], [establish(d)[0] for _ in range(20)]
     monkeypatch.setattr(
         d, "redirect", lambda s, reason: at.append(d.clock() - START) or d._end_session(s, reason)
     )
@@ -285,10 +287,10 @@
 
 
 def test_a_node_serves_and_moves_its_clients_at_sigterm(tmp_path):
-    port, discovery = free_ports(1)[0], serve_list(row("s-0", port=serve_lines(at_host)))
+    port, discovery = free_ports(1)[0], serve_host_list(host_row("s-0", port=serve_lines(answer_as_host)))
     config = CONFIG | {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}",
                        "known": {"rev": 41, "targets": []}}  # fmt: skip
-    environment = os.environ | write(tmp_path / "c", config)
+    environment = os.environ | write_config(tmp_path / "c", config)
     command = [sys.executable, "-m", "caperdeck", "serve"]
     node = subprocess.Popen(command, env=environment, stderr=subprocess.PIPE)
     try:
@@ -298,7 +300,7 @@
             front.sendall(b"PING\r\n")
             assert lines_of(front).readline() == b"PONG\r\n"
             answers = lines_of(client)
-            client.sendall(OPEN + b"\r\n")
+            client.sendall(OPEN_LINE + b"\r\n")
             assert answers.readline() == b"UP r1\r\n"
             client.sendall(b"hello\r\n")
             assert answers.readline() == b"hello\r\n"
@@ -321,7 +323,7 @@
 
 def test_a_sigterm_that_comes_as_a_node_ends_does_not_make_it_look_killed(tmp_path):
     (port,) = free_ports(1)
-    environment = os.environ | write(tmp_path / "c", CONFIG | {"listen": f"127.0.0.1:{port}"})
+    environment = os.environ | write_config(tmp_path / "c", CONFIG | {"listen": f"127.0.0.1:{port}"})
     node = subprocess.Popen(
         [sys.executable, "-m", "caperdeck", "serve"], env=environment, stderr=subprocess.PIPE,
     )  # fmt: skip
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -6,7 +6,8 @@
 
 import pytest
 from helpers import (
-    CONFIG, OPEN, Loopback, Peer, Stepped, free_ports, made_and_closed, opening, read_all, row, write,
+    CONFIG, OPEN_LINE, FakePeer, LoopbackNode, SteppedReactor, closing_factory, free_ports, host_row,
+    open_line, read_all, write_config,
 )  # fmt: skip
 from test_race_conditions import HEADERS, chunk, list_of
 from twisted.internet.tcp import Client
@@ -19,12 +20,12 @@
 from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S, Discovery
 
 
-class Watched(Loopback):
+class Watched(LoopbackNode):
     """A desk that watches a list; the test is discovery, too."""
 
     def __init__(self, hosts=2, nodes=3, grace=0.25, **parts):
         super().__init__(hosts=hosts, **parts)
-        self.agent = Peer()
+        self.agent = FakePeer()
         self.handler.source = self.watch = Discovery(
             self.reactor, f"127.0.0.1:{self.agent.port}", 1, self.handler.update_roster,
             self.handler.discovery_heard, lambda *_: None, BackOff(7, nodes), self.away, grace / 2,
@@ -37,7 +38,7 @@
         return bool(self.handler.stall)
 
     def row(self, h, state="Ready"):
-        return row(f"s-{h}", state, self.hosts[h].port)
+        return host_row(f"s-{h}", state, self.hosts[h].port)
 
     def opened(self):
         """The watch is open, and its first line has been read."""
@@ -73,7 +74,7 @@
 
 @pytest.fixture
 def watched():
-    yield from made_and_closed(Watched)
+    yield from closing_factory(Watched)
 
 
 # ---- one turn reads the host's socket before the list's
@@ -116,7 +117,7 @@
     lo.opened().close()
     lo.sweeps()
     lo.stand(3.0)
-    client = lo.client(OPEN.replace(b"d=1200", b"d=9000"))
+    client = lo.client(OPEN_LINE.replace(b"d=1200", b"d=9000"))
     lo.reactor.pass_time(0.06, step=0.01)
     assert lo.handler.stall and lo.agent.accept()
     lo.agent.accepted[-1].send(HEADERS)
@@ -158,7 +159,7 @@
 
 @pytest.fixture
 def unwatched():
-    yield from made_and_closed(Unwatched)
+    yield from closing_factory(Unwatched)
 
 
 @pytest.mark.parametrize("grace", [0.25, 0.5])
@@ -166,7 +167,7 @@
     # Danger: what discovery has counts as told with no watch open, and the wait for the next one is longer.
     lo = unwatched(grace=grace)
     lo.pass_time(grace + 0.01)
-    clients = [lo.client(opening(n)) for n in range(8)]
+    clients = [lo.client(open_line(n)) for n in range(8)]
     for _ in range(5):
         lo.pass_time(0.01)
         assert not lo.sent(0)
@@ -191,12 +192,12 @@
 
 def test_requests_within_the_grace_and_with_a_discovery_that_is_gone_are_not_kept(unwatched):
     lo = unwatched(grace=0.25)
-    clients = [lo.client(opening(1))]
+    clients = [lo.client(open_line(1))]
     lo.pass_time(0.02)
     assert lo.asked() == {b"0001"}
     lo.pass_time(0.3)
     lo.agent.server.close()
-    clients.append(lo.client(opening(2)))
+    clients.append(lo.client(open_line(2)))
     lo.pass_time(0.05)
     assert lo.asked() == {b"0002"}
 
@@ -205,7 +206,7 @@
     lo = unwatched(grace=0.25)
     calls, began, clients, asked = 0, lo.reactor.now, [], set()
     for n in range(100):
-        clients.append(lo.client(opening(n)))
+        clients.append(lo.client(open_line(n)))
         lo.pass_time(0.01)
         asked |= lo.asked()
         while lo.agent.accept():
@@ -223,9 +224,13 @@
 
     def __init__(self, folder, monkeypatch, hosts=2):
         monkeypatch.setattr(Service, "mind_signals", lambda self: None)
-        self.reactor, self.agent, self.hosts = Stepped(), Peer(), [Peer() for _ in range(hosts)]
+        self.reactor, self.agent, self.hosts = (
+            SteppedReactor(),
+            FakePeer(),
+            [FakePeer() for _ in range(hosts)],
+        )
         (port,) = free_ports(1)
-        environment = write(folder / "c", CONFIG | {
+        environment = write_config(folder / "c", CONFIG | {
             "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{self.agent.port}",
             "known": {"rev": 41, "all": True, "targets": [self.row(h) for h in range(hosts)]},
         }) | {"TMPDIR": str(folder)}  # fmt: skip
@@ -236,9 +241,9 @@
         self.number = port
 
     def row(self, h, state="Ready"):
-        return row(f"s-{h}", state, self.hosts[h].port)
+        return host_row(f"s-{h}", state, self.hosts[h].port)
 
-    client, sent = Loopback.client, Watched.sent
+    client, sent = LoopbackNode.client, Watched.sent
 
     def close(self):
         self.reactor.close()
@@ -256,7 +261,7 @@
 def test_a_new_process_sends_nothing_by_the_list_that_it_was_given(started):
     # Danger: what discovery has counts as told from the first moment of a process, and loading alone takes
     # as long as the grace; clients that lie in the queue of its port are read before the list is.
-    clients = [started.client(opening(n)) for n in range(8)]
+    clients = [started.client(open_line(n)) for n in range(8)]
     started.reactor.until(started.agent.accept)
     started.reactor.pass_time(0.06, step=0.01)
     assert not started.sent(0) and not started.sent(1) and len(started.service.handler.sessions.by_index) == 8
@@ -273,7 +278,7 @@
 
 
 def test_a_new_process_whose_discovery_says_nothing_serves_by_the_list_that_it_was_given(started):
-    client = started.client(OPEN)
+    client = started.client(OPEN_LINE)
     started.reactor.pass_time(LIST_WAIT_MS / MS - 0.05, step=0.01)
     assert not started.sent(0) + started.sent(1)
     started.reactor.pass_time(0.1, step=0.01)
@@ -283,7 +288,7 @@
 
 
 def test_a_new_process_waits_for_the_list_half_of_the_time_that_its_clients_have_at_the_most(started):
-    client = started.client(OPEN.replace(b"d=1200", b"d=300"))
+    client = started.client(OPEN_LINE.replace(b"d=1200", b"d=300"))
     started.reactor.pass_time(0.13, step=0.01)
     assert not started.sent(0) + started.sent(1)
     started.reactor.pass_time(0.05, step=0.01)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,8 +2,9 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Wire, accept, ask, connect, make_handler, dials, entry, figures, lost, node, opening, row,
-    service_over, standing, up,
+    OPEN_LINE, START, RecordingTransport, accept, add_established, connect, dials, establish, host_row,
+    lose_connection, make_handler, make_node, open_line, roster_entry, service_over, session_request,
+    set_reported_loads,
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -39,7 +40,7 @@
 
 def caller(front, *pieces):
     c = front.buildProtocol(None)
-    c.makeConnection(Wire())
+    c.makeConnection(RecordingTransport())
     for piece in pieces:
         c.dataReceived(piece)
     return c
@@ -69,7 +70,7 @@
     c = caller(front, b"readyz\n")
     c.readConnectionLost()
     assert c.transport.lines() == [b"ACK"] and c.transport.ended == "end"
-    lost(c)
+    lose_connection(c)
     assert not front.open
 
 
@@ -82,16 +83,16 @@
 
 def test_what_is_served_counts_once_and_stays_open_until_its_end():
     d = make_handler()
-    client, host = up(d)
+    client, host = establish(d)
     assert counts(d) == ([1, 0, 0], 1) and d.gauges()["open_requests"] == 1
     host.dataReceived(b"BYE\r\n")
-    lost(host)
+    lose_connection(host)
     assert counts(d) == ([1, 0, 0], 1) and d.gauges()["open_requests"] == 0
 
 
 def test_a_refusal_of_all_hosts_counts_once_and_each_head_that_went_out():
     d = make_handler(hosts=3)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     for _ in range(3):
         accept(d).dataReceived(b"BUSY\r\n")
     assert client.transport.lines()[0].startswith(b"BUSY") and counts(d) == ([0, 1, 0], 3)
@@ -99,17 +100,17 @@
 
 def test_a_dial_that_breaks_before_its_head_is_no_attempt():
     d = make_handler()
-    connect(d, OPEN)
-    wire = Wire()
+    connect(d, OPEN_LINE)
+    wire = RecordingTransport()
     wire.broken = True
     accept(d, wire)
     assert counts(d)[1] == 0
 
 
 @pytest.mark.parametrize("sockets, line, expected", [
-    (1024, OPEN.replace(b"d=1200", b"d=1e300"), [0, 0, 1]),
-    (1024, OPEN.replace(b"c=chat", b"c=made-up"), [0, 0, 0]),
-    (32, OPEN, [0, 1, 0]),
+    (1024, OPEN_LINE.replace(b"d=1200", b"d=1e300"), [0, 0, 1]),
+    (1024, OPEN_LINE.replace(b"c=chat", b"c=made-up"), [0, 0, 0]),
+    (32, OPEN_LINE, [0, 1, 0]),
 ])  # fmt: skip
 def test_who_is_turned_away_at_the_door_counts_under_a_class_of_the_settings(sockets, line, expected):
     d = make_handler(sockets=sockets)
@@ -121,9 +122,9 @@
 
 def test_a_client_that_left_before_its_answer_counts_nowhere():
     d = make_handler()
-    client = connect(d, opening(1))
+    client = connect(d, open_line(1))
     accept(d)
-    lost(client)
+    lose_connection(client)
     assert counts(d) == ([0, 0, 0], 1) and d.gauges()["open_requests"] == 0
 
 
@@ -155,7 +156,7 @@
 
 def test_a_ban_holds_from_the_yes_on_for_dials_that_are_still_coming_up(tmp_path):
     d, service = hands(tmp_path, hosts=1)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     assert say(service, b"exclude s-0") == "ACK"
     conn = accept(d)
     assert conn.transport.lines() == [] and d.metrics.relayed_requests == 0
@@ -172,16 +173,17 @@
 
 
 @pytest.mark.parametrize("news", [
-    [row("s-0")], [row("s-0", boot=int(START) + 50)], [row("s-0", "Terminating")], [row("s-0", "Gone")],
+    [host_row("s-0")], [host_row("s-0", boot=int(START) + 50)], [host_row("s-0", "Terminating")],
+    [host_row("s-0", "Gone")],
 ])  # fmt: skip
 def test_whatever_discovery_says_a_ban_stands_until_one_call_back(tmp_path, news):
     d, service = hands(tmp_path)
     for _ in range(3):
         assert say(service, b"exclude s-0") == "ACK"
     d.update_roster(False, news)
-    d.update_roster(False, [row("s-0")])
+    d.update_roster(False, [host_row("s-0")])
     for _ in range(12):
-        connect(d, opening(d.sessions.created_count))
+        connect(d, open_line(d.sessions.created_count))
     assert {port for _, port, *_ in d.reactor.tcpClients} == {9001}
     assert say(service, b"include s-0") == "ACK" and d.balancer.accepts_sessions(0)
     assert d.gauges()["out_of_rotation"] == 0
@@ -190,7 +192,7 @@
 def test_a_call_back_gives_what_the_list_says_then(tmp_path):
     d, service = hands(tmp_path)
     say(service, b"exclude s-0")
-    d.update_roster(False, [row("s-0", "Terminating")])
+    d.update_roster(False, [host_row("s-0", "Terminating")])
     say(service, b"include s-0")
     assert not d.balancer.accepts_sessions(0)
 
@@ -228,29 +230,32 @@
 
 
 def test_a_host_called_back_is_cold_and_soon_tried():
-    n = node(12)
-    figures(n, [0.2] * 12)
+    n = make_node(12)
+    set_reported_loads(n, [0.2] * 12)
     n.set_ban(START, 5, True)
-    assert 5 not in {dials(n.open_session(START, ask(i)))[0].host for i in range(30)}
+    assert 5 not in {dials(n.open_session(START, session_request(i)))[0].host for i in range(30)}
     n.set_ban(START + 2000, 5, False)
     assert n._warmth(START + 2000, 5) == pytest.approx(0.3)
     n.unit = 400.0  # a part of the budget that saves up for a light session within a few
     n.seen_at = [START + 5000.0] * 12
-    tried = [dials(n.open_session(START + 2100 + 100 * i, ask(40 + i, load=1.0)))[0].host for i in range(20)]
+    tried = [
+        dials(n.open_session(START + 2100 + 100 * i, session_request(40 + i, load=1.0)))[0].host
+        for i in range(20)
+    ]
     assert 5 in tried
 
 
 @pytest.mark.parametrize("others", [[0.9, 0.9, 0.9, 0.5], [0.85, 0.8, 0.8, 0.6]])
 def test_a_host_called_back_is_looked_at_though_the_mean_is_full_and_another_host_has_room(others):
     # Danger: full by the mean alone it was sent nothing, and looked at by nobody, while any host had room.
-    n = node(5, nodes=2)
+    n = make_node(5, nodes=2)
     n.unit, n.mean_hint, n.asked = 1200.0, 10.0, 1000
-    figures(n, [0.1, *others])
+    set_reported_loads(n, [0.1, *others])
     n.set_ban(START - 4000, 0, True)
     n.set_ban(START, 0, False)
     tried = []
     for i in range(20):
-        acts = n.open_session(START + 250.0 * i, ask(i))
+        acts = n.open_session(START + 250.0 * i, session_request(i))
         looks = [a.host for a in acts if isinstance(a, Probe)]
         assert not looks or not dials(acts)  # nothing is sent there before the look is answered
         for h in looks:
@@ -261,33 +266,35 @@
 
 
 def test_a_host_taken_out_again_before_it_took_a_session_is_not_tried():
-    n = node(3)
-    figures(n, [0.2] * 3)
+    n = make_node(3)
+    set_reported_loads(n, [0.2] * 3)
     for out in (True, False, True):
         n.set_ban(START, 1, out)
     assert 1 not in n.cold and 1 not in {
-        a.host for i in range(30) for a in dials(n.open_session(START, ask(i)))
+        a.host for i in range(30) for a in dials(n.open_session(START, session_request(i)))
     }
 
 
 @pytest.mark.parametrize("listed_born, born", [(0.0, 2000.0), (500.0, 2000.0), (1500.0, 1500.0)])
 def test_a_host_called_back_is_as_old_as_its_latest_restart_or_the_call(listed_born, born):
-    n = node(2)
+    n = make_node(2)
     n.set_ban(START + 1000, 0, True)
     n.update_roster(
-        START + 1600, RosterScope.CHANGES, [entry(0, born=START + listed_born if listed_born else 0.0)]
+        START + 1600,
+        RosterScope.CHANGES,
+        [roster_entry(0, started_at=START + listed_born if listed_born else 0.0)],
     )
     n.set_ban(START + 2000, 0, False)
     assert n.started_at[0] == START + born
-    n.update_roster(START + 2100, RosterScope.CHANGES, [entry(0)])
+    n.update_roster(START + 2100, RosterScope.CHANGES, [roster_entry(0)])
     assert n.started_at[0] == START + born
 
 
 @pytest.mark.parametrize("held", [40, 60, 20, 200])
 def test_a_host_that_starts_again_is_filled_by_what_it_bore_itself(held, figure=0.4):
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        add_established(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
     n._survey(START)
     mean = n.unit
@@ -300,24 +307,24 @@
 
 
 def test_what_a_cold_host_bears_is_no_measure_of_it():
-    n = node(entries=[entry(0, born=START - 1000.0), entry(1)])
+    n = make_node(entries=[roster_entry(0, started_at=START - 1000.0), roster_entry(1)])
     for h in range(2):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        add_established(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     assert not n.able[0] and n.able[1]
 
 
 def test_a_cold_budget_goes_by_those_that_stand_not_by_those_that_ask_again():
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
-        standing(n, h, [10.0] * 20, first=100 * h + 100)
+        add_established(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     for i in range(300):
-        n._new(START, ask(1000 + i, load=500.0))
+        n._new(START, session_request(1000 + i, load=500.0))
     n._survey(START)
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, born=START)])
+    n.update_roster(START, RosterScope.CHANGES, [roster_entry(0, started_at=START)])
     assert n._price(START + 900, n.sessions[100]) < 60.0 and n.mean_hint > 300.0
 
 
@@ -325,7 +332,7 @@
     d, later = make_handler(hosts=3), make_handler(hosts=0)
     n = d.balancer._node
     n.unit, n.each, n.able[1] = 4000.0, 25.0, 5000.0
-    later.update_roster(True, [row("s-2", port=9002), row("s-1", port=9001)])
+    later.update_roster(True, [host_row("s-2", port=9002), host_row("s-1", port=9001)])
     memory = d.balancer.learned_state()
     later.restore_learned_state(memory, dict(zip(d.hosts.uids, memory["able"], strict=True)))
     m = later.balancer._node
@@ -333,9 +340,9 @@
 
 
 def test_what_stands_on_a_host_taken_out_is_left_there():
-    n = node(3)
-    standing(n, 0, [10.0] * 20)
-    figures(n, [0.3, 0.3, 0.1])
+    n = make_node(3)
+    add_established(n, 0, [10.0] * 20)
+    set_reported_loads(n, [0.3, 0.3, 0.1])
     n.set_ban(START, 0, True)
     assert not [
         a for i in range(1, 4) for a in n.timer_fired(START + 500 * i, TICK_TOKEN) if isinstance(a, Move)
@@ -343,11 +350,11 @@
 
 
 def test_with_every_host_taken_out_a_session_is_refused_with_a_back_off():
-    n = node(2, may_probe=False)
+    n = make_node(2, may_probe=False)
     for h in range(2):
         n.set_ban(START, h, True)
-    n.open_session(START, ask(1, left=50.0))
-    acts = n.open_session(START, ask(2, left=50.0))
+    n.open_session(START, session_request(1, left=50.0))
+    acts = n.open_session(START, session_request(2, left=50.0))
     assert isinstance(acts[-1], Refuse) and acts[-1].back_off > 0
 
 
@@ -370,17 +377,17 @@
 
 def half_a_head(d):
     client = connect(d)
-    client.dataReceived(opening(d.sessions.created_count)[:30])
+    client.dataReceived(open_line(d.sessions.created_count)[:30])
     return client, None
 
 
 def dialling(d):
-    client = connect(d, opening(d.sessions.created_count))
+    client = connect(d, open_line(d.sessions.created_count))
     return client, None
 
 
 def head_sent(d):
-    client = connect(d, opening(d.sessions.created_count))
+    client = connect(d, open_line(d.sessions.created_count))
     return client, accept(d)
 
 
@@ -391,11 +398,11 @@
 
 
 def standing_quiet(d):
-    return up(d)
+    return establish(d)
 
 
 def half_a_line(d):
-    client, host = up(d)
+    client, host = establish(d)
     client.dataReceived(b"one\r\ntw")
     host.dataReceived(b"MO")
     return client, host
@@ -412,9 +419,9 @@
         client, host = state(d)
         if clean:
             client.readConnectionLost()
-        lost(client, clean)
+        lose_connection(client, clean)
         if host is not None and not host.ended:
-            lost(host)
+            lose_connection(host)
     d.reactor.pump([0.1] * 30)
     assert tables(d) == start
 
@@ -423,20 +430,20 @@
 def test_lines_cut_at_any_byte_are_passed_on_whole(cut):
     d = make_handler(hosts=1)
     client = connect(d)
-    line = OPEN + b"\r\n"
+    line = OPEN_LINE + b"\r\n"
     at = len(line) - cut
     client.dataReceived(line[:at])
     client.dataReceived(line[at:])
     host = accept(d)
     for piece in (b"UP r1\r\nMOVE\r\n"[:cut], b"UP r1\r\nMOVE\r\n"[cut:]):
         host.dataReceived(piece)
-    lost(host)
+    lose_connection(host)
     assert client.transport.lines() == [b"UP r1", b"MOVE"] and client.transport.ended == "end"
 
 
 def test_a_move_of_the_nodes_own_never_falls_into_a_line(tmp_path):
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     host.dataReceived(b"whole\r\nha")
     d.redirect(next(iter(d.sessions.by_index.values())), "stop")
     assert client.transport.value() == b"whole\r\nMOVE\r\n"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 import tomli_w
-from helpers import CONFIG, Wire, make_handler, free_ports, service_over, write
+from helpers import CONFIG, RecordingTransport, free_ports, make_handler, service_over, write_config
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
@@ -86,7 +86,7 @@
 def test_a_node_without_a_second_address_has_no_owners(tmp_path):
     from caperdeck.lifecycle.config import load_config
 
-    config = load_config(write(tmp_path / "c", CONFIG))
+    config = load_config(write_config(tmp_path / "c", CONFIG))
     with pytest.raises(ConfigError, match="admin_addr"):
         load_for_node(str(ROOT / "deploy/owners.toml"), config)
 
@@ -168,7 +168,7 @@
 def link_up(reactor):
     """The connection that was opened last, up."""
     conn = reactor.tcpClients[-1][2].buildProtocol(None)
-    wire = Wire()
+    wire = RecordingTransport()
     conn.makeConnection(wire)
     return conn, wire
 
@@ -208,7 +208,7 @@
     d, service, owned = owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest, keeps=True)
     front = Front(d.reactor, service.calls)
-    conn, wire = front.buildProtocol(None), Wire()
+    conn, wire = front.buildProtocol(None), RecordingTransport()
     conn.makeConnection(wire)
     line = line_of("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -6,7 +6,8 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Loopback, Peer, Stepped, made_and_closed, opening, read_all, reset, row, service_over,
+    OPEN_LINE, START, FakePeer, LoopbackNode, SteppedReactor, closing_factory, host_row, open_line, read_all,
+    reset_connection, service_over,
 )  # fmt: skip
 from hypothesis import given
 from hypothesis import settings as runs
@@ -30,12 +31,12 @@
 # ---- the watch on the list
 
 
-class Agent(Peer):
+class Agent(FakePeer):
     """A stand-in discovery: what it does with each call is the test's."""
 
     def __init__(self):
         super().__init__()
-        self.reactor, self.told = Stepped(), []
+        self.reactor, self.told = SteppedReactor(), []
         self.watch = Discovery(
             self.reactor, f"127.0.0.1:{self.port}", 1, lambda whole, rows: self.told.append(self.reactor.now),
             lambda: None, lambda *_: None, BackOff(7, 200),
@@ -58,7 +59,7 @@
     def deal(self, way, sock):
         match way:
             case "reset":
-                reset(sock)
+                reset_connection(sock)
             case "refused":
                 sock.send(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\ntoo many\n")
             case "refused-open":  # and its text never ends
@@ -70,7 +71,7 @@
             case "silent":  # a watch that says one thing and no more
                 sock.send(HEADERS + chunk(b"\n"))
             case "good":
-                sock.send(HEADERS + list_of(2, row("s-0", "Terminating")))
+                sock.send(HEADERS + list_of(2, host_row("s-0", "Terminating")))
 
 
 WAYS = ("hangs", "reset", "refused", "refused-open", "headers", "no-end", "silent")
@@ -125,7 +126,7 @@
     agent = Agent()
     agent.watch.start()
     agent.step("silent", 0.3)
-    down = Peer()
+    down = FakePeer()
     down.close()
     agent.watch.switch_to(f"127.0.0.1:{down.port}")
     agent.step("silent", 9.0)
@@ -145,7 +146,7 @@
     agent.step("headers", 0.2)
     with pytest.raises((BrokenPipeError, ConnectionResetError)):
         for _ in range(20):
-            late.send(HEADERS + list_of(9, row("s-9")))
+            late.send(HEADERS + list_of(9, host_row("s-9")))
             agent.step("headers", 0.05)
     assert not agent.told and len(agent.accepted) == 2
     agent.close()
@@ -182,10 +183,10 @@
 
 @pytest.fixture
 def loop():
-    yield from made_and_closed(Loopback)
+    yield from closing_factory(LoopbackNode)
 
 
-@pytest.mark.parametrize("leaves", [lambda sock: sock.close(), reset], ids=["end", "reset"])
+@pytest.mark.parametrize("leaves", [lambda sock: sock.close(), reset_connection], ids=["end", "reset"])
 def test_no_request_goes_out_for_a_client_whose_end_lies_there_unread(loop, leaves):
     # Danger: the host's socket is looked at before the client's, and the request runs for nobody.
     lo = loop()
@@ -278,7 +279,7 @@
     lo = loop()
     client, s = lo.taken()
     host = lo.hold(s)
-    lo.handler.update_roster(False, [row("s-0", port=lo.hosts[0].port, boot=born)])
+    lo.handler.update_roster(False, [host_row("s-0", port=lo.hosts[0].port, boot=born)])
     lo.comes_up(s)
     assert bool(lines_at(host)) is not bool(born)
 
@@ -350,7 +351,7 @@
     client = resting(lo)
     lo.reactor.now += 2.1
     lo.handler.last_turn_at = lo.handler.read_clock()
-    client.sendall(OPEN + b"\r\n")
+    client.sendall(OPEN_LINE + b"\r\n")
     lo.handler.sweep()
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
@@ -364,7 +365,9 @@
     lo.handler.last_turn_at = lo.handler.read_clock()
     lo.handler.sweep()
     lo.reactor.settle()
-    client.send(OPEN + b"\r\n")  # read after the shutdown: never sent on, and answered by what went before
+    client.send(
+        OPEN_LINE + b"\r\n"
+    )  # read after the shutdown: never sent on, and answered by what went before
     lo.reactor.settle()
     assert read_all(client) == (b"BUSY\r\n", "end") and not lo.hosts[0].accept()
     assert not lo.handler.sessions.by_index
@@ -376,7 +379,7 @@
     client = lo.client()
     lo.reactor.until(lambda: lo.handler.idle_clients)
     lo.handler.budget.limit = 0
-    client.sendall(OPEN + b"\r\n")
+    client.sendall(OPEN_LINE + b"\r\n")
     (conn,) = lo.handler.idle_clients
     lo.reactor.until(lambda: conn.closing)
     client.sendall(b"more\r\n" * 50)
@@ -461,7 +464,7 @@
     lo, service = stopping
     serve_all(lo, at)
     try:
-        client = lo.client(OPEN)
+        client = lo.client(OPEN_LINE)
     except ConnectionRefusedError:
         assert at > 0.9  # the port is shut, nothing was taken
     else:
@@ -475,7 +478,7 @@
     lo, service = stopping
     serve_all(lo, 0.8)
     with lo.reactor.unwatched(lo.port):
-        clients = [lo.client(opening(n)) for n in range(5)]
+        clients = [lo.client(open_line(n)) for n in range(5)]
         service.stopped_at -= 10_000
         service.move_some()
         serve_all(lo, 0.1)
@@ -489,7 +492,7 @@
     client = resting(lo)
     lo.reactor.now += 0.6
     lo.handler.last_turn_at = lo.handler.read_clock()
-    client.sendall(OPEN + b"\r\n")
+    client.sendall(OPEN_LINE + b"\r\n")
     service.move_some()
     serve_all(lo, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and service.ended
@@ -497,7 +500,7 @@
 
 def test_a_host_that_hangs_at_the_stop_costs_its_client_no_answer(stopping):
     lo, service = stopping
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     for _ in range(300):
         lo.reactor.pass_time(0.01, step=0.01)
         lo.handler.last_turn_at = lo.handler.read_clock()
@@ -513,7 +516,7 @@
     agent.watch.start()
     agent.step("silent", 0.3)
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    reset(agent.accepted[-1])
+    reset_connection(agent.accepted[-1])
     resource.setrlimit(resource.RLIMIT_NOFILE, (3, most))
     try:
         for _ in range(40):
@@ -536,7 +539,7 @@
     assert (
         held + budget.used + budget.probe_descriptors < 64 - 4
     )  # a connection to discovery, a probe, an accept
-    client = lo.client(OPEN)  # behind all of them
+    client = lo.client(OPEN_LINE)  # behind all of them
     for _ in range(6):
         serve_all(lo, 0.25)
         lo.handler.sweep()
@@ -547,7 +550,7 @@
     """Seen in the soak: 200 idle connections, 160 descriptors, and clients that wait 0.8 s had no answer."""
     lo = loop(sockets=64)
     crowd = [lo.client() for _ in range(200)]
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     for step in range(60):
         serve_all(lo, 0.01)
         if step % 25 == 24:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -5,7 +5,7 @@
 import zlib
 
 import pytest
-from helpers import START, ask, dials, entry, figures, node
+from helpers import START, dials, make_node, roster_entry, session_request, set_reported_loads
 
 from caperdeck.core.model import (
     Dial, Effect, HostState, Outcome, Refuse, RosterScope, Scope, TearDown, Withdraw,
@@ -27,24 +27,24 @@
     (Effect.ONCE_ONLY, Outcome.UNREACHED, Dial),
 ])  # fmt: skip
 def test_a_failed_dial_is_followed_as_the_listener_allows(effect, result, answer):
-    n = node(effect=effect)
-    n.open_session(START, ask(1))
+    n = make_node(effect=effect)
+    n.open_session(START, session_request(1))
     acts = fail(n, 1, 0, result)
     assert [type(a) for a in acts] == [answer]
 
 
 @pytest.mark.parametrize("scope, attribute", [(Scope.ZONE, "zone"), (Scope.CELL, "cell")])
 def test_a_referenced_session_that_may_have_run_stays_in_its_group(scope, attribute):
-    n = node(entries=[entry(h, zone=h % 2, cell=h % 2) for h in range(6)],
+    n = make_node(entries=[roster_entry(h, zone=h % 2, cell=h % 2) for h in range(6)],
              effect=Effect.REFERENCED, scope=scope)  # fmt: skip
-    first = dials(n.open_session(START, ask(1)))[0].host
+    first = dials(n.open_session(START, session_request(1)))[0].host
     second = dials(fail(n, 1, 0, Outcome.LATE))[0].host
     assert getattr(n, attribute)[second] == getattr(n, attribute)[first]
 
 
 def test_a_referenced_session_is_not_repeated_past_the_memory_of_its_hosts():
-    n = node(effect=Effect.REFERENCED, scope=Scope.ZONE)
-    n.open_session(START, ask(1, left=9000.0))
+    n = make_node(effect=Effect.REFERENCED, scope=Scope.ZONE)
+    n.open_session(START, session_request(1, left=9000.0))
     assert fail(n, 1, 0, Outcome.LATE, START + 5001) == [TearDown(1)]
 
 
@@ -52,41 +52,45 @@
     (0, Refuse), (4148, Refuse), (4650, TearDown), (5001, TearDown)])  # fmt: skip
 def test_a_referenced_session_is_refused_only_while_its_client_can_come_again_in_the_window(at, answer):
     # Danger: a refusal says that trying again is harmless; past the window the hosts would run it twice.
-    n = node(effect=Effect.REFERENCED, max_dials=1)
+    n = make_node(effect=Effect.REFERENCED, max_dials=1)
     n.chance = lambda: 0.001
-    n.open_session(START, ask(1, left=9000.0))
+    n.open_session(START, session_request(1, left=9000.0))
     (act,) = fail(n, 1, 0, Outcome.LATE, START + at)
     assert type(act) is answer
 
 
 @pytest.mark.parametrize("late, dialed", [(4949.0, True), (4951.0, False)])
 def test_a_repeat_is_sent_only_if_it_arrives_in_the_window(late, dialed):
-    n = node(effect=Effect.REFERENCED, scope=Scope.ZONE)
-    n.open_session(START, ask(1, left=9000.0))
+    n = make_node(effect=Effect.REFERENCED, scope=Scope.ZONE)
+    n.open_session(START, session_request(1, left=9000.0))
     n.seen_at = [START + late] * 4
     assert bool(dials(fail(n, 1, 0, Outcome.LATE, START + late))) is dialed
 
 
 def test_no_repeat_goes_to_a_host_that_has_started_since():
     # Danger: its group alone knew of the first, and a process that starts remembers nothing.
-    n = node(1, effect=Effect.REFERENCED)
-    n.open_session(START, ask(1))
-    n.update_roster(START + 10, RosterScope.CHANGES, [entry(0, born=START + 5)])
+    n = make_node(1, effect=Effect.REFERENCED)
+    n.open_session(START, session_request(1))
+    n.update_roster(START + 10, RosterScope.CHANGES, [roster_entry(0, started_at=START + 5)])
     assert not dials(fail(n, 1, 0, Outcome.RESET, START + 20))
 
 
 def test_the_group_of_a_repeat_is_the_one_that_the_first_host_had():
     # Danger: an entry that changes moves the host, and with it the hosts that are held to know of the first.
-    n = node(entries=[entry(0, cell=1)], effect=Effect.REFERENCED, scope=Scope.CELL)
-    n.open_session(START, ask(1))
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, cell=2), entry(1, cell=2), entry(2, cell=1)])
+    n = make_node(entries=[roster_entry(0, cell=1)], effect=Effect.REFERENCED, scope=Scope.CELL)
+    n.open_session(START, session_request(1))
+    n.update_roster(
+        START,
+        RosterScope.CHANGES,
+        [roster_entry(0, cell=2), roster_entry(1, cell=2), roster_entry(2, cell=1)],
+    )
     n.seen_at = [START] * 3
     assert dials(fail(n, 1, 0, Outcome.ERROR))[0].host == 2
 
 
 def test_dials_end_and_the_answer_comes_at_once():
-    n = node()
-    n.open_session(START, ask(1))
+    n = make_node()
+    n.open_session(START, session_request(1))
     for dial in range(4):
         assert dials(fail(n, 1, dial, Outcome.ERROR))
     acts = fail(n, 1, 4, Outcome.ERROR)
@@ -99,14 +103,14 @@
 
 
 def test_no_dial_outlasts_what_the_client_waits():
-    n = node(max_dials=2)
-    assert dials(n.open_session(START, ask(1, left=50.0)))[0].until == START + 50
+    n = make_node(max_dials=2)
+    assert dials(n.open_session(START, session_request(1, left=50.0)))[0].until == START + 50
     assert isinstance(fail(n, 1, 0, Outcome.LATE, START + 50)[0], Refuse)
 
 
 def test_a_session_that_finds_no_host_waits_briefly_and_is_refused():
-    n = node(entries=[entry(0, HostState.DRAINING), entry(1, HostState.GONE)])
-    now, acts = START, n.open_session(START, ask(1))
+    n = make_node(entries=[roster_entry(0, HostState.DRAINING), roster_entry(1, HostState.GONE)])
+    now, acts = START, n.open_session(START, session_request(1))
     while not isinstance(acts[0], Refuse):
         now += acts[0].after
         acts = n.timer_fired(now, acts[0].token)
@@ -114,26 +118,26 @@
 
 
 def test_a_hangup_withdraws_the_dial_and_its_late_outcome_is_taken_calmly():
-    n = node()
-    host = dials(n.open_session(START, ask(1)))[0].host
+    n = make_node()
+    host = dials(n.open_session(START, session_request(1)))[0].host
     assert n.client_disconnected(START, 1) == [Withdraw(1, 0)]
     assert n.dial_ended(START, 1, 0, Outcome.WITHDRAWN, True) == []
     assert n.held[host] == n.dialing[host] == 0 and not n.sessions
 
 
 @pytest.mark.parametrize("scope, entries", [
-    (RosterScope.CHANGES, [entry(0, HostState.DRAINING)]),
-    (RosterScope.CHANGES, [entry(0, HostState.GONE)]),
-    (RosterScope.FULL, [entry(1)]),
+    (RosterScope.CHANGES, [roster_entry(0, HostState.DRAINING)]),
+    (RosterScope.CHANGES, [roster_entry(0, HostState.GONE)]),
+    (RosterScope.FULL, [roster_entry(1)]),
 ])  # fmt: skip
 def test_nothing_new_goes_to_a_host_that_drains_or_is_gone(scope, entries):
-    n = node(2)
+    n = make_node(2)
     n.update_roster(START, scope, entries)
-    assert {dials(n.open_session(START, ask(i)))[0].host for i in range(20)} == {1}
+    assert {dials(n.open_session(START, session_request(i)))[0].host for i in range(20)} == {1}
 
 
 def test_a_failed_roster_call_keeps_the_list_and_is_asked_again():
-    n = node(2, subscribe=True)
+    n = make_node(2, subscribe=True)
     n.update_roster(START, RosterScope.FAILED, [])
     assert n.running == [0, 1] and START < n.watch_at < START + n.set.ask_every
 
@@ -148,8 +152,8 @@
     rnd = random.Random(seed)
 
     def made(i, life, at):
-        entries = [entry(0, born=START), entry(1)]
-        n = node(entries=entries, nodes=nodes, me=me(i), seed=zlib.crc32(b"%d %d %d" % (seed, i, life)))
+        entries = [roster_entry(0, started_at=START), roster_entry(1)]
+        n = make_node(entries=entries, nodes=nodes, me=me(i), seed=zlib.crc32(b"%d %d %d" % (seed, i, life)))
         n.unit, n.mean_hint, n.asked = fills, sum(loads) / len(loads), 1000
         return n
 
@@ -161,7 +165,9 @@
             fleet[i] = made(i, asks, now)
         n, asks, load = fleet[i], asks + 1, rnd.choice(loads)
         n.seen_at, n.figure, n.figure_at, n.rights.saved[ROOM_BUDGET] = [now] * 2, [0.0, 0.5], [now] * 2, 1e9
-        sent += [(at, load) for dial in dials(n.open_session(now, ask(asks, load))) if dial.host == 0]
+        sent += [
+            (at, load) for dial in dials(n.open_session(now, session_request(asks, load))) if dial.host == 0
+        ]
     return sent
 
 
@@ -212,27 +218,29 @@
     sent = {10.0: 0, 100.0: 0}
     for seed in range(400):
         for load in sent:
-            n = node(entries=[entry(0, born=START), entry(1)], nodes=40, seed=seed * 0x9E3779B1)
+            n = make_node(
+                entries=[roster_entry(0, started_at=START), roster_entry(1)], nodes=40, seed=seed * 0x9E3779B1
+            )
             n.unit, n.mean_hint = 1600.0, 10.0
-            figures(n, [0.0, 0.5])
+            set_reported_loads(n, [0.0, 0.5])
             n.seen_at = [START + 900.0] * 2
-            sent[load] += dials(n.open_session(START + 900, ask(0, load=load)))[0].host == 0
+            sent[load] += dials(n.open_session(START + 900, session_request(0, load=load)))[0].host == 0
     assert 5 * sent[100.0] <= sent[10.0]
 
 
 def test_what_cold_hosts_lack_is_no_room_for_the_warm_ones():
     parts = []
     for born in (0.0, START):
-        n = node(entries=[entry(h, born=born * (h < 5)) for h in range(10)])
+        n = make_node(entries=[roster_entry(h, started_at=born * (h < 5)) for h in range(10)])
         n.unit = 1000.0
-        figures(n, [0.0] * 5 + [0.65] * 5)
+        set_reported_loads(n, [0.0] * 5 + [0.65] * 5)
         parts.append(n.part)
     assert parts[1] < parts[0] / 4
 
 
 def test_a_restarted_host_loses_its_old_figures():
-    n = node(2)
+    n = make_node(2)
     n._know(START, 0, 0.99)
     n.ill[0] = 5.0
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, born=START)])
+    n.update_roster(START, RosterScope.CHANGES, [roster_entry(0, started_at=START)])
     assert n.figure[0] is None and n.ill[0] == 0 and n._warmth(START, 0) == pytest.approx(0.3)
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -10,8 +10,8 @@
 
 import pytest
 from helpers import (
-    CONFIG, SETUP, free_ports, logged, make_handler, ping_until_ready, row, serve_lines, serve_list,
-    service_over, write,
+    CONFIG, SETUP, captured_log, free_ports, host_row, make_handler, ping_until_ready, serve_host_list,
+    serve_lines, service_over, write_config,
 )  # fmt: skip
 
 from caperdeck.core.quotas import ROOM_BUDGET
@@ -92,7 +92,7 @@
 ])  # fmt: skip
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
     d = make_handler()
-    with logged() as lines:
+    with captured_log() as lines:
         assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
     assert line in lines[0]
 
@@ -123,7 +123,7 @@
 
 def test_the_port_drops_rubbish_with_counted_reasons_and_a_line_a_second():
     d, port = made_port()
-    with logged() as lines:
+    with captured_log() as lines:
         for _ in range(2000):
             port.datagramReceived(b"x" * 300, ("127.0.0.1", 7001))
             d.reactor.advance(0.001)
@@ -150,7 +150,7 @@
     first = service.peers
     assert first.sharing.swim.members == 3
     longer = SHARED | {"peers": [*PEERS, "127.0.0.1:7004"]}
-    write(tmp_path / "c", CONFIG | {"admin_addr": "127.0.0.1:9100"} | longer)
+    write_config(tmp_path / "c", CONFIG | {"admin_addr": "127.0.0.1:9100"} | longer)
     service.reload()
     assert service.peers is not first and service.peers.sharing.swim.members == 4 and first.port is None
 
@@ -161,7 +161,7 @@
 def shares(cold=False):
     d = make_handler()
     if cold:
-        d.update_roster(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
+        d.update_roster(True, [host_row("s-0"), host_row("s-1", port=9001, boot=d.clock() - 100)])
     s = FleetState(d.balancer._node)
     return d, s, Marked(s, Uses(*[True] * len(Uses._fields)), d.report_event)
 
@@ -264,7 +264,7 @@
 
 def test_three_nodes_show_who_is_alive_through_a_death_a_sleep_and_a_flood(tmp_path, capsys):
     host = serve_lines(lambda line: b"PONG x0=0.2\r\n")
-    settings = {"discovery": f"127.0.0.1:{serve_list(row('s-0', port=host))}"}
+    settings = {"discovery": f"127.0.0.1:{serve_host_list(host_row('s-0', port=host))}"}
     numbers = free_ports(9)
     ports, admin, peers = numbers[:3], numbers[3:6], [f"127.0.0.1:{p}" for p in numbers[6:]]
     nodes = [start(tmp_path, i, ports, admin, peers, settings) for i in range(3)]
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -13,8 +13,8 @@
 
 import pytest
 from helpers import (
-    CONFIG, OPEN, SETUP, Loopback, connect, make_handler, logged, lost, made_and_closed, opening, read_all,
-    row, service_over, up,
+    CONFIG, OPEN_LINE, SETUP, LoopbackNode, captured_log, closing_factory, connect, establish, host_row,
+    lose_connection, make_handler, open_line, read_all, service_over,
 )  # fmt: skip
 from test_race_conditions import answers, serve_all
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def loop():
-    yield from made_and_closed(Loopback)
+    yield from closing_factory(LoopbackNode)
 
 
 class Faulty:
@@ -56,7 +56,7 @@
 def test_clients_in_the_queue_are_served_once_accept_works_again(loop, monkeypatch, number):
     lo = loop()
     faulty = Faulty(monkeypatch, "accept", [number])
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     lo.reactor.pass_time(0.1, step=0.01)
     lo.host_side().send(b"UP r1\r\n")
     lo.reactor.settle()
@@ -66,7 +66,7 @@
 def test_while_accept_fails_the_reactor_does_not_turn_on_it(loop, monkeypatch):
     lo = loop()
     faulty = Faulty(monkeypatch, "accept", [errno.ENFILE] * 100)
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     lo.reactor.settle(50)
     assert faulty.calls == 1 and read_all(client) == (b"", "")
 
@@ -76,7 +76,7 @@
     lo = loop()
     lo.handler.set_accepting = lambda on: (lo.port.startReading if on else lo.port.stopReading)()
     lo.handler.budget.used_by_other_process = lo.handler.budget.limit
-    client, reads, read = lo.client(OPEN), [], lo.port.doRead
+    client, reads, read = lo.client(OPEN_LINE), [], lo.port.doRead
     monkeypatch.setattr(lo.port, "doRead", lambda: reads.append(read()))
     lo.reactor.settle(50)
     assert len(reads) == 1
@@ -95,7 +95,7 @@
     service.stop()
     serve_all(lo, 0.8)
     with lo.reactor.unwatched(lo.port):
-        client = lo.client(OPEN)
+        client = lo.client(OPEN_LINE)
         Faulty(monkeypatch, "accept", [errno.ENFILE])
         service.stopped_at -= 10_000
         service.move_some()
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_a_dial_that_finds_no_socket_for_a_moment_is_made_a_moment_later(loop, monkeypatch, number):
     lo = loop(mostDials=2)
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     lo.reactor.until(lambda: lo.handler.idle_clients)
     kind, left = socket.socket, [number] * 3
 
@@ -142,7 +142,7 @@
 def test_a_network_that_stays_away_costs_its_client_no_answer(loop, monkeypatch):
     lo = loop()
     Faulty(monkeypatch, "connect_ex", [errno.ENETUNREACH] * 10_000)
-    client = lo.client(OPEN)
+    client = lo.client(OPEN_LINE)
     lo.reactor.pass_time(1.25, step=0.01)
     assert answers(client)[0][0].startswith(b"BUSY")
 
@@ -212,8 +212,8 @@
     d = make_handler()
     service = service_over(d, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
-    with logged() as lines:
-        service.know([row("s-0"), row("s-1")], {"bans": ["s-1"]})
+    with captured_log() as lines:
+        service.know([host_row("s-0"), host_row("s-1")], {"bans": ["s-1"]})
     assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned
     assert "reason=bans-unwritable" in "".join(lines)
 
@@ -264,9 +264,9 @@
 @pytest.mark.parametrize("at", [0.0, 0.6, 1.0, 1.15, 1.39, 1.6, 1.8])
 def test_a_request_that_comes_while_the_process_ends_is_answered_before_the_earliest_kill(stopping, at):
     lo, service = stopping
-    before = lo.client(OPEN)  # holds the port open
+    before = lo.client(OPEN_LINE)  # holds the port open
     pass_while_hosts_hang(lo, at)
-    client = lo.client(opening(1))
+    client = lo.client(open_line(1))
     pass_while_hosts_hang(lo, KILLED - at - 0.05)
     assert not lo.handler.sessions.by_index
     for each in (before, client):
@@ -277,7 +277,7 @@
 def test_a_session_that_fails_to_move_does_not_keep_the_process_from_ending(tmp_path, monkeypatch):
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
-    bad, good = up(d)[0], up(d)[0]
+    bad, good = establish(d)[0], establish(d)[0]
     move, ended = d.redirect, []
     service.reactor.stop = lambda: ended.append(True)
 
@@ -294,7 +294,7 @@
         d.reactor.advance(0.05)
     assert good.transport.lines() == bad.transport.lines() == [b"MOVE"]
     for client in (good, bad):
-        lost(client)
+        lose_connection(client)
     for _ in range(40):
         d.reactor.advance(0.05)
     assert ended
@@ -307,17 +307,17 @@
     service.reload()
     assert service.config.limits.max_client_wait == 30_000.0
     service.stop()
-    clients = [lo.client(opening(n)) for n in range(40)]
+    clients = [lo.client(open_line(n)) for n in range(40)]
     serve_all(lo, KILLED - 0.05)
     assert all(answers(client) == ([b"UP r1", b"MOVE"], "end") for client in clients)
 
 
 def test_a_session_whose_timer_was_lost_is_answered_all_the_same():
     d = make_handler(mostDials=1)
-    client = connect(d, opening(1))
+    client = connect(d, open_line(1))
     (s,) = d.sessions.by_index.values()
     s.dial_timer.cancel()
-    with logged() as lines:
+    with captured_log() as lines:
         for _ in range(8):
             d.reactor.advance(0.25)
             d.sweep()
@@ -327,8 +327,8 @@
 
 def test_why_sessions_and_dials_ended_is_told_in_the_log_and_in_the_figures():
     d = make_handler(mostDials=1)
-    with logged() as lines:
-        connect(d, opening(1))
+    with captured_log() as lines:
+        connect(d, open_line(1))
         for _ in range(12):
             d.reactor.advance(0.25)
             d.sweep()
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -21,8 +21,8 @@
 import orjson
 import pytest
 from helpers import (
-    OPEN, START, accept, ask, connect, dials, entry, figures, logged, make_handler, opening, service_over,
-    settings,
+    OPEN_LINE, START, accept, captured_log, connect, dials, make_handler, make_settings, open_line,
+    roster_entry, service_over, session_request, set_reported_loads,
 )  # fmt: skip
 from node_processes import NodeProcesses, StandIns, until
 from test_upgrade import PortNumber, names, raised, sides
@@ -86,7 +86,7 @@
     first.send_signal(signal.SIGTERM)
     assert nodes.call(1, b"exclude s-0") == [b"ACK"]
     for number, (sock, _) in enumerate(resting):
-        sock.sendall(opening(number) + b"\r\n")
+        sock.sendall(open_line(number) + b"\r\n")
     assert [lines.readline()[:4] for _, lines in resting] == [b"BUSY"] * 3
     assert stand_ins.requests == 0
 
@@ -135,7 +135,7 @@
 
 def test_a_request_whose_host_was_taken_out_at_the_other_process_meanwhile_is_not_sent(tmp_path):
     here, there = both(tmp_path, hosts=1)
-    client = connect(here.handler, OPEN)
+    client = connect(here.handler, OPEN_LINE)
     assert say(there, b"exclude s-0") == "ACK"
     host = accept(here.handler)
     assert host.transport.value() == b"" and not client.transport.value().startswith(b"UP")
@@ -223,7 +223,7 @@
     here, _ = both(tmp_path)
     assert say(here, b"exclude s-0") == "ACK"
     (tmp_path / FILE).write_text('["s-')
-    with logged() as lines:
+    with captured_log() as lines:
         here.sweep()
         here.sweep()
     assert not here.handler.balancer.accepts_sessions(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
@@ -286,8 +286,8 @@
 
 def cold_node(now):
     """A node of three that knows what a session weighs; of its two hosts the first has just started."""
-    made = Node(settings(), now)
-    made.update_roster(now, RosterScope.SAVED, [entry(0, born=START), entry(1)])
+    made = Node(make_settings(), now)
+    made.update_roster(now, RosterScope.SAVED, [roster_entry(0, started_at=START), roster_entry(1)])
     made.unit, made.mean_hint, made.asked, made.each = 2000.0, 10.0, 1000, 10.0
     return made
 
@@ -298,9 +298,9 @@
     while now < until:
         for number, made in enumerate(nodes):
             made.seen_at = [now, now]
-            figures(made, [0.1, 0.1], now)
+            set_reported_loads(made, [0.1, 0.1], now)
             sid = int(now) * len(nodes) + number
-            count += sum(dial.host == 0 for dial in dials(made.open_session(now, ask(sid))))
+            count += sum(dial.host == 0 for dial in dials(made.open_session(now, session_request(sid))))
             made.client_disconnected(now, sid)
             made.dial_ended(now, sid, 0, Outcome.WITHDRAWN, True)
         now += EVERY
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,9 +8,7 @@
 import threading
 
 import pytest
-from helpers import (
-    connect, make_handler, opening, row, service_over, up,
-)  # fmt: skip
+from helpers import connect, establish, host_row, make_handler, open_line, service_over
 from node_processes import NodeProcesses, StandIns, until
 from twisted.internet.task import Clock
 
@@ -54,7 +52,7 @@
         return WHO[1:]
 
     def tell_state(self):
-        return [row(f"s-{i}") for i in range(450)], {"rev": 7, "bans": ["s-1"]}, [5]
+        return [host_row(f"s-{i}") for i in range(450)], {"rev": 7, "bans": ["s-1"]}, [5]
 
     def hand_on(self, most):
         self.left -= 1
@@ -345,7 +343,7 @@
 def test_bans_and_hosts_are_told_whole(tmp_path):
     d = make_handler(hosts=2)
     service = service_over(d, tmp_path)
-    d.update_roster(False, [row("s-1", "Terminating")])
+    d.update_roster(False, [host_row("s-1", "Terminating")])
     service.calls.call(b"exclude s-0", lambda answer: None)
     rows = {r["uid"]: r["state"] for r in d.hosts.export_rows()}
     assert rows == {"s-0": "Ready", "s-1": "Terminating"}
@@ -362,8 +360,8 @@
     said = []
     service.calls.call(b"readyz", said.append)
     assert said == [["NAK not-taking-clients"]]
-    up(d)
-    connect(d, opening(77))
+    establish(d)
+    connect(d, open_line(77))
     assert d.gauges()["open_requests"] == 2
 
 
@@ -374,7 +372,7 @@
     service.calls.call(b"exclude s-0", said.append)
     service.calls.call(b"include s-9", said.append)
     assert not said
-    service.know([row("s-0")])
+    service.know([host_row("s-0")])
     assert said == [["ACK"], ["NAK unknown-host"]] and not d.balancer.accepts_sessions(0)
 
 
@@ -385,7 +383,7 @@
     service.take_clients()
     ended = []
     d.reactor.stop = lambda: ended.append(d.clock())
-    client, _ = up(d)
+    client, _ = establish(d)
     service.upgrade.side = Incumbent(d.reactor, Wired(), service.upgrade)
     service.upgrade.side.given = True
     service.upgrade.stop_taking()
@@ -522,8 +520,8 @@
 def test_all_that_a_process_knows_goes_into_packets(tmp_path):
     d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
-    d.update_roster(True, [row("s-0", boot=1_790_000_000_000), row("s-1")])
-    up(d)
+    d.update_roster(True, [host_row("s-0", boot=1_790_000_000_000), host_row("s-1")])
+    establish(d)
     service.ban_calls.begin()
     for call in (b"exclude s-0", b"include s-0", b"exclude s-1"):
         service.calls.call(call, lambda answer: None)
@@ -544,7 +542,7 @@
     d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
     started = unix_time() - 1000.0
-    d.update_roster(True, [row(uid.format(i), boot=started + i / 10) for i in range(3200)])
+    d.update_roster(True, [host_row(uid.format(i), boot=started + i / 10) for i in range(3200)])
     node = d.balancer._node
     node.able = [123.456789012345678 + i for i in range(3200)]
     node.in_turn = [True] * 3200
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,10 @@
 
 import orjson
 import pytest
-from helpers import OPEN, Wire, accept, connect, make_handler, logged, lost, opening, row, up
+from helpers import (
+    OPEN_LINE, RecordingTransport, accept, captured_log, connect, establish, host_row, lose_connection,
+    make_handler, open_line,
+)  # fmt: skip
 from twisted.internet.error import ConnectionRefusedError as Refused
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
@@ -24,7 +27,7 @@
 
 @pytest.fixture
 def log():
-    with logged() as lines:
+    with captured_log() as lines:
         yield lines
 
 
@@ -42,11 +45,11 @@
 
 
 def test_a_head_goes_on_unchanged_but_for_the_wait():
-    request = parse_request(OPEN)
+    request = parse_request(OPEN_LINE)
     assert (request.id, request.listener, request.tenant, request.wait_ms, request.group) == (
         "9b1f03aa5c7e2d41", "chat", "acme", 1200.0, "5c0f")  # fmt: skip
     assert request.load == 0.01 and request.resume_host is None
-    assert b"".join(request.buffers(170)) == OPEN.replace(b"d=1200", b"d=170") + b"\r\n"
+    assert b"".join(request.buffers(170)) == OPEN_LINE.replace(b"d=1200", b"d=170") + b"\r\n"
 
 
 @pytest.mark.parametrize("line", [
@@ -72,16 +75,17 @@
 
 
 @pytest.mark.parametrize("line, reason", [
-    (OPEN.replace(b"c=chat", b"c=other"), "unknown-class"),
-    (OPEN.replace(b"d=1200", b"d=1e300"), "bad-wait"),
-    (OPEN.replace(b"h=0.01", b"h=-1"), "bad-line"), (OPEN.replace(b"h=0.01", b"h=1e99"), "bad-line"),
-    (OPEN + b",x=" + b"y" * 5000, "long-line"),
+    (OPEN_LINE.replace(b"c=chat", b"c=other"), "unknown-class"),
+    (OPEN_LINE.replace(b"d=1200", b"d=1e300"), "bad-wait"),
+    (OPEN_LINE.replace(b"h=0.01", b"h=-1"), "bad-line"),
+    (OPEN_LINE.replace(b"h=0.01", b"h=1e99"), "bad-line"),
+    (OPEN_LINE + b",x=" + b"y" * 5000, "long-line"),
 ])  # fmt: skip
 def test_a_client_that_cannot_be_served_is_told_and_the_reason_logged(line, reason, log):
     d = make_handler()
     client = connect(d, line)
     assert client.transport.lines() == [b"ERR"] and reasons(log) == [reason]
-    lost(client)
+    lose_connection(client)
     assert d.budget.client_connections == 0 and d.budget.session_count == 0
 
 
@@ -94,16 +98,16 @@
 
 def test_a_session_is_served_and_its_lines_passed_on_both_ways(log):
     d = make_handler()
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     host = accept(d)
-    assert host.transport.lines() == [OPEN.replace(b"d=1200", b"d=180")]
+    assert host.transport.lines() == [OPEN_LINE.replace(b"d=1200", b"d=180")]
     host.dataReceived(b"UP r1\r\nhello\r\n")
     client.dataReceived(b"one\r\ntw")
     client.dataReceived(b"o\r\n")
     assert client.transport.lines() == [b"UP r1", b"hello"]
     assert host.transport.lines()[1:] == [b"one", b"two"]
     host.dataReceived(b"BYE\r\n")
-    lost(host)
+    lose_connection(host)
     assert client.transport.lines()[-1] == b"BYE" and client.transport.ended == "end"
     assert reasons(log) == ["served"] and d.budget.session_count == 0 and not d.sessions.by_index
 
@@ -111,21 +115,21 @@
 def test_a_client_that_does_not_wait_for_its_answer_never_reaches_a_host(log):
     d = make_handler()
     client = connect(d)
-    client.dataReceived(b"\r\n".join([OPEN] * 300) + b"\r\n")
+    client.dataReceived(b"\r\n".join([OPEN_LINE] * 300) + b"\r\n")
     assert client.transport.lines() == [b"ERR"] and reasons(log) == ["did-not-wait"]
     assert accept(d).transport.lines() == [] and not d.sessions.by_index and d.budget.session_count == 0
 
 
 def test_the_id_of_another_clients_open_session_is_turned_away(log):
     d = make_handler()
-    first, other = connect(d, OPEN), connect(d, OPEN)
+    first, other = connect(d, OPEN_LINE), connect(d, OPEN_LINE)
     assert (first.transport.lines(), other.transport.lines()) == ([], [b"ERR"])
-    lost(first)
-    assert connect(d, OPEN).transport.lines() == [] and reasons(log) == ["id-in-use", "client-left"]
+    lose_connection(first)
+    assert connect(d, OPEN_LINE).transport.lines() == [] and reasons(log) == ["id-in-use", "client-left"]
 
 
 def test_a_side_that_does_not_read_stops_the_other():
-    client, host = up(make_handler())
+    client, host = establish(make_handler())
     assert client.transport.producer is host and host.transport.producer is client
     client.transport.producer.pauseProducing()
     assert host.transport.producerState == "paused"
@@ -134,11 +138,11 @@
 @pytest.mark.parametrize("clean, ended", [(True, "end"), (False, "reset")])
 def test_one_side_is_ended_as_the_other_was(clean, ended, log):
     d = make_handler()
-    client, host = up(d)
-    lost(client, clean)
+    client, host = establish(d)
+    lose_connection(client, clean)
     assert host.transport.ended == ended
-    client, host = up(d)
-    lost(host, clean)
+    client, host = establish(d)
+    lose_connection(host, clean)
     assert client.transport.ended == ended
     how = "closed" if clean else "reset"
     assert reasons(log) == [f"client-{how}", f"host-{how}"]
@@ -146,18 +150,18 @@
 
 def test_the_answer_goes_out_though_its_host_breaks_at_once():
     d = make_handler()
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     host = accept(d)
     host.dataReceived(b"UP r1\r\n")
-    lost(host, clean=False)
+    lose_connection(host, clean=False)
     assert client.transport.ended == "reset" and client.transport.gone_out == len(b"UP r1\r\n")
 
 
 def test_a_client_that_leaves_takes_its_dial_with_it(log):
     d = make_handler()
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     host = accept(d)
-    lost(client)
+    lose_connection(client)
     assert host.transport.ended == "end"
     host.dataReceived(b"UP r1\r\n")
     d.reactor.advance(2.0)
@@ -180,13 +184,13 @@
     lambda host: host.dataReceived(b"BUSY\r\n"),
     lambda host: host.dataReceived(b"ERR util=0.5\r\n"),
     lambda host: host.dataReceived(b"x" * 5000),
-    lambda host: lost(host, False),
-    lambda host: lost(host),
+    lambda host: lose_connection(host, False),
+    lambda host: lose_connection(host),
     lambda host: host.handler.reactor.advance(0.2),
 ])  # fmt: skip
 def test_a_dial_that_fails_is_followed_by_another(says):
     d = make_handler()
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     first = accept(d)
     says(first)
     assert len(d.reactor.tcpClients) == 2 and first.ended
@@ -200,13 +204,13 @@
     d = make_handler()
     told = []
     monkeypatch.setattr(d, "report_event", told.append)
-    connect(d, OPEN)
+    connect(d, OPEN_LINE)
     if way == "refused":
         d.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(Refused()))
     elif way == "silent":
         d.reactor.advance(0.2)
     else:
-        wire = Wire()
+        wire = RecordingTransport()
         wire.broken = True
         accept(d, wire)
     assert [news.outcome for news in told] == [Outcome.UNREACHED]
@@ -214,14 +218,14 @@
 
 def test_no_head_goes_to_a_host_that_began_to_drain_while_its_connection_came_up():
     d = make_handler(hosts=1)
-    connect(d, OPEN)
-    d.update_roster(False, [row("s-0", "Terminating")])
+    connect(d, OPEN_LINE)
+    d.update_roster(False, [host_row("s-0", "Terminating")])
     assert accept(d).transport.lines() == []
 
 
 def test_the_answer_comes_before_the_client_stops_waiting(log):
     d = make_handler(mostDials=1)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     accept(d)
     d.reactor.pump([0.05] * 24)
     line = client.transport.lines()
@@ -231,9 +235,9 @@
 
 def test_a_client_that_its_host_sends_away_is_passed_on(log):
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     host.dataReceived(b"MOVE\r\n")
-    lost(host)
+    lose_connection(host)
     assert client.transport.lines() == [b"MOVE"] and client.transport.ended == "end"
     assert reasons(log) == ["host-moved"] and d.hosts.states[0] is HostState.RUNNING
 
@@ -254,7 +258,7 @@
 
 def test_a_host_that_brings_nothing_back_loses_its_clients_politely(log):
     d = make_handler()
-    client, host = up(d)
+    client, host = establish(d)
     client.dataReceived(b"one\r\n")
     sweeps(d, 1.5)
     client.dataReceived(b"two\r\n")
@@ -268,12 +272,12 @@
     # Danger: when a zone is lost, each connection found it out for itself, 2 s after its client's next line.
     d = make_handler(hosts=1, mayProbe=True)
     d.balancer.handle_event(d.clock(), ProbeCompleted(0, Outcome.GOOD, LoadReport(0.2)))
-    pairs = [up(d) for _ in range(3)]
+    pairs = [establish(d) for _ in range(3)]
     pairs[0][0].dataReceived(b"one\r\n")
     sweeps(d, 0.5)
     assert d.probes.connections[0].timeout_timer is not None and "end" not in "".join(log)
     if alive == "its probe":
-        d.probes.connections[0].makeConnection(Wire())
+        d.probes.connections[0].makeConnection(RecordingTransport())
         d.probes.connections[0].dataReceived(b"PONG x0=0.2\r\n")
     elif alive == "another line":
         pairs[1][1].dataReceived(b"two\r\n")
@@ -285,7 +289,7 @@
 
 def test_a_client_whose_machine_vanished_is_let_go_in_time(log):
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     for _ in range(2):
         d.reactor.advance(25)
         client.dataReceived(b"one\r\n")
@@ -299,7 +303,7 @@
 
 def test_a_node_that_stood_still_itself_reads_before_it_judges():
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     sweeps(d, 0.25)
     client.dataReceived(b"one\r\n")
     d.reactor.rightNow += 5.0
@@ -311,7 +315,7 @@
 
 def test_a_client_that_does_not_read_does_not_make_its_host_silent():
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     client.dataReceived(b"one\r\n")
     host.pauseProducing()
     sweeps(d, 5.0)
@@ -320,15 +324,15 @@
 
 def test_a_host_that_takes_nothing_any_more_is_let_go():
     d = make_handler()
-    client, host = up(d)
-    lost(client)
+    client, host = establish(d)
+    lose_connection(client)
     d.reactor.advance(1.1)
     assert host.transport.ended == "reset"
 
 
 def test_a_host_that_answers_is_kept():
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     for _ in range(3):
         client.dataReceived(b"one\r\n")
         host.dataReceived(b"one\r\n")
@@ -339,7 +343,7 @@
 @pytest.mark.parametrize("line", [b"LOAD 1500", b"LOAD", b"LOAD much", b"LOAD nan", b"LOAD -9"])
 def test_a_load_note_is_passed_on_whatever_it_holds(line):
     d = make_handler()
-    client, host = up(d)
+    client, host = establish(d)
     host.dataReceived(line + b"\r\n")
     assert client.transport.lines() == [line]
     assert d.balancer._node.sessions[0].present == (1.5 if line == b"LOAD 1500" else None)
@@ -347,7 +351,7 @@
 
 def test_a_connection_that_stood_before_is_taken_up_at_its_host():
     d = make_handler()
-    client = connect(d, OPEN.replace(b"d=1200", b"d=100000") + b",at=s-1")
+    client = connect(d, OPEN_LINE.replace(b"d=1200", b"d=100000") + b",at=s-1")
     assert d.reactor.tcpClients[-1][1] == 9001
     d.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(Refused()))
     d.reactor.advance(0.3)
@@ -364,13 +368,13 @@
     d = make_handler(sockets=40)
     heard = []
     d.set_accepting = heard.append
-    clients = [connect(d, opening(i)) for i in range(40)]
+    clients = [connect(d, open_line(i)) for i in range(40)]
     answers = [client.transport.lines() for client in clients]
     served = answers.index([b"BUSY 500"])
     assert 5 < served < 15 and answers[served:] == [[b"BUSY 500"]] * (40 - served)
     assert heard[0] is False and set(reasons(log)) == {"no-sockets"}
     for client in clients:
-        lost(client)
+        lose_connection(client)
     assert heard[-1] is True
 
 
@@ -395,7 +399,7 @@
     room, fixed = d.budget.session_headroom, d.budget.used + d.budget.probe_descriptors
     clients = [connect(d) for _ in range(d.budget.acceptable_clients)]
     for i, client in enumerate(clients):
-        client.dataReceived(opening(i) + b"\r\n")
+        client.dataReceived(open_line(i) + b"\r\n")
     assert len(d.reactor.tcpClients) == room <= len(clients) and not d.budget.may_serve()
     assert fixed + len(clients) + room <= 512 - d.budget.reserve // 2
 
@@ -413,7 +417,7 @@
 
 def probe_up(pool):
     conn = pool.reactor.tcpClients[-1][2].buildProtocol(None)
-    conn.makeConnection(Wire())
+    conn.makeConnection(RecordingTransport())
     return conn
 
 
@@ -436,9 +440,9 @@
     pool.probe(3, Address("127.0.0.1", 9003))
     conn = probe_up(pool)
     pool.reactor.advance(0.6)
-    lost(conn)
+    lose_connection(conn)
     pool.probe(3, Address("127.0.0.1", 9003))
-    lost(probe_up(pool), False)
+    lose_connection(probe_up(pool), False)
     assert [t.outcome for t in told] == [
         Outcome.UNREACHED,
         Outcome.LATE,
@@ -450,20 +454,20 @@
 
 
 @pytest.mark.parametrize("bad", [
-    None, 7, {}, {"uid": ""}, row("s-1") | {"state": "Asleep"}, row("s-1") | {"endpoint": "nowhere"},
-    row("s-1") | {"endpoint": "127.0.0.1:99999"}, row("s-1") | {"capacity_hint": "big"},
-    row("s-1") | {"state": {}},
+    None, 7, {}, {"uid": ""}, host_row("s-1") | {"state": "Asleep"},
+    host_row("s-1") | {"endpoint": "nowhere"}, host_row("s-1") | {"endpoint": "127.0.0.1:99999"},
+    host_row("s-1") | {"capacity_hint": "big"}, host_row("s-1") | {"state": {}},
 ])  # fmt: skip
 def test_a_broken_entry_is_named_and_the_others_taken(bad, log):
     d = make_handler(hosts=0)
-    d.update_roster(True, [bad, row("s-2")])
+    d.update_roster(True, [bad, host_row("s-2")])
     assert d.hosts.uids == ["s-2"] and reasons(log) == ["bad-entry"]
 
 
 def test_hosts_are_known_by_uid_wherever_they_are():
     d = make_handler(hosts=1)
-    d.update_roster(False, [row("s-0", port=9555)])
-    connect(d, OPEN)
+    d.update_roster(False, [host_row("s-0", port=9555)])
+    connect(d, OPEN_LINE)
     assert d.reactor.tcpClients[-1][1] == 9555 and len(d.hosts.uids) == 1
 
 
@@ -476,11 +480,11 @@
     watch = Discovery(MemoryReactorClock(), "127.0.0.1:8500", 4, lambda *x: heard.append(x), lambda: None,
                       lambda reason, text: said.append(reason), BackOff(7, 3))  # fmt: skip
     body = WatchBody(watch)
-    body.makeConnection(Wire())
-    good = orjson.dumps({"rev": 5, "all": False, "targets": [row("s-1")] * 200})
+    body.makeConnection(RecordingTransport())
+    good = orjson.dumps({"rev": 5, "all": False, "targets": [host_row("s-1")] * 200})
     body.dataReceived(line + b"\n\n" + good[:9000])
     body.dataReceived(good[9000:] + b"\n")
-    assert said == ["bad-list"] and heard == [(False, [row("s-1")] * 200)] and watch.rev == 5
+    assert said == ["bad-list"] and heard == [(False, [host_row("s-1")] * 200)] and watch.rev == 5
 
 
 def test_a_watch_that_fell_silent_is_opened_anew():
@@ -489,7 +493,7 @@
                       BackOff(7, 3))  # fmt: skip
     watch.start()
     body = WatchBody(watch)
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     reactor.advance(ANSWER_TIMEOUT_S / 2)
     body.dataReceived(b"\n")
     reactor.advance(SILENCE_TIMEOUT_S / 2)
@@ -518,9 +522,9 @@
     watch = Discovery(MemoryReactorClock(), "127.0.0.1:8500", 4, None, lambda: heard.append(1),
                       lambda reason, text: said.append(reason), BackOff(7, 3))  # fmt: skip
     body = WatchBody(watch, accepted=False)
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     body.dataReceived(b"too many calls\n\n")
-    lost(body)
+    lose_connection(body)
     assert not heard and not said and watch.retry_timer is not None
 
 
@@ -564,10 +568,10 @@
     watch = Discovery(reactor, "127.0.0.1:8500", 9, lambda *x: heard.append(x), lambda: None,
                       lambda reason, _: said.append(reason), BackOff(7, 3))  # fmt: skip
     body = WatchBody(watch)
-    body.makeConnection(Wire())
-    body.dataReceived(orjson.dumps({"rev": 8, "all": False, "targets": [row("s-0")]}) + b"\n")
+    body.makeConnection(RecordingTransport())
+    body.dataReceived(orjson.dumps({"rev": 8, "all": False, "targets": [host_row("s-0")]}) + b"\n")
     assert not heard and said == ["list-went-back"] and watch.rev == 0 and watch.retry_timer is not None
-    body.dataReceived(orjson.dumps({"rev": 3, "all": True, "targets": [row("s-0")]}) + b"\n")
+    body.dataReceived(orjson.dumps({"rev": 3, "all": True, "targets": [host_row("s-0")]}) + b"\n")
     assert not heard  # of the watch that was left
 
 
@@ -575,7 +579,7 @@
     heard, said = [], []
     watch = Discovery(MemoryReactorClock(), "127.0.0.1:8500", 4, lambda *x: heard.append(x), lambda: None,
                       lambda reason, _: said.append(reason), BackOff(7, 3))  # fmt: skip
-    watch.line_received(orjson.dumps({"rev": 5, "all": True, "targets": [row("s-0")] * (MAX_HOSTS + 1)}))
+    watch.line_received(orjson.dumps({"rev": 5, "all": True, "targets": [host_row("s-0")] * (MAX_HOSTS + 1)}))
     assert not heard and said == ["list-too-long"] and watch.rev == 4
 
 
@@ -583,16 +587,16 @@
     # Danger: half a list, taken at its word, would leave no host running.
     d = make_handler(hosts=3)
     d.update_roster(
-        True, [row("s-0"), {"uid": "s-1", "state": "Rea"}] + [{"uid": f"x-{i}"} for i in range(50)]
+        True, [host_row("s-0"), {"uid": "s-1", "state": "Rea"}] + [{"uid": f"x-{i}"} for i in range(50)]
     )
     assert [s.name for s in d.hosts.states] == ["RUNNING", "RUNNING", "GONE"] and d.hosts.running_count() == 2
     assert sum("bad-entry" in line for line in log) == 6  # five named, the others counted
-    d.update_roster(True, [row("s-0"), {"uid": "s-2", "state": "Rea"}])
+    d.update_roster(True, [host_row("s-0"), {"uid": "s-2", "state": "Rea"}])
     assert d.hosts.states[2].name == "GONE" and d.balancer._node.state[2].name == "GONE"
 
 
 @pytest.mark.parametrize("line", [
-    b"\xff" * 50, b"OPEN", b"OPEN x y d=nan,c=chat", opening(1) + b",c=none", b"G" * 5000,
+    b"\xff" * 50, b"OPEN", b"OPEN x y d=nan,c=chat", open_line(1) + b",c=none", b"G" * 5000,
 ])  # fmt: skip
 def test_rubbish_by_hundreds_at_a_node_that_has_just_started_leaves_it_to_its_clients(line, log):
     # Danger: after a mass restart all rubbish comes to few nodes at once, with the clients that come again.
@@ -602,8 +606,8 @@
     assert all(client.transport.lines()[0].startswith((b"ERR", b"BUSY")) for client in rubbish)
     assert len(reasons(log)) == 300 and not d.sessions.by_index and not d.reactor.tcpClients
     for client in rubbish:
-        lost(client)
-    client, host = up(d)
+        lose_connection(client)
+    client, host = establish(d)
     client.dataReceived(b"one\r\n")
     assert host.transport.lines() == [b"one"]
 
@@ -617,9 +621,9 @@
 def test_a_session_that_lay_there_beside_a_drain_is_placed_by_the_list():
     d = make_handler(hosts=2)
     asleep(d, 3.0)
-    connect(d, OPEN.replace(b"d=1200", b"d=9000"))
+    connect(d, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     assert not d.reactor.tcpClients  # nothing is decided before all is read
-    d.update_roster(False, [row("s-0", "Terminating", 9000)])
+    d.update_roster(False, [host_row("s-0", "Terminating", 9000)])
     d.reactor.advance(0)
     assert [c[1] for c in d.reactor.tcpClients] == [9001]
 
@@ -627,18 +631,18 @@
 def test_what_is_left_of_a_wait_is_counted_from_the_sleep_on():
     d = make_handler()
     asleep(d, 3.0)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     d.reactor.advance(0)
     assert client.transport.lines()[0].startswith(b"BUSY") and not d.reactor.tcpClients
 
 
 def test_a_head_whose_connection_came_up_in_the_sleep_waits_for_the_list():
     d = make_handler(hosts=1)
-    connect(d, OPEN.replace(b"d=1200", b"d=9000"))
+    connect(d, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     asleep(d, 0.9)
     host = accept(d)
     assert not host.transport.value()
-    d.update_roster(False, [row("s-0", "Terminating", 9000)])
+    d.update_roster(False, [host_row("s-0", "Terminating", 9000)])
     d.reactor.advance(0)
     assert not host.transport.value() and host.ended
 
@@ -654,7 +658,7 @@
     }
     d.source = type("Source", (), parts)()
     asleep(d, 3.0)
-    connect(d, OPEN.replace(b"d=1200", b"d=9000"))
+    connect(d, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     d.reactor.advance(waits)
     assert bool(d.reactor.tcpClients) is open_
     d.reactor.pump([0.01] * 10)
@@ -663,7 +667,7 @@
 
 def test_a_time_out_that_ran_out_in_the_sleep_yields_to_the_answer_beside_it():
     d = make_handler(hosts=1)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     host = accept(d)
     asleep(d, 2.0)
     d._dial_timed_out(host)
@@ -675,7 +679,7 @@
 def test_a_busy_turn_is_no_sleep():
     d = make_handler()
     asleep(d, 0.45)
-    connect(d, OPEN)
+    connect(d, OPEN_LINE)
     assert d.reactor.tcpClients and not d.stall
 
 
@@ -691,7 +695,7 @@
 
 def test_a_connection_that_ran_out_in_the_sleep_is_nobodys_fault():
     d = make_handler(hosts=1)
-    connect(d, OPEN.replace(b"d=1200", b"d=9000"))
+    connect(d, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     asleep(d, 2.0)
     d.dial_failed(next(iter(d.sessions.by_index.values())).host_connection)
     d.reactor.advance(0)
@@ -715,7 +719,7 @@
     )  # fmt: skip
     watch.start()
     body = WatchBody(watch)
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     return watch, body
 
 
@@ -724,15 +728,15 @@
     reactor, said, excused = MemoryReactorClock(), [], [1]
     _, body = watch_of(reactor, said, excused)
     reactor.advance(SILENCE_TIMEOUT_S + 1)
-    body.dataReceived(orjson.dumps({"rev": 5, "all": False, "targets": [row("s-1")]}) + b"\n")
-    assert said == [(False, [row("s-1")])] and len(reactor.tcpClients) == 1
+    body.dataReceived(orjson.dumps({"rev": 5, "all": False, "targets": [host_row("s-1")]}) + b"\n")
+    assert said == [(False, [host_row("s-1")])] and len(reactor.tcpClients) == 1
 
 
 @pytest.mark.parametrize("excused, calls", [([1], 2), ([], 1)])
 def test_a_watch_that_broke_in_a_sleep_is_opened_at_once(excused, calls):
     reactor = MemoryReactorClock()
     _, body = watch_of(reactor, [], excused)
-    lost(body)
+    lose_connection(body)
     reactor.advance(0.05)
     assert len(reactor.tcpClients) == calls
 
@@ -740,6 +744,6 @@
 def test_a_call_that_waits_for_its_drawn_moment_is_made_as_the_node_is_back():
     reactor = MemoryReactorClock()
     watch, body = watch_of(reactor, [], [])
-    lost(body)
+    lose_connection(body)
     watch.on_wake()
     assert len(reactor.tcpClients) == 2 and watch.retry_timer is None
