--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault: KNOWN-RED.txt names at most three, one a line: test | cause | issue.
+"""Marks known failures as expected, and checks that test files close their descriptors.
 
-Each is expected to fail, and its passing fails the run; so do a fourth line and a name that no test has.
-Besides, no test file may leave descriptors open.
+KNOWN-RED.txt lists at most three known failures, one per line: test | cause | issue. Each is expected to
+fail. The run fails if one passes, if there is a fourth line, or if a line names a test that does not exist.
 """
 
 import gc
@@ -12,18 +12,18 @@
 
 from caperdeck.lifecycle.reactor import install_reactor
 
-install_reactor()  # before a test loads a part of the library that would install another one
+install_reactor()  # before a test imports a Twisted module that would install another one
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
-MOST_LEFT_OPEN = 24  # by a test file: the shared stand-ins that run until the process ends
+MAX_KNOWN_FAILURES = 3
+MAX_LEAKED_DESCRIPTORS = 24  # per test file: shared fake peers run until the process ends
 
 
 def known_red(text):
-    """By test what is said of it; raises UsageError for a list that cannot be."""
-    rows = [[part.strip() for part in line.split("|")] for line in text.splitlines() if line.strip()]
-    if len(rows) > MOST:
-        raise pytest.UsageError(f"{LIST.name} has {len(rows)} lines, {MOST} at the most")
+    """Parses the list into reasons by test; raises UsageError for an invalid one."""
+    rows = [[field.strip() for field in line.split("|")] for line in text.splitlines() if line.strip()]
+    if len(rows) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"{LIST.name} has {len(rows)} lines, {MAX_KNOWN_FAILURES} at the most")
     for row in rows:
         if len(row) != 3 or not all(row):
             raise pytest.UsageError(f"{LIST.name}: a line is `test | cause | issue`, not {' | '.join(row)!r}")
@@ -52,8 +52,8 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    for name, said in read_list().items():
-        terminalreporter.write_line(f"KNOWN RED {name}: {said}")
+    for name, reason in read_list().items():
+        terminalreporter.write_line(f"KNOWN RED {name}: {reason}")
 
 
 def open_descriptors():
@@ -62,9 +62,9 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def descriptors_are_closed():
-    """A node counts its process's descriptors against its limit: what one file leaves, others lack."""
+    """Descriptors left open by one file count against the limit of nodes in the files after it."""
     before = open_descriptors()
     yield
     gc.collect()
-    left = open_descriptors() - before
-    assert left <= MOST_LEFT_OPEN, f"{left} descriptors were left open"
+    leaked = open_descriptors() - before
+    assert leaked <= MAX_LEAKED_DESCRIPTORS, f"{leaked} descriptors were left open"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds a node and its fleet, or a desk and its connections, directly."""
+"""Test helpers: nodes and session handlers in memory, fake peers, and a reactor with a test clock."""
 
 import json
 import socket
@@ -33,7 +33,7 @@
 
 @contextmanager
 def captured_log():
-    """The log lines of a test."""
+    """Collects log lines."""
     lines = []
     number = logger.add(lines.append, format="{message}")
     yield lines
@@ -58,7 +58,7 @@
 def make_node(hosts=4, entries=None, **changes) -> Node:
     n = Node(make_settings(**changes), START)
     n.update_roster(START, RosterScope.SAVED, entries or [roster_entry(h) for h in range(hosts)])
-    n.seen_at = [START] * len(n.state)  # their answers to a probe are fresh
+    n.seen_at = [START] * len(n.state)  # probes were answered just now
     return n
 
 
@@ -71,7 +71,7 @@
 
 
 def set_reported_loads(n, values, at=START):
-    """Fresh reports for the hosts in order."""
+    """Gives the node a fresh load report of each host, in order; None for no report."""
     for h, value in enumerate(values):
         if value is not None:
             n._know(at, h, value)
@@ -80,7 +80,7 @@
 
 
 def add_established(n, host, loads, since=START - 60000.0, first=100):
-    """Connections of these loads that stand on a host since long ago."""
+    """Adds sessions of these loads, established on a host since long ago; returns their ids."""
     for i, load in enumerate(loads):
         n.resume_session(since, session_request(first + i, load), host)
         n.sessions[first + i].stands = since
@@ -91,10 +91,10 @@
 
 
 class RecordingTransport(StringTransport):
-    """A transport that keeps what is written and how it was ended."""
+    """A transport that records what is written and how it was closed."""
 
-    broken = False  # what the peer did before the request went out
-    gone_out = 0  # bytes that a reset can no longer drop
+    broken = False  # the peer has reset the connection before the request was sent
+    flushed_bytes = 0  # written out before a reset
 
     def setTcpNoDelay(self, on):
         pass
@@ -115,7 +115,7 @@
         self.producer = None
 
     def doWrite(self):
-        self.gone_out = len(self.value())
+        self.flushed_bytes = len(self.value())
 
     def loseWriteConnection(self):
         self.disconnecting = True
@@ -143,15 +143,15 @@
 
 
 def open_line(number):
-    """A first line with an id of its own."""
+    """A request line with a unique id."""
     return OPEN_LINE.replace(b"9b1f", b"%04x" % number)
 
 
-RESUME_WITHIN_S = 40.0  # seconds, the stated target for connections that stood before a node's start
+RESUME_WITHIN_S = 40.0  # the stated target for resuming sessions after a start
 
 
 def resume_line(number, host="s-0", wait=b"9223372036854"):
-    """The first line of a client whose connection stood at that host."""
+    """The request line of a client whose session was established on that host."""
     return open_line(number).replace(b"d=1200", b"d=" + wait) + b",at=" + host.encode()
 
 
@@ -160,7 +160,7 @@
 
 
 def make_handler(hosts=2, sockets=1024, reactor=None, ports=(), listener=None, **limits):
-    """A desk between a reactor, in memory if none is given, and a balancer that knows these hosts."""
+    """A session handler with a balancer that knows these hosts, on an in-memory reactor if none is given."""
     setup = SETUP | {"limits": SETUP["limits"] | limits}
     setup["listeners"] = [SETUP["listeners"][0] | (listener or {})]
     reactor = reactor or MemoryReactorClock()
@@ -171,11 +171,13 @@
     names = decode_names(setup)
     balancer = Balancer(decode_settings(7, setup), clock())
     budget = SocketBudget(sockets, 10)
-    d = SessionHandler(reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget)
-    d.update_roster(
+    handler = SessionHandler(
+        reactor, clock, balancer, names, decode_limits(setup), Hosts(names.zones), budget
+    )
+    handler.update_roster(
         True, [host_row(f"s-{h}", port=p) for h, p in enumerate(ports or range(9000, 9000 + hosts))]
     )
-    return d
+    return handler
 
 
 CONFIG = {
@@ -190,38 +192,38 @@
     return {"EDGE_CONFIG": str(path)}
 
 
-def service_over(d, folder, **changes):
-    """A service whose desk is this one; its file and what it leaves to a successor lie in the folder."""
+def service_over(handler, folder, **changes):
+    """A service with this session handler, whose files are in the folder."""
     config = CONFIG | {"admin_addr": "127.0.0.1:9100"} | changes
     environment = write_config(folder / "c", config) | {"TMPDIR": str(folder)}
-    service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
-    service.handler, service.clock = d, d.clock
-    d.refresh_bans = service.ban_calls.look
-    if d.hosts.uids:
+    service = Service(handler.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
+    service.handler, service.clock = handler, handler.clock
+    handler.refresh_bans = service.ban_calls.look
+    if handler.hosts.uids:
         service.ban_calls.begin()
     return service
 
 
-def connect(d, *lines):
-    """A client's connection to the desk that has sent these lines."""
-    client = ClientConnection(d)
+def connect(handler, *lines):
+    """Connects a client that sends these lines."""
+    client = ClientConnection(handler)
     client.makeConnection(RecordingTransport())
     for line in lines:
         client.dataReceived(line + b"\r\n")
     return client
 
 
-def accept(d, transport=None):
-    """The host's side of the connection that the node has asked for last comes up."""
-    conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
+def accept(handler, transport=None):
+    """Opens the connection that the node requested last, and returns its host side."""
+    conn = handler.reactor.tcpClients[-1][2].buildProtocol(None)
     conn.makeConnection(transport or RecordingTransport())
     return conn
 
 
-def establish(d):
-    """A client and the host's side of its session, which stands."""
-    client = connect(d, open_line(d.sessions.created_count))
-    host = accept(d)
+def establish(handler):
+    """Establishes a session; returns its client and host connections."""
+    client = connect(handler, open_line(handler.sessions.created_count))
+    host = accept(handler)
     host.dataReceived(b"UP r1\r\n")
     client.transport.clear()
     host.transport.clear()
@@ -232,15 +234,15 @@
     protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
 
-# ---- stand-ins on loopback
+# ---- fake peers on loopback
 
 
 def serve_lines(answer):
-    """A listening socket; each line that comes is answered by what the function makes of it."""
+    """Listens on a port, and answers each line with the result of the function; returns the port."""
     server = socket.create_server(("127.0.0.1", 0))
 
     def one(connection):
-        with suppress(ConnectionError):  # the node ends a connection with a reset now and then
+        with suppress(ConnectionError):  # the node may reset a connection
             for line in connection.makefile("rb"):
                 if (said := answer(line)) is not None:
                     connection.sendall(said)
@@ -261,14 +263,14 @@
 
 
 def serve_host_list(*rows):
-    """A discovery that answers each watch with these hosts."""
+    """A discovery service that answers each watch with these hosts; returns its port."""
     body = json.dumps({"rev": 42, "all": True, "targets": rows}).encode() + b"\n"
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(body), body)
     return serve_lines(lambda line: answer if line.startswith(b"GET") else None)
 
 
 def ping_until_ready(port, until):
-    """Waits until the node there answers PING; it has to before that time of the steady clock."""
+    """Waits until the node answers PING; fails at that time of the monotonic clock."""
     while time.monotonic() < until:
         try:
             with socket.create_connection(("127.0.0.1", port), 5.0) as sock:
@@ -281,7 +283,7 @@
 
 
 def processes_with_environment(mark):
-    """Processes whose environment holds the mark."""
+    """Returns the command lines of processes whose environment contains the marker."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -302,13 +304,13 @@
 
 
 def close_reactor(reactor):
-    """Every socket is closed, and the pair by which threads wake a reactor."""
+    """Closes every socket of the reactor, including the pair by which threads wake it."""
     for selectable in (*reactor.removeAll(), reactor.waker):
         selectable.connectionLost(Failure(ConnectionDone()))
 
 
 def closing_factory(kind):
-    """What a fixture yields from: a function that makes these, each closed after the test."""
+    """For fixtures: yields a function that creates objects of this kind, and closes them after the test."""
     made = []
 
     def make(**parts):
@@ -320,11 +322,11 @@
         each.close()
 
 
-# ---- a stepped reactor: real loopback sockets, a clock that only the test moves
+# ---- a reactor with real loopback sockets and a clock that only the test moves
 
 
 class SteppedReactor(SelectReactor):
-    """Reads and writes sockets when told to; its timers run by `now`, which a test sets."""
+    """Handles sockets only in run_turn; its timers follow `now`, which the test sets."""
 
     def __init__(self):
         super().__init__()
@@ -333,27 +335,27 @@
     def seconds(self):
         return self.now
 
-    def turn(self, wait=0.0):
-        """Timers that are due, then one look at every socket."""
+    def run_turn(self, wait=0.0):
+        """Runs the timers that are due, then handles every ready socket once."""
         self.runUntilCurrent()
         self.doIteration(wait)
 
-    def until(self, done, turns=2000):
-        """Turns without the clock moving until it is so; what the kernel delivers takes a moment."""
+    def run_until(self, done, turns=2000):
+        """Runs turns until the condition holds, without moving the clock, as the kernel takes time."""
         for _ in range(turns):
             if done():
                 return
-            self.turn(0.001)
-        raise AssertionError("it never came to that")
+            self.run_turn(0.001)
+        raise AssertionError("condition not reached")
 
     def settle(self, turns=20):
-        """Everything that peers have sent by now is read."""
+        """Runs enough turns to read everything that peers have sent."""
         for _ in range(turns):
-            self.turn(0.0005)
+            self.run_turn(0.0005)
 
     @contextmanager
-    def unwatched(self, *transports):
-        """The reactor has not come to these sockets yet, whatever lies there."""
+    def unmonitored(self, *transports):
+        """Hides these sockets from the reactor for the duration of the block."""
         reads, writes = self.getReaders(), self.getWriters()
         for transport in transports:
             self.removeReader(transport)
@@ -368,17 +370,17 @@
     def close(self):
         close_reactor(self)
 
-    def pass_time(self, seconds, step=0.05):
-        """The clock goes on in small steps, sockets are read at each of them."""
+    def advance_in_steps(self, seconds, step=0.05):
+        """Moves the clock in small steps, and handles sockets at each of them."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(self.now + step, end)
-            self.turn()
-            self.turn(0.0002)
+            self.run_turn()
+            self.run_turn(0.0002)
 
 
 class FakePeer:
-    """A stand-in peer: a listening socket whose connections the test accepts, reads and ends by hand."""
+    """A listening socket whose connections the test accepts, reads and closes by hand."""
 
     def __init__(self):
         self.accepted = []
@@ -390,7 +392,7 @@
         self.port = self.server.getsockname()[1]
 
     def accept(self):
-        """Takes in who has connected; True if anybody has."""
+        """Accepts one connection; returns False if there is none."""
         with suppress(BlockingIOError):
             sock, _ = self.server.accept()
             sock.setblocking(False)
@@ -404,7 +406,7 @@
 
 
 def read_all(sock):
-    """What has come by now, and whether the other side has ended ("end", "reset" or "")."""
+    """Returns the data received so far, and how the other side has closed: "end", "reset" or ""."""
     data = b""
     while True:
         try:
@@ -424,7 +426,7 @@
 
 
 class LoopbackNode:
-    """A desk whose clients and hosts are real sockets on loopback; the test is all of them."""
+    """A session handler whose clients and hosts are loopback sockets held by the test."""
 
     def __init__(self, hosts=1, **parts):
         self.reactor = SteppedReactor()
@@ -432,45 +434,46 @@
         self.handler = make_handler(reactor=self.reactor, ports=[peer.port for peer in self.hosts], **parts)
         self.port = ClientPort(0, ClientFactory(self.handler), 512, "127.0.0.1", self.reactor)
         self.port.startListening()
-        self.number = self.port.getHost().port
+        self.port_number = self.port.getHost().port
 
     def client(self, *lines):
-        """A client that has connected and sent these lines; the node has not read them yet."""
-        sock = socket.create_connection(("127.0.0.1", self.number))
+        """Connects a client that has sent these lines, which the node has not read yet."""
+        sock = socket.create_connection(("127.0.0.1", self.port_number))
         sock.sendall(b"".join(line + b"\r\n" for line in lines))
         sock.setblocking(False)
         return sock
 
     def session(self):
-        """The one that the node holds."""
-        (s,) = self.handler.sessions.by_index.values()
-        return s
+        """Returns the only session of the node."""
+        (session,) = self.handler.sessions.by_index.values()
+        return session
 
-    def taken(self, line=OPEN_LINE):
-        """A client whose line has been read, and its session, whose dial is under way."""
+    def open_session(self, line=OPEN_LINE):
+        """Connects a client whose request line is read; returns it and its session, which is being dialed."""
         client = self.client(line)
-        self.reactor.until(lambda: self.handler.sessions.by_index)
+        self.reactor.run_until(lambda: self.handler.sessions.by_index)
         return client, self.session()
 
-    def hold(self, s):
-        """The dial's connection is on its way, not seen to be up yet; returns the host's end of it."""
+    def hold_dial(self, session):
+        """Keeps the reactor from noticing that the dial has connected; returns the host's socket."""
         self.reactor.runUntilCurrent()
-        conn = s.host_connection.connector.transport
+        conn = session.host_connection.connector.transport
         self.reactor.removeReader(conn)
         self.reactor.removeWriter(conn)
-        self.reactor.until(lambda: any(peer.accept() for peer in self.hosts))
+        self.reactor.run_until(lambda: any(peer.accept() for peer in self.hosts))
         return next(p for p in self.hosts if ("127.0.0.1", p.port) == tuple(conn.addr)).accepted[-1]
 
-    def comes_up(self, s):
-        conn = s.host_connection.connector.transport
+    def finish_dial(self, session):
+        """Lets the reactor notice that the dial has connected."""
+        conn = session.host_connection.connector.transport
         self.reactor.addReader(conn)
         self.reactor.addWriter(conn)
         self.reactor.settle()
 
-    def host_side(self, h=0):
-        """The host's end of the connection that has come to it next."""
-        self.reactor.until(self.hosts[h].accept)
-        return self.hosts[h].accepted[-1]
+    def accept_at_host(self, host=0):
+        """Accepts the next connection at the host; returns its socket."""
+        self.reactor.run_until(self.hosts[host].accept)
+        return self.hosts[host].accepted[-1]
 
     def close(self):
         self.reactor.close()
--- a/tests/machine_faults.py
+++ b/tests/machine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of its machine that a process under test is started with, by name."""
+"""Faults of the machine with which a process under test can be started, by function name."""
 
 import builtins
 import errno
@@ -6,15 +6,16 @@
 import os
 import socket
 
-MOMENT = 10  # calls that fail until the machine has what it lacked
+MOMENTARY_FAILURES = 10  # calls that fail before a momentary lack of resources ends
 
 
 def plant(name):
+    """Installs the fault of that name in this process."""
     FAULTS[name]()
 
 
 def _failing(call, applies, number, times=math.inf):
-    """The call, failing with that error so many times where it applies."""
+    """Wraps a call so that it fails with this error number, so many times, where `applies` holds."""
     left = [times]
 
     def call_or_fail(*arguments, **named):
@@ -26,7 +27,7 @@
     return call_or_fail
 
 
-def _asks_for_unix(sock, family=-1, *_, **named):
+def _creates_unix_socket(sock, family=-1, *_, **named):
     return family == socket.AF_UNIX and named.get("fileno") is None
 
 
@@ -36,21 +37,21 @@
 
 def no_unix_socket_for_a_moment():
     kind = socket.socket
-    kind.__init__ = _failing(kind.__init__, _asks_for_unix, errno.ENFILE, MOMENT)
+    kind.__init__ = _failing(kind.__init__, _creates_unix_socket, errno.ENFILE, MOMENTARY_FAILURES)
 
 
 def no_unix_connect_for_a_moment():
     kind = socket.socket
-    kind.connect = _failing(kind.connect, _is_unix, errno.ENOBUFS, MOMENT)
+    kind.connect = _failing(kind.connect, _is_unix, errno.ENOBUFS, MOMENTARY_FAILURES)
 
 
 def no_unix_sockets():
     kind = socket.socket
-    kind.__init__ = _failing(kind.__init__, _asks_for_unix, errno.EAFNOSUPPORT)
+    kind.__init__ = _failing(kind.__init__, _creates_unix_socket, errno.EAFNOSUPPORT)
 
 
 def no_room_in_the_folder():
-    """Nothing can be created or written in $TMPDIR."""
+    """No file can be created or written in $TMPDIR."""
     folder, kind = os.environ.get("TMPDIR", "/nowhere"), socket.socket
 
     def writes(path, mode="r", *_, **__):
@@ -63,18 +64,18 @@
 
 
 def a_link_that_fails_once():
-    """The first packet with descriptors of connections fails as the machine lacks memory."""
+    """Sending the first packet with descriptors of connections fails for lack of memory."""
 
-    def hands_on(sock, pieces, ancillary=(), *_):
+    def sends_descriptors(sock, pieces, ancillary=(), *_):
         return bool(ancillary) and len(ancillary[0][2]) > 1
 
     kind = socket.socket
-    kind.sendmsg = _failing(kind.sendmsg, hands_on, errno.ENOBUFS, 1)
+    kind.sendmsg = _failing(kind.sendmsg, sends_descriptors, errno.ENOBUFS, 1)
 
 
 FAULTS = {
-    each.__name__: each
-    for each in (
+    fault.__name__: fault
+    for fault in (
         no_unix_socket_for_a_moment, no_unix_connect_for_a_moment, no_unix_sockets, no_room_in_the_folder,
         a_link_that_fails_once,
     )
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -518,7 +518,7 @@
             if done():
                 return
             instances.turn()
-            reactor.pass_time(0.05)
+            reactor.advance_in_steps(0.05)
         raise AssertionError("it never came to that")
 
     until(lambda: node.revision == 1 and node.watch.state() is State.CURRENT)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -13,7 +13,7 @@
     session_request, write_config,
 )  # fmt: skip
 from node_processes import connected
-from test_race_conditions import HEADERS, Agent
+from test_race_conditions import HEADERS, FakeDiscovery
 from twisted.internet.testing import MemoryReactorClock
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -219,30 +219,32 @@
     """The answer to the last call, the list of a large fleet in it, comes evenly over that time."""
     sock, text, watch = agent.accepted[-1], large_list(3200), agent.watch
     sock.send(HEADERS + b"%x\r\n" % len(text))
-    agent.reactor.until(lambda: watch.body)
+    agent.reactor.run_until(lambda: watch.body)
     steps = round(seconds / 0.1)
     for i in range(steps):
         end = len(text) * (i + 1) // steps
         sock.send(text[len(text) * i // steps : end])
         # the kernel takes real time, which the reactor's clock does not tell
-        agent.reactor.until(lambda end=end: not watch.body or agent.told or watch.body.length >= end)
-        agent.step("hangs", 0.1)
+        agent.reactor.run_until(
+            lambda end=end: not watch.body or agent.received_at or watch.body.length >= end
+        )
+        agent.run("hangs", 0.1)
 
 
 # guards against: a list never read, as it takes longer to arrive than a node waits for the end of a line
 @pytest.mark.parametrize("seconds", [2.8, 5.0])
 def test_a_list_that_arrives_slowly_is_read(seconds):
-    agent = Agent()
+    agent = FakeDiscovery()
     agent.watch.start()
-    agent.step("hangs", 0.1)
+    agent.run("hangs", 0.1)
     for _ in range(4):
         with suppress(OSError):
             arrives_over(seconds, agent)
-        agent.step("hangs", 1.5)
-        if agent.told:
+        agent.run("hangs", 1.5)
+        if agent.received_at:
             break
     agent.close()
-    assert len(agent.told) == 1
+    assert len(agent.received_at) == 1
 
 
 # guards against: the time that a line may take counted from the beginning of an earlier one
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -42,10 +42,10 @@
 
     def opened(self):
         """The watch is open, and its first line has been read."""
-        self.reactor.until(self.agent.accept)
+        self.reactor.run_until(self.agent.accept)
         list_socket = self.agent.accepted[-1]
         list_socket.send(HEADERS + chunk(b"\n"))
-        self.reactor.until(lambda: self.watch.read_count)
+        self.reactor.run_until(lambda: self.watch.read_count)
         return list_socket
 
     def list_transport(self):
@@ -83,49 +83,53 @@
 @pytest.mark.parametrize("stalls", [(0.3,), (0.3, 0.3), (0.12,) * 6], ids=["one", "two", "six-short"])
 def test_a_drain_that_lies_in_the_socket_is_read_before_a_request_goes_out(watched, stalls):
     # Danger: no single stall is long enough to count as away, and together they are longer than the grace.
-    lo = watched(dialTimeout=5.0)
-    list_socket = lo.opened()
-    client, s = lo.taken()
+    loopback = watched(dialTimeout=5.0)
+    list_socket = loopback.open_watch()
+    client, s = loopback.open_session()
     first = s.host
-    lo.hold(s)
+    loopback.hold_dial(s)
     s.dial_timer.reset(60.0)
-    with lo.reactor.unwatched(lo.list_transport()):
-        list_socket.send(list_of(2, lo.row(first, "Terminating"), whole=False))
+    with loopback.reactor.unmonitored(loopback.list_transport()):
+        list_socket.send(list_of(2, loopback.row(first, "Terminating"), whole=False))
         for seconds in stalls:
-            lo.stand(seconds)
-            lo.sweeps()
-            lo.reactor.turn(0.0005)
-        lo.comes_up(s)
-        assert not lo.handler.stall and not lo.sent(first)
-    lo.reactor.settle()
-    assert not lo.sent(first) and lo.sent(1 - first).startswith(b"OPEN ")
+            loopback.stall(seconds)
+            loopback.sweeps()
+            loopback.reactor.run_turn(0.0005)
+        loopback.finish_dial(s)
+        assert not loopback.handler.stall and not loopback.received_by(first)
+    loopback.reactor.settle()
+    assert not loopback.received_by(first) and loopback.received_by(1 - first).startswith(b"OPEN ")
 
 
 def test_a_list_with_nothing_to_read_holds_up_no_request(watched):
-    lo = watched(hosts=1)
-    lo.opened()
-    client, s = lo.taken()
-    lo.hold(s)
-    lo.stand(0.15)
-    lo.comes_up(s)
-    assert lo.sent(0).startswith(b"OPEN ")
+    loopback = watched(hosts=1)
+    loopback.open_watch()
+    client, s = loopback.open_session()
+    loopback.hold_dial(s)
+    loopback.stall(0.15)
+    loopback.finish_dial(s)
+    assert loopback.received_by(0).startswith(b"OPEN ")
 
 
 def test_after_an_absence_the_head_of_an_answer_is_no_list(watched):
     # Danger: the watch broke meanwhile, and the first line of the next one comes in pieces.
-    lo = watched()
-    lo.opened().close()
-    lo.sweeps()
-    lo.stand(3.0)
-    client = lo.client(OPEN_LINE.replace(b"d=1200", b"d=9000"))
-    lo.reactor.pass_time(0.06, step=0.01)
-    assert lo.handler.stall and lo.agent.accept()
-    lo.agent.accepted[-1].send(HEADERS)
-    lo.reactor.pass_time(0.06, step=0.01)
-    assert not lo.sent(0) and not lo.sent(1)
-    lo.agent.accepted[-1].send(list_of(2, lo.row(0, "Terminating"), lo.row(1)))
-    lo.reactor.pass_time(0.06, step=0.01)
-    assert not lo.sent(0) and lo.sent(1).startswith(b"OPEN ") and not read_all(client)[1]
+    loopback = watched()
+    loopback.open_watch().close()
+    loopback.sweeps()
+    loopback.stall(3.0)
+    client = loopback.client(OPEN_LINE.replace(b"d=1200", b"d=9000"))
+    loopback.reactor.advance_in_steps(0.06, step=0.01)
+    assert loopback.handler.stall and loopback.agent.accept()
+    loopback.agent.accepted[-1].send(HEADERS)
+    loopback.reactor.advance_in_steps(0.06, step=0.01)
+    assert not loopback.received_by(0) and not loopback.received_by(1)
+    loopback.agent.accepted[-1].send(list_of(2, loopback.row(0, "Terminating"), loopback.row(1)))
+    loopback.reactor.advance_in_steps(0.06, step=0.01)
+    assert (
+        not loopback.received_by(0)
+        and loopback.received_by(1).startswith(b"OPEN ")
+        and not read_all(client)[1]
+    )
 
 
 # ---- the watch has ended, and the next one waits to be opened
@@ -138,13 +142,13 @@
         super().__init__(dialTimeout=5.0, nodes=200, grace=grace, listener={"handshakeTarget": 3.0})
         self.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s
         self.opened().close()
-        self.reactor.until(lambda: self.watch.retry_timer is not None)
+        self.reactor.run_until(lambda: self.watch.retry_timer is not None)
         self.drains = list_of(2, self.row(0, "Terminating"), self.row(1))  # discovery has it from now on
 
     def pass_time(self, seconds):
         for _ in range(round(seconds / 0.01)):
             self.sweeps()
-            self.reactor.pass_time(0.01, step=0.005)
+            self.reactor.advance_in_steps(0.01, step=0.005)
 
     def asked(self):
         """The sessions whose requests have come to the hosts since the last look."""
@@ -165,55 +169,55 @@
 @pytest.mark.parametrize("grace", [0.25, 0.5])
 def test_nothing_goes_past_the_grace_to_a_host_that_drains_while_no_watch_is_open(unwatched, grace):
     # Danger: what discovery has counts as told with no watch open, and the wait for the next one is longer.
-    lo = unwatched(grace=grace)
-    lo.pass_time(grace + 0.01)
-    clients = [lo.client(open_line(n)) for n in range(8)]
+    loopback = unwatched(grace=grace)
+    loopback.pass_time(grace + 0.01)
+    clients = [loopback.client(open_line(n)) for n in range(8)]
     for _ in range(5):
-        lo.pass_time(0.01)
-        assert not lo.sent(0)
-        lo.speak()
-    assert lo.sent(1).count(b"OPEN ") == len(clients)
+        loopback.pass_time(0.01)
+        assert not loopback.received_by(0)
+        loopback.answer_calls()
+    assert loopback.received_by(1).count(b"OPEN ") == len(clients)
 
 
 def test_a_dial_under_way_as_the_watch_ends_waits_for_the_next_one(unwatched):
-    lo = unwatched(grace=0.25)
-    client, s = lo.taken()
+    loopback = unwatched(grace=0.25)
+    client, s = loopback.open_session()
     first = s.host
-    lo.drains = list_of(2, lo.row(first, "Terminating"), lo.row(1 - first))
-    lo.hold(s)
-    lo.pass_time(0.26)
-    lo.comes_up(s)
-    lo.pass_time(0.02)
-    assert not lo.sent(first) and lo.agent.accept()
-    lo.agent.accepted[-1].send(HEADERS + lo.drains)
-    lo.pass_time(0.02)
-    assert not lo.sent(first) and lo.sent(1 - first).startswith(b"OPEN ")
+    loopback.drains = list_of(2, loopback.row(first, "Terminating"), loopback.row(1 - first))
+    loopback.hold_dial(s)
+    loopback.pass_time(0.26)
+    loopback.finish_dial(s)
+    loopback.pass_time(0.02)
+    assert not loopback.received_by(first) and loopback.agent.accept()
+    loopback.agent.accepted[-1].send(HEADERS + loopback.drains)
+    loopback.pass_time(0.02)
+    assert not loopback.received_by(first) and loopback.received_by(1 - first).startswith(b"OPEN ")
 
 
 def test_requests_within_the_grace_and_with_a_discovery_that_is_gone_are_not_kept(unwatched):
-    lo = unwatched(grace=0.25)
-    clients = [lo.client(open_line(1))]
-    lo.pass_time(0.02)
-    assert lo.asked() == {b"0001"}
-    lo.pass_time(0.3)
-    lo.agent.server.close()
-    clients.append(lo.client(open_line(2)))
-    lo.pass_time(0.05)
-    assert lo.asked() == {b"0002"}
+    loopback = unwatched(grace=0.25)
+    clients = [loopback.client(open_line(1))]
+    loopback.pass_time(0.02)
+    assert loopback.take_requested_ids() == {b"0001"}
+    loopback.pass_time(0.3)
+    loopback.agent.server.close()
+    clients.append(loopback.client(open_line(2)))
+    loopback.pass_time(0.05)
+    assert loopback.take_requested_ids() == {b"0002"}
 
 
 def test_a_discovery_that_ends_each_watch_is_called_no_more_than_twice_a_grace_however_many_ask(unwatched):
-    lo = unwatched(grace=0.25)
-    calls, began, clients, asked = 0, lo.reactor.now, [], set()
+    loopback = unwatched(grace=0.25)
+    calls, began, clients, asked = 0, loopback.reactor.now, [], set()
     for n in range(100):
-        clients.append(lo.client(open_line(n)))
-        lo.pass_time(0.01)
-        asked |= lo.asked()
-        while lo.agent.accept():
+        clients.append(loopback.client(open_line(n)))
+        loopback.pass_time(0.01)
+        asked |= loopback.take_requested_ids()
+        while loopback.agent.accept():
             calls += 1
-            lo.agent.accepted[-1].send(HEADERS + chunk(b"\n"))
-            lo.agent.accepted[-1].close()
-    assert 4 <= calls <= (lo.reactor.now - began) * 2 / 0.25 and len(asked) > 80
+            loopback.agent.accepted[-1].send(HEADERS + chunk(b"\n"))
+            loopback.agent.accepted[-1].close()
+    assert 4 <= calls <= (loopback.reactor.now - began) * 2 / 0.25 and len(asked) > 80
 
 
 # ---- a new process
@@ -238,7 +242,7 @@
             self.reactor, load_config(environment), Sink(2), None, lambda: 1e6 + self.reactor.now * MS
         )
         self.service.start()
-        self.number = port
+        self.port_number = port
 
     def row(self, h, state="Ready"):
         return host_row(f"s-{h}", state, self.hosts[h].port)
@@ -262,38 +266,42 @@
     # Danger: what discovery has counts as told from the first moment of a process, and loading alone takes
     # as long as the grace; clients that lie in the queue of its port are read before the list is.
     clients = [started.client(open_line(n)) for n in range(8)]
-    started.reactor.until(started.agent.accept)
-    started.reactor.pass_time(0.06, step=0.01)
-    assert not started.sent(0) and not started.sent(1) and len(started.service.handler.sessions.by_index) == 8
+    started.reactor.run_until(started.agent.accept)
+    started.reactor.advance_in_steps(0.06, step=0.01)
+    assert (
+        not started.received_by(0)
+        and not started.received_by(1)
+        and len(started.service.handler.sessions.by_index) == 8
+    )
     list_socket = started.agent.accepted[0]
     list_socket.send(HEADERS)
-    started.reactor.pass_time(0.06, step=0.01)
+    started.reactor.advance_in_steps(0.06, step=0.01)
     line = list_of(42, started.row(0, "Terminating"), started.row(1))
     list_socket.send(line[:60])
-    started.reactor.pass_time(0.06, step=0.01)
-    assert not started.sent(0) and not started.sent(1)
+    started.reactor.advance_in_steps(0.06, step=0.01)
+    assert not started.received_by(0) and not started.received_by(1)
     list_socket.send(line[60:])
-    started.reactor.pass_time(0.06, step=0.01)
-    assert not started.sent(0) and started.sent(1).count(b"OPEN ") == len(clients)
+    started.reactor.advance_in_steps(0.06, step=0.01)
+    assert not started.received_by(0) and started.received_by(1).count(b"OPEN ") == len(clients)
 
 
 def test_a_new_process_whose_discovery_says_nothing_serves_by_the_list_that_it_was_given(started):
     client = started.client(OPEN_LINE)
-    started.reactor.pass_time(LIST_WAIT_MS / MS - 0.05, step=0.01)
-    assert not started.sent(0) + started.sent(1)
-    started.reactor.pass_time(0.1, step=0.01)
+    started.reactor.advance_in_steps(LIST_WAIT_MS / MS - 0.05, step=0.01)
+    assert not started.received_by(0) + started.received_by(1)
+    started.reactor.advance_in_steps(0.1, step=0.01)
     started.reactor.settle()
-    assert (started.sent(0) + started.sent(1)).startswith(b"OPEN ")
+    assert (started.received_by(0) + started.received_by(1)).startswith(b"OPEN ")
     assert not read_all(client)[1]
 
 
 def test_a_new_process_waits_for_the_list_half_of_the_time_that_its_clients_have_at_the_most(started):
     client = started.client(OPEN_LINE.replace(b"d=1200", b"d=300"))
-    started.reactor.pass_time(0.13, step=0.01)
-    assert not started.sent(0) + started.sent(1)
-    started.reactor.pass_time(0.05, step=0.01)
+    started.reactor.advance_in_steps(0.13, step=0.01)
+    assert not started.received_by(0) + started.received_by(1)
+    started.reactor.advance_in_steps(0.05, step=0.01)
     started.reactor.settle()
-    assert (started.sent(0) + started.sent(1)).startswith(b"OPEN ")
+    assert (started.received_by(0) + started.received_by(1)).startswith(b"OPEN ")
     assert not read_all(client)[1]
 
 
@@ -308,47 +316,49 @@
 
 def test_a_watch_that_fell_silent_is_opened_anew_in_time_by_a_node_that_is_away_again_and_again(watched):
     # Danger: each return counted the silence from its start, so that it never ended.
-    lo = watched()
-    lo.opened()
-    fell = lo.reactor.now
-    while not lo.agent.accept():
+    loopback = watched()
+    loopback.open_watch()
+    fell = loopback.reactor.now
+    while not loopback.agent.accept():
         for _ in range(4):
-            lo.stand(0.05)
-            lo.sweeps()
-            lo.reactor.turn(0.0005)
-            lo.reactor.turn(0.0005)
-        lo.stand(0.6)
-        lo.reactor.settle(6)
-        assert lo.reactor.now - fell < SILENCE_TIMEOUT_S + 1.0
+            loopback.stall(0.05)
+            loopback.sweeps()
+            loopback.reactor.run_turn(0.0005)
+            loopback.reactor.run_turn(0.0005)
+        loopback.stall(0.6)
+        loopback.reactor.settle(6)
+        assert loopback.reactor.now - fell < SILENCE_TIMEOUT_S + 1.0
 
 
 @pytest.mark.parametrize("stall", [0.45, 0.6, 5.0])
 def test_a_call_that_was_due_as_the_node_stood_still_is_made_and_waited_for(watched, stall):
-    lo = watched(nodes=200)
-    list_socket = lo.opened()
+    loopback = watched(nodes=200)
+    list_socket = loopback.open_watch()
     list_socket.close()
-    lo.reactor.until(lambda: lo.watch.retry_timer is not None)
-    lo.stand(0.6 + stall)
-    lo.reactor.until(lo.agent.accept)
-    lo.stand(ANSWER_TIMEOUT_S - stall - 0.05 if stall < 0.5 else ANSWER_TIMEOUT_S - 0.05)
-    lo.handler.last_turn_at = lo.handler.read_clock()
-    lo.reactor.settle(6)
-    assert lo.watch.call is not None and not lo.agent.accept()
+    loopback.reactor.run_until(lambda: loopback.watch.retry_timer is not None)
+    loopback.stall(0.6 + stall)
+    loopback.reactor.run_until(loopback.agent.accept)
+    loopback.stall(ANSWER_TIMEOUT_S - stall - 0.05 if stall < 0.5 else ANSWER_TIMEOUT_S - 0.05)
+    loopback.handler.last_turn_at = loopback.handler.read_clock()
+    loopback.reactor.settle(6)
+    assert loopback.watch.call is not None and not loopback.agent.accept()
 
 
 @pytest.mark.parametrize("stall", [0.1, 0.24, 0.45])
 def test_timers_that_run_late_do_not_add_up_past_the_bound(watched, stall):
     # Danger: silence, a wait, a call without an answer and another wait, each late by one stall.
-    lo = watched(nodes=200)
-    lo.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s  # as drawn at the worst
-    lo.opened()
-    fell, calls = lo.reactor.now, 0
+    loopback = watched(nodes=200)
+    loopback.watch.back_off.next_delay = lambda policy=UNREACHABLE: (
+        UNREACHABLE.max_span_s
+    )  # as drawn at the worst
+    loopback.open_watch()
+    fell, calls = loopback.reactor.now, 0
     while calls < 2:
-        lo.stand(stall)
-        lo.sweeps()
-        lo.reactor.settle(6)
-        calls += lo.agent.accept()
+        loopback.stall(stall)
+        loopback.sweeps()
+        loopback.reactor.settle(6)
+        calls += loopback.agent.accept()
     assert (
-        lo.reactor.now - fell
+        loopback.reactor.now - fell
         <= SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + 2 * UNREACHABLE.max_span_s + stall + 0.01
     )
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -54,52 +54,54 @@
 
 @pytest.mark.parametrize("number", ACCEPT)
 def test_clients_in_the_queue_are_served_once_accept_works_again(loop, monkeypatch, number):
-    lo = loop()
+    loopback = loop()
     faulty = Faulty(monkeypatch, "accept", [number])
-    client = lo.client(OPEN_LINE)
-    lo.reactor.pass_time(0.1, step=0.01)
-    lo.host_side().send(b"UP r1\r\n")
-    lo.reactor.settle()
+    client = loopback.client(OPEN_LINE)
+    loopback.reactor.advance_in_steps(0.1, step=0.01)
+    loopback.accept_at_host().send(b"UP r1\r\n")
+    loopback.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "") and faulty.calls > 1
 
 
 def test_while_accept_fails_the_reactor_does_not_turn_on_it(loop, monkeypatch):
-    lo = loop()
+    loopback = loop()
     faulty = Faulty(monkeypatch, "accept", [errno.ENFILE] * 100)
-    client = lo.client(OPEN_LINE)
-    lo.reactor.settle(50)
+    client = loopback.client(OPEN_LINE)
+    loopback.reactor.settle(50)
     assert faulty.calls == 1 and read_all(client) == (b"", "")
 
 
 # guards against: a core in full use at a port that is read while no descriptor is left for a client
 def test_while_no_client_can_be_let_in_the_reactor_does_not_turn_on_the_port(loop, monkeypatch):
-    lo = loop()
-    lo.handler.set_accepting = lambda on: (lo.port.startReading if on else lo.port.stopReading)()
-    lo.handler.budget.used_by_other_process = lo.handler.budget.limit
-    client, reads, read = lo.client(OPEN_LINE), [], lo.port.doRead
-    monkeypatch.setattr(lo.port, "doRead", lambda: reads.append(read()))
-    lo.reactor.settle(50)
+    loopback = loop()
+    loopback.handler.set_accepting = lambda on: (
+        loopback.port.startReading if on else loopback.port.stopReading
+    )()
+    loopback.handler.budget.used_by_other_process = loopback.handler.budget.limit
+    client, reads, read = loopback.client(OPEN_LINE), [], loopback.port.doRead
+    monkeypatch.setattr(loopback.port, "doRead", lambda: reads.append(read()))
+    loopback.reactor.settle(50)
     assert len(reads) == 1
-    lo.handler.budget.used_by_other_process = 0
-    lo.handler.sweep()
-    lo.host_side().send(b"UP r1\r\n")
-    lo.reactor.settle()
+    loopback.handler.budget.used_by_other_process = 0
+    loopback.handler.sweep()
+    loopback.accept_at_host().send(b"UP r1\r\n")
+    loopback.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "")
 
 
 def test_a_queue_that_cannot_be_let_in_just_now_is_not_closed_over_its_clients(loop, monkeypatch, tmp_path):
-    lo = loop()
-    service = service_over(lo.handler, tmp_path)
-    service.port, service.takes, ended = lo.port, True, []
-    lo.reactor.stop = lambda: ended.append(lo.reactor.now)
+    loopback = loop()
+    service = service_over(loopback.handler, tmp_path)
+    service.port, service.takes, ended = loopback.port, True, []
+    loopback.reactor.stop = lambda: ended.append(loopback.reactor.now)
     service.stop()
-    serve_all(lo, 0.8)
-    with lo.reactor.unwatched(lo.port):
-        client = lo.client(OPEN_LINE)
+    serve_all(loopback, 0.8)
+    with loopback.reactor.unmonitored(loopback.port):
+        client = loopback.client(OPEN_LINE)
         Faulty(monkeypatch, "accept", [errno.ENFILE])
         service.stopped_at -= 10_000
         service.move_some()
-    serve_all(lo, 2.5)
+    serve_all(loopback, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and ended
 
 
@@ -109,21 +111,21 @@
 
 @pytest.mark.parametrize("number", CONNECT)
 def test_a_connect_that_fails_for_a_moment_uses_up_no_dial_and_blames_no_host(loop, monkeypatch, number):
-    lo = loop(mostDials=2)
+    loopback = loop(mostDials=2)
     Faulty(monkeypatch, "connect_ex", [number] * 4)
-    client, s = lo.taken()
-    lo.reactor.pass_time(0.12, step=0.01)
-    lo.host_side().send(b"UP r1\r\n")
-    lo.reactor.settle()
+    client, s = loopback.open_session()
+    loopback.reactor.advance_in_steps(0.12, step=0.01)
+    loopback.accept_at_host().send(b"UP r1\r\n")
+    loopback.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "") and s.dial == 0
-    assert lo.handler.balancer._node.ill == [0.0]
+    assert loopback.handler.balancer._node.ill == [0.0]
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_a_dial_that_finds_no_socket_for_a_moment_is_made_a_moment_later(loop, monkeypatch, number):
-    lo = loop(mostDials=2)
-    client = lo.client(OPEN_LINE)
-    lo.reactor.until(lambda: lo.handler.idle_clients)
+    loopback = loop(mostDials=2)
+    client = loopback.client(OPEN_LINE)
+    loopback.reactor.run_until(lambda: loopback.handler.idle_clients)
     kind, left = socket.socket, [number] * 3
 
     def scarce(*arguments, **named):
@@ -132,54 +134,54 @@
         return kind(*arguments, **named)
 
     monkeypatch.setattr("twisted.internet.tcp.socket.socket", scarce)
-    lo.reactor.pass_time(0.12, step=0.01)
+    loopback.reactor.advance_in_steps(0.12, step=0.01)
     monkeypatch.undo()
-    lo.host_side().send(b"UP r1\r\n")
-    lo.reactor.settle()
+    loopback.accept_at_host().send(b"UP r1\r\n")
+    loopback.reactor.settle()
     assert not left and read_all(client) == (b"UP r1\r\n", "")
 
 
 def test_a_network_that_stays_away_costs_its_client_no_answer(loop, monkeypatch):
-    lo = loop()
+    loopback = loop()
     Faulty(monkeypatch, "connect_ex", [errno.ENETUNREACH] * 10_000)
-    client = lo.client(OPEN_LINE)
-    lo.reactor.pass_time(1.25, step=0.01)
+    client = loopback.client(OPEN_LINE)
+    loopback.reactor.advance_in_steps(1.25, step=0.01)
     assert answers(client)[0][0].startswith(b"BUSY")
 
 
 # recv(2): a look that the machine has no memory for is no end of the client
 @pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOBUFS])
 def test_a_look_at_a_client_that_fails_for_a_moment_does_not_lose_it(loop, monkeypatch, number):
-    lo = loop()
-    client, s = lo.taken()
-    lo.hold(s)
+    loopback = loop()
+    client, s = loopback.open_session()
+    loopback.hold_dial(s)
     Faulty(monkeypatch, "recv", [number])
-    lo.comes_up(s)
+    loopback.finish_dial(s)
     monkeypatch.undo()
-    lo.hosts[0].accepted[-1].send(b"UP r1\r\n")
-    lo.reactor.settle()
+    loopback.hosts[0].accepted[-1].send(b"UP r1\r\n")
+    loopback.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "")
 
 
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
 def test_a_client_whose_connection_has_broken_is_sent_nowhere(loop, monkeypatch, number):
-    lo = loop()
-    _, s = lo.taken()
-    host = lo.hold(s)
+    loopback = loop()
+    _, s = loopback.open_session()
+    host = loopback.hold_dial(s)
     Faulty(monkeypatch, "recv", [number])
-    lo.comes_up(s)
-    assert read_all(host)[0] == b"" and not lo.handler.sessions.by_index
+    loopback.finish_dial(s)
+    assert read_all(host)[0] == b"" and not loopback.handler.sessions.by_index
 
 
 # setsockopt(2) on a connection that has broken by the time that it is accepted
 def test_a_client_that_is_gone_as_it_is_let_in_is_counted_out_again(loop, monkeypatch):
-    lo = loop()
+    loopback = loop()
     Faulty(monkeypatch, "setsockopt", [errno.EINVAL])
-    client = lo.client()
-    lo.reactor.until(lambda: lo.handler.idle_clients)
+    client = loopback.client()
+    loopback.reactor.run_until(lambda: loopback.handler.idle_clients)
     client.close()
-    lo.reactor.settle()
-    assert lo.handler.budget.client_connections == 0 and not lo.handler.idle_clients
+    loopback.reactor.settle()
+    assert loopback.handler.budget.client_connections == 0 and not loopback.handler.idle_clients
 
 
 def test_a_start_waits_for_what_the_machine_lacks_for_a_moment_and_for_nothing_else(monkeypatch):
@@ -242,33 +244,33 @@
 @pytest.fixture
 def stopping(loop, tmp_path):
     """A service over a loopback desk that has been told to end; the longest wait of a client is 1.2 s."""
-    lo = loop(mostDials=1)
-    service = service_over(lo.handler, tmp_path)
-    service.port, service.takes = lo.port, True
-    lo.reactor.stop = lambda: None
+    loopback = loop(mostDials=1)
+    service = service_over(loopback.handler, tmp_path)
+    service.port, service.takes = loopback.port, True
+    loopback.reactor.stop = lambda: None
     service.stop()
-    return lo, service
+    return loopback, service
 
 
 KILLED = 1.2 + 0.7  # seconds after SIGTERM at the earliest
 
 
-def pass_while_hosts_hang(lo, seconds):
+def pass_while_hosts_hang(loopback, seconds):
     """Time goes on; no host answers."""
-    end = lo.reactor.now + seconds
-    while lo.reactor.now < end:
-        lo.reactor.pass_time(0.01, step=0.01)
-        lo.handler.last_turn_at = lo.handler.read_clock()
+    end = loopback.reactor.now + seconds
+    while loopback.reactor.now < end:
+        loopback.reactor.advance_in_steps(0.01, step=0.01)
+        loopback.handler.last_turn_at = loopback.handler.read_clock()
 
 
 @pytest.mark.parametrize("at", [0.0, 0.6, 1.0, 1.15, 1.39, 1.6, 1.8])
 def test_a_request_that_comes_while_the_process_ends_is_answered_before_the_earliest_kill(stopping, at):
-    lo, service = stopping
-    before = lo.client(OPEN_LINE)  # holds the port open
-    pass_while_hosts_hang(lo, at)
-    client = lo.client(open_line(1))
-    pass_while_hosts_hang(lo, KILLED - at - 0.05)
-    assert not lo.handler.sessions.by_index
+    loopback, service = stopping
+    before = loopback.client(OPEN_LINE)  # holds the port open
+    pass_while_hosts_hang(loopback, at)
+    client = loopback.client(open_line(1))
+    pass_while_hosts_hang(loopback, KILLED - at - 0.05)
+    assert not loopback.handler.sessions.by_index
     for each in (before, client):
         (line,), end = answers(each)
         assert line.split()[0] in (b"BUSY", b"ERR") and end == "end"
@@ -301,14 +303,14 @@
 
 
 def test_a_configuration_that_comes_after_the_stop_does_not_put_it_off(stopping, tmp_path):
-    lo, service = stopping
+    loopback, service = stopping
     longer = SETUP | {"listeners": [SETUP["listeners"][0] | {"hardLimit": 30.0}]}
     (tmp_path / "c").write_text(json.dumps(CONFIG | {"admin_addr": "127.0.0.1:9100", "settings": longer}))
     service.reload()
     assert service.config.limits.max_client_wait == 30_000.0
     service.stop()
-    clients = [lo.client(open_line(n)) for n in range(40)]
-    serve_all(lo, KILLED - 0.05)
+    clients = [loopback.client(open_line(n)) for n in range(40)]
+    serve_all(loopback, KILLED - 0.05)
     assert all(answers(client) == ([b"UP r1", b"MOVE"], "end") for client in clients)
 
 
