--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -70,7 +70,7 @@
     return [a for a in acts if isinstance(a, Dial)]
 
 
-def set_reported_loads(n, values, at=START):
+def report_loads(n, values, at=START):
     """Gives the node a fresh load report of each host, in order; None for no report."""
     for h, value in enumerate(values):
         if value is not None:
@@ -79,7 +79,7 @@
     n._survey(at)
 
 
-def add_established(n, host, loads, since=START - 60000.0, first=100):
+def establish_sessions(n, host, loads, since=START - 60000.0, first=100):
     """Adds sessions of these loads, established on a host since long ago; returns their ids."""
     for i, load in enumerate(loads):
         n.resume_session(since, session_request(first + i, load), host)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -5,8 +5,7 @@
 
 import pytest
 from helpers import (
-    START, add_established, dials, make_node, make_settings, roster_entry, session_request,
-    set_reported_loads,
+    START, dials, establish_sessions, make_node, make_settings, report_loads, roster_entry, session_request,
 )  # fmt: skip
 
 from caperdeck.core.decide import ROOM
@@ -21,28 +20,28 @@
 
 def test_the_lesser_loaded_of_two_takes_a_new_connection():
     n = make_node(2)
-    set_reported_loads(n, [0.5, 0.2])
+    report_loads(n, [0.5, 0.2])
     assert placed(n) == [1]
 
 
 def test_dials_since_the_report_count_so_a_burst_spreads():
     n = make_node(4)
-    add_established(n, 0, [10.0] * 40)
-    set_reported_loads(n, [0.3, 0.3, 0.3, 0.2])
+    establish_sessions(n, 0, [10.0] * 40)
+    report_loads(n, [0.3, 0.3, 0.3, 0.2])
     hosts = placed(n, 40)
     assert max(hosts.count(h) for h in range(4)) <= 16
 
 
 def test_without_any_figure_the_count_decides():
     n = make_node(2, may_probe=False)
-    add_established(n, 0, [1.0] * 5)
-    add_established(n, 1, [1.0], first=200)
+    establish_sessions(n, 0, [1.0] * 5)
+    establish_sessions(n, 1, [1.0], first=200)
     assert placed(n) == [1]
 
 
 def test_with_no_room_anywhere_a_session_is_refused_rather_than_piled_on():
     n = make_node(3)
-    set_reported_loads(n, [0.9, 1.1, 0.95])
+    report_loads(n, [0.9, 1.1, 0.95])
     acts = n.open_session(START, session_request(1, left=50.0))
     assert [type(a) for a in acts] == [Refuse]
 
@@ -50,20 +49,20 @@
 def test_where_few_hosts_have_room_it_is_kept_for_the_higher_utility():
     high = make_settings().listeners[0]
     n = make_node(4, listeners=(high, replace(high, utility=0.2)))
-    set_reported_loads(n, [0.8, 0.8, 0.8, ROOM - 0.15])
+    report_loads(n, [0.8, 0.8, 0.8, ROOM - 0.15])
     assert not dials(n.open_session(START, session_request(1)._replace(listener=1, left=50.0)))
     assert dials(n.open_session(START, session_request(2)))[0].host == 3
-    set_reported_loads(n, [0.4, 0.4, 0.4, 0.8])
+    report_loads(n, [0.4, 0.4, 0.4, 0.8])
     assert dials(n.open_session(START, session_request(3)._replace(listener=1)))
 
 
 @pytest.mark.parametrize("cross_price", [0.0, 0.02])
 def test_the_own_subset_is_drawn_first_and_the_rest_once_it_has_no_room(cross_price):
     n = make_node(12, cross_price=cross_price)
-    set_reported_loads(n, [0.2] * 12)
+    report_loads(n, [0.2] * 12)
     n.first, n.first_near = [3, 4, 5], [3, 4]
     assert set(placed(n, 12)) <= {3, 4, 5}
-    set_reported_loads(n, [0.2] * 3 + [ROOM + 0.05] * 3 + [0.2] * 6)
+    report_loads(n, [0.2] * 3 + [ROOM + 0.05] * 3 + [0.2] * 6)
     assert {dials(n.open_session(START, session_request(i)))[0].host for i in range(100, 112)}.isdisjoint(
         {3, 4, 5}
     )
@@ -71,7 +70,7 @@
 
 def test_a_subset_of_hosts_that_have_gone_keeps_nobody_from_the_others():
     n = make_node(6)
-    set_reported_loads(n, [0.2] * 6)
+    report_loads(n, [0.2] * 6)
     n.first = [4, 5]
     n.update_roster(START, RosterScope.CHANGES, [roster_entry(h, state=HostState.GONE) for h in (4, 5)])
     assert set(placed(n, 6)) <= {0, 1, 2, 3}
@@ -79,8 +78,8 @@
 
 def test_work_piled_up_counts_as_load():
     n = make_node(2)
-    set_reported_loads(n, [0.5, 0.5])
-    add_established(n, 0, [1.0])
+    report_loads(n, [0.5, 0.5])
+    establish_sessions(n, 0, [1.0])
     n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 600.0)
     assert placed(n, 5) == [1] * 5
 
@@ -114,7 +113,7 @@
 
 def test_a_host_nobody_looked_at_is_found_though_the_mean_is_full():
     n = make_node(3)
-    set_reported_loads(n, [0.9, 0.9, None])
+    report_loads(n, [0.9, 0.9, None])
     n.seen_at[2] = -1e9
     assert n.open_session(START, session_request(1))[0] == Probe(2)
 
@@ -122,11 +121,11 @@
 @pytest.mark.parametrize("group", [None, 7])
 def test_a_host_that_is_full_by_an_old_figure_is_looked_at_before_a_refusal(group):
     n = make_node(3, nodes=100)
-    set_reported_loads(n, [0.9, 0.9, 0.9])
+    report_loads(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
     assert not [a for a in n.open_session(START, session_request(0, group=group)) if isinstance(a, Probe)]
     n = make_node(3)
-    set_reported_loads(n, [0.9, 0.9, 0.9])
+    report_loads(n, [0.9, 0.9, 0.9])
     n.seen_at[1] = START - 2000
     assert n.open_session(START, session_request(1, group=group))[0] == Probe(1)
     assert dials(n.probe_completed(START + 5, 1, Outcome.GOOD, LoadReport(0.3)))[0].host == 1
@@ -138,7 +137,7 @@
     for seed in range(20):
         n = make_node(40, nodes=nodes, seed=seed * 0x9E3779B1)
         n.unit = 300.0
-        set_reported_loads(n, [0.6] * 40)
+        report_loads(n, [0.6] * 40)
         sent += sum(bool(dials(n.open_session(START, session_request(i, left=50.0)))) for i in range(100))
     room = 40 * (ROOM - 0.6) * 30
     assert 0 < sent / 20 <= 3 * room / nodes + 1
@@ -148,9 +147,9 @@
     n = make_node(
         entries=[roster_entry(0), roster_entry(1, zone=1), roster_entry(2, zone=1)], cross_price=0.1
     )
-    set_reported_loads(n, [0.5, 0.1, 0.1])
+    report_loads(n, [0.5, 0.1, 0.1])
     assert placed(n) == [0]
-    set_reported_loads(n, [0.85, 0.1, 0.1])
+    report_loads(n, [0.85, 0.1, 0.1])
     assert set(placed(n, 5)) <= {1, 2}
 
 
@@ -158,14 +157,14 @@
     hosts = set()
     for seed in (1, 2, 3):
         n = make_node(8, seed=seed)
-        set_reported_loads(n, [0.3] * 8)
+        report_loads(n, [0.3] * 8)
         hosts |= set(placed(n, 5, group=77))
     assert len(hosts) == 1
 
 
 def test_an_ill_host_is_shunned_but_not_when_most_are():
     n = make_node(3)
-    set_reported_loads(n, [0.3] * 3)
+    report_loads(n, [0.3] * 3)
     for _ in range(3):
         n._failed(START, 0)
     n._survey(START)
@@ -179,7 +178,7 @@
 @pytest.mark.parametrize("notes, low, high", [([], 10, 10), ([(0, 50.0)], 40, 50), ([(15900, 50.0)], 10, 12)])
 def test_the_forecast_is_the_smoothed_mean_of_the_load_notes(notes, low, high):
     n = make_node(1)
-    add_established(n, 0, [10.0])
+    establish_sessions(n, 0, [10.0])
     for at, value in notes:
         n.handle_note(START + at, 100, NoteKind.LOAD, value)
     assert low <= n._forecast(START + 16000, n.sessions[100]) <= high
@@ -187,8 +186,8 @@
 
 def test_past_the_threshold_the_heaviest_own_connections_move_up_to_the_share():
     n = make_node(3)
-    add_established(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
-    set_reported_loads(n, [0.5, 0.1, 0.1])
+    establish_sessions(n, 0, [1.0] * 80 + [8.0, 6.0, 9.0])
+    report_loads(n, [0.5, 0.1, 0.1])
     assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.8)) == []
     acts = n.probe_completed(START + 120000, 0, Outcome.GOOD, LoadReport(0.95))
     assert acts[0] == Move(182) and len(acts) <= 2
@@ -198,8 +197,8 @@
     moved = 0
     for seed in range(100):
         n = make_node(3, seed=seed)
-        add_established(n, 0, [50.0, 50.0])
-        set_reported_loads(n, [0.5, 0.1, 0.1])
+        establish_sessions(n, 0, [50.0, 50.0])
+        report_loads(n, [0.5, 0.1, 0.1])
         moved += len(n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(0.95)))
     assert 10 <= moved <= 50
 
@@ -207,8 +206,8 @@
 @pytest.mark.parametrize("figure, again", [(0.95, False), (1.3, True)])
 def test_past_full_load_a_lot_that_failed_is_drawn_again_with_the_next_report(figure, again):
     n = make_node(3)
-    add_established(n, 0, [1000.0, 999.0])
-    set_reported_loads(n, [0.5, 0.1, 0.1])
+    establish_sessions(n, 0, [1000.0, 999.0])
+    report_loads(n, [0.5, 0.1, 0.1])
     n.chance = lambda: 1.0
     assert n.probe_completed(START + 60000, 0, Outcome.GOOD, LoadReport(figure)) == []
     n.chance = lambda: 0.0
@@ -217,15 +216,15 @@
 
 def test_a_steep_rise_lowers_the_threshold():
     n = make_node(3)
-    add_established(n, 0, [1.0] * 80 + [8.0])
-    set_reported_loads(n, [0.5, 0.1, 0.1])
+    establish_sessions(n, 0, [1.0] * 80 + [8.0])
+    report_loads(n, [0.5, 0.1, 0.1])
     assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(0.8))[0] == Move(180)
 
 
 def test_a_report_that_does_not_show_the_last_moves_moves_nothing():
     n = make_node(3)
-    add_established(n, 0, [10.0] * 6)
-    set_reported_loads(n, [1.2, 0.1, 0.1])
+    establish_sessions(n, 0, [10.0] * 6)
+    report_loads(n, [1.2, 0.1, 0.1])
     assert n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(1.2))
     assert n.probe_completed(START + 2000, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
@@ -233,15 +232,15 @@
 @pytest.mark.parametrize("figure, moves", [(0.95, 0), (1.3, 2)])
 def test_with_nowhere_better_to_go_only_past_full_load_is_moved(figure, moves):
     n = make_node(2)
-    add_established(n, 0, [10.0] * 4)
-    set_reported_loads(n, [0.95, 0.95])
+    establish_sessions(n, 0, [10.0] * 4)
+    report_loads(n, [0.95, 0.95])
     assert len(n.probe_completed(START + 1000, 0, Outcome.GOOD, LoadReport(figure))) == moves
 
 
 def test_work_piling_up_moves_connections_before_a_report_shows_it():
     n = make_node(3)
-    add_established(n, 0, [10.0] * 10)
-    set_reported_loads(n, [0.5, 0.1, 0.1])
+    establish_sessions(n, 0, [10.0] * 10)
+    report_loads(n, [0.5, 0.1, 0.1])
     assert n.handle_note(START, 100, NoteKind.MESSAGE_DELAY, 40.0) == []
     acts = n.handle_note(START + 1000, 100, NoteKind.MESSAGE_DELAY, 240.0)
     assert 2 <= len([a for a in acts if isinstance(a, Move)]) <= 5
@@ -250,8 +249,8 @@
 
 def test_young_connections_are_spared():
     n = make_node(2)
-    add_established(n, 0, [40.0], since=START - 4000)
-    set_reported_loads(n, [1.2, 0.1])
+    establish_sessions(n, 0, [40.0], since=START - 4000)
+    report_loads(n, [1.2, 0.1])
     assert n.probe_completed(START, 0, Outcome.GOOD, LoadReport(1.2)) == []
 
 
@@ -264,7 +263,7 @@
 
 def test_without_a_figure_the_count_triggers():
     n = make_node(3, figures=False)
-    add_established(n, 0, [10.0] * 6)
+    establish_sessions(n, 0, [10.0] * 6)
     assert by_counts(n, [0, 1])
 
 
@@ -275,7 +274,7 @@
     n = make_node(hosts, nodes=nodes, figures=figures_told)
     used = range(0, hosts, 5)
     for h in used:
-        add_established(n, h, [10.0] * each, first=100 * h)
+        establish_sessions(n, h, [10.0] * each, first=100 * h)
     assert by_counts(n, used) == []
 
 
@@ -325,7 +324,7 @@
 def test_full_hosts_close_the_others_as_far_as_the_other_nodes_have_met_them(nodes, hosts, full, closed):
     # Danger: in a wave each of many nodes has met but a few hosts, and all of them together have met most.
     n = make_node(hosts, nodes=nodes, may_probe=False, figures=False)
-    add_established(n, hosts - 1, [10.0])
+    establish_sessions(n, hosts - 1, [10.0])
     marked(n, range(full))
     assert all(not dials(n.open_session(START, session_request(i, left=50.0))) for i in range(20)) == closed
     n.timer_fired(START + 7000.0, -1)
@@ -378,16 +377,16 @@
 
 def test_a_list_that_leaves_no_host_running_stops_nothing():
     n = make_node(2)
-    add_established(n, 0, [10.0] * 5)
-    set_reported_loads(n, [0.5, 0.5])
+    establish_sessions(n, 0, [10.0] * 5)
+    report_loads(n, [0.5, 0.5])
     n.update_roster(START, RosterScope.FULL, [roster_entry(h, HostState.DRAINING) for h in range(2)])
     assert Wake(500.0, -1) in n.timer_fired(START, -1)
 
 
 def test_the_room_of_a_host_that_drains_is_no_room():
     n = make_node(3)
-    add_established(n, 1, [10.0] * 20)
-    set_reported_loads(n, [0.0, 0.6, 0.6])
+    establish_sessions(n, 1, [10.0] * 20)
+    report_loads(n, [0.0, 0.6, 0.6])
     before = n.part
     n.update_roster(START, RosterScope.CHANGES, [roster_entry(0, HostState.DRAINING)])
     n.timer_fired(START, -1)
@@ -397,7 +396,7 @@
 @pytest.mark.parametrize("figures_told, again", [(True, 1), (False, 0)])
 def test_a_host_that_has_told_no_figure_yet_is_asked_at_each_tick(figures_told, again):
     n = make_node(1, figures=figures_told)
-    add_established(n, 0, [10.0] * 3)
+    establish_sessions(n, 0, [10.0] * 3)
     for tick in range(1, 9):
         n.timer_fired(START + 500.0 * tick, -1)
         n.probe_completed(START + 500.0 * tick, 0, Outcome.GOOD, LoadReport())
@@ -410,8 +409,8 @@
 def test_few_nodes_look_at_their_hosts_though_no_session_pays(nodes, looks):
     n = make_node(4, nodes=nodes)
     for h in range(4):
-        add_established(n, h, [10.0] * 3, first=100 * h)
-    set_reported_loads(n, [0.5] * 4)
+        establish_sessions(n, h, [10.0] * 3, first=100 * h)
+    report_loads(n, [0.5] * 4)
     n.probe_credit, seen = 0.0, []
     for tick in range(1, 9):
         acts = n.timer_fired(START + 500.0 * tick, -1)
@@ -429,7 +428,7 @@
 def test_what_fills_a_host_is_learned_from_all_that_it_holds(others):
     """A node that has just started holds few of the connections, or all of them while the others are away."""
     n = make_node(hosts=2)
-    add_established(n, 0, [10.0] * 10)
+    establish_sessions(n, 0, [10.0] * 10)
     for h in range(2):
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.5, None, (10.0 + 2 * others) / 2))
     n._survey(START)
@@ -464,8 +463,8 @@
 def test_where_few_hosts_have_room_all_nodes_are_held_to_draw_the_same(others):
     # Danger: 40 nodes see one host with room; each counting for the root of them fills it six times over.
     n = make_node(4, nodes=40)
-    add_established(n, 0, [10.0] * 10)
-    set_reported_loads(n, [0.3, others, others, others])
+    establish_sessions(n, 0, [10.0] * 10)
+    report_loads(n, [0.3, others, others, others])
     before = n._load(START, 0)
     n._add(START, 0, 10.0)
     rise = (n._load(START, 0) - before) * n.unit / 10.0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,15 +1,12 @@
-"""The wall clock of a node's machine is stepped while the node runs, or is wrong as it starts.
-
-Seen: clients with a wait of 2 s had their final answer after 9 to 30 s, and connections whose host had
-vanished were ended after 15 s, at four nodes; nothing but what a timer does was late.
-How it came about: the date of each of these machines had gone back by 20 s to an hour with dials out.
-Cause: the reactor of the network library sets its timers by `time.time`. After a step back no timer runs
-until the date has caught up, after a step forward all run at once.
-Proof: the node's log shows each instant at which its date steps, and no dial ran out of time from there until
-the date stepped forward; the same step on a node between a host that hangs and one client does the same here.
-
-Related: starts of hosts are told in Unix time. A process that starts while its date is wrong by an hour took
-a cold host for a warm one, or for a cold one for the next hour.
+"""Steps of the wall clock while a node runs, and a wrong wall clock at its start.
+
+Twisted's reactor sets its timers by `time.time`: after a backward step no timer fires until the clock has
+caught up, and after a forward step all fire at once. On four nodes whose clocks were set back by 20 s to an
+hour, clients that wait 2 s got their final answer after 9 to 30 s, and sessions of vanished hosts ended after
+15 s.
+
+Discovery gives start times of hosts in Unix time. A process that started with a clock off by an hour took a
+cold host for a warm one, or treated it as cold for the next hour.
 """
 
 import os
@@ -32,15 +29,15 @@
 from caperdeck.state.start_times import StartTimes
 
 ROOT = Path(__file__).parents[1]
-HOUR = 3600.0
-WAIT = 1.2  # seconds that the client waits
-SLACK = 0.05
+HOUR_S = 3600.0
+CLIENT_WAIT_S = 1.2
+SLACK_S = 0.05
 RUN = "import sys; from caperdeck.lab.wall_clock import follow; follow(sys.argv[1])\n" \
       "from caperdeck.__main__ import main; sys.exit(main(['serve']))"  # fmt: skip
 
 
-class StandIns:
-    """A discovery whose one host answers each line by what the test at hand says."""
+class FakePeers:
+    """A discovery with one host, which answers each line as the current test says."""
 
     def __init__(self):
         self.at_host = None
@@ -49,7 +46,7 @@
 
 
 class RunningNode:
-    """A node as a process whose wall clock a test steps."""
+    """A node process whose wall clock the test can step."""
 
     def __init__(self, folder, discovery):
         self.clock = WallClock(folder / "wall-clock")
@@ -72,17 +69,17 @@
 
 
 @pytest.fixture(scope="module")
-def stand_ins():
-    return StandIns()
+def fake_peers():
+    return FakePeers()
 
 
 @pytest.fixture
-def run_node(tmp_path, stand_ins):
+def run_node(tmp_path, fake_peers):
     nodes = []
 
     def run(at_host):
-        stand_ins.at_host = at_host
-        nodes.append(RunningNode(tmp_path, stand_ins.discovery))
+        fake_peers.at_host = at_host
+        nodes.append(RunningNode(tmp_path, fake_peers.discovery))
         return nodes[-1]
 
     yield run
@@ -91,7 +88,7 @@
 
 
 class SlowHost:
-    """Answers a request line after a while, or never; tells when one has come."""
+    """Answers a request line after a delay, or never; sets an event when one has come."""
 
     def __init__(self, after):
         self.after = after
@@ -109,8 +106,8 @@
         return b"UP r1\r\n"
 
 
-@pytest.mark.parametrize("step", [-HOUR, -5.0])
-def test_a_client_of_a_host_that_hangs_is_answered_in_time_after_a_step_back(run_node, step):
+@pytest.mark.parametrize("step", [-HOUR_S, -5.0])
+def test_client_of_a_hanging_host_is_answered_in_time_after_a_backward_step(run_node, step):
     host = SlowHost(None)
     node = run_node(host)
     with node.client() as client:
@@ -120,12 +117,12 @@
         node.clock.step_to(step)
         answer = client.makefile("rb").readline()
     assert answer and not answer.startswith(b"UP")
-    assert time.monotonic() - sent <= WAIT + SLACK
+    assert time.monotonic() - sent <= CLIENT_WAIT_S + SLACK_S
 
 
-@pytest.mark.parametrize("step", [HOUR, 5.0])
-def test_a_step_forward_ends_no_wait_before_its_time(run_node, step):
-    host = SlowHost(0.15)  # less than the time-out of a first dial
+@pytest.mark.parametrize("step", [HOUR_S, 5.0])
+def test_forward_step_ends_no_wait_early(run_node, step):
+    host = SlowHost(0.15)  # less than the time-out of the first dial
     node = run_node(host)
     with node.client() as client, node.client() as other:
         client.sendall(OPEN_LINE + b"\r\n")
@@ -137,8 +134,8 @@
     assert host.requests == 1
 
 
-@pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_a_stop_takes_its_time_whatever_the_date_says(run_node, step):
+@pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
+def test_duration_of_a_stop_does_not_depend_on_the_wall_clock(run_node, step):
     node = run_node(SlowHost(0.0))
     with node.client() as client:
         answers = client.makefile("rb")
@@ -149,11 +146,11 @@
         assert b"stop sessions=1" in node.process.stderr.readline()
         node.clock.step_to(step)
         assert answers.readline() == b"MOVE\r\n"
-        assert 0.4 < time.monotonic() - sent < WAIT + 0.3
+        assert 0.4 < time.monotonic() - sent < CLIENT_WAIT_S + 0.3
     assert node.process.wait(5) == 0
 
 
-def test_a_connection_whose_host_vanished_is_ended_in_time_after_a_step_back(run_node):
+def test_session_of_a_vanished_host_is_ended_in_time_after_a_backward_step(run_node):
     vanished = threading.Event()
 
     def at_host(line):
@@ -167,7 +164,7 @@
         client.sendall(OPEN_LINE + b"\r\n")
         assert answers.readline() == b"UP r1\r\n"
         vanished.set()
-        node.clock.step_to(-HOUR)
+        node.clock.step_to(-HOUR_S)
         sent = time.monotonic()
         client.sendall(b"say\r\n")
         assert answers.readline() == b"MOVE\r\n"
@@ -180,41 +177,43 @@
 BOOT = 1_780_000_000_000.0
 
 
-def counted_as(date_ahead, true_age=1000.0, whole=False):
-    """The age and the warmth of a host that started so long ago, at a node whose date is so much ahead."""
-    d = make_handler(hosts=1)
-    d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() + date_ahead)
-    d.update_roster(whole, [host_row("s-0"), host_row("s-9", boot=BOOT - true_age)])
-    node, h = d.balancer._node, d.hosts.index_by_uid["s-9"]
-    return d.clock() - node.started_at[h], node._warmth(d.clock(), h)
+def observed_age_and_warmth(wall_clock_error, true_age=1000.0, whole=False):
+    """The age and warmth that a node with this error of its wall clock gives a host of this true age."""
+    handler = make_handler(hosts=1)
+    handler.hosts.start_times.set_wall_clock_offset(BOOT - handler.clock() + wall_clock_error)
+    handler.update_roster(whole, [host_row("s-0"), host_row("s-9", boot=BOOT - true_age)])
+    node, h = handler.balancer._node, handler.hosts.index_by_uid["s-9"]
+    return handler.clock() - node.started_at[h], node._warmth(handler.clock(), h)
 
 
-@pytest.mark.parametrize("ahead", [-HOUR * 1000, -20_000.0, -5000.0, 5000.0, 20_000.0, HOUR * 1000])
-def test_a_host_that_has_just_started_is_cold_whatever_the_date_says(ahead):
-    age, warmth = counted_as(ahead)
+@pytest.mark.parametrize(
+    "wall_clock_error", [-HOUR_S * 1000, -20_000.0, -5000.0, 5000.0, 20_000.0, HOUR_S * 1000]
+)
+def test_newly_started_host_is_cold_whatever_the_wall_clock(wall_clock_error):
+    age, warmth = observed_age_and_warmth(wall_clock_error)
     assert 0.0 <= age <= 1000.0 and warmth < 0.4
 
 
-@pytest.mark.parametrize("ahead", [-HOUR * 1000, -20_000.0, 20_000.0, HOUR * 1000])
-def test_a_process_that_starts_under_a_wrong_date_takes_no_cold_host_for_a_warm_one(ahead):
-    age, warmth = counted_as(ahead, whole=True)
+@pytest.mark.parametrize("wall_clock_error", [-HOUR_S * 1000, -20_000.0, 20_000.0, HOUR_S * 1000])
+def test_cold_host_is_not_taken_for_warm_when_the_process_starts_with_a_wrong_clock(wall_clock_error):
+    age, warmth = observed_age_and_warmth(wall_clock_error, whole=True)
     assert 0.0 <= age <= 1000.0 and warmth < 0.4
 
 
-def test_a_date_that_fits_what_is_heard_is_believed():
-    assert counted_as(0.0, 3000.0)[0] == pytest.approx(3000.0)
-    assert counted_as(0.0, 7000.0, whole=True)[0] == pytest.approx(7000.0)
+def test_wall_clock_that_agrees_with_discovery_is_trusted():
+    assert observed_age_and_warmth(0.0, 3000.0)[0] == pytest.approx(3000.0)
+    assert observed_age_and_warmth(0.0, 7000.0, whole=True)[0] == pytest.approx(7000.0)
 
 
-def test_a_host_is_cold_for_as_long_as_it_warms_up_under_a_date_an_hour_behind():
-    d = make_handler(hosts=1)
-    d.hosts.start_times.set_wall_clock_offset(BOOT - d.clock() - HOUR * 1000)
-    d.update_roster(False, [host_row("s-9", boot=BOOT)])
-    d.reactor.advance(8.1)
-    assert d.balancer._node._warmth(d.clock(), 1) == 1.0
+def test_warm_up_takes_its_time_with_a_clock_an_hour_behind():
+    handler = make_handler(hosts=1)
+    handler.hosts.start_times.set_wall_clock_offset(BOOT - handler.clock() - HOUR_S * 1000)
+    handler.update_roster(False, [host_row("s-9", boot=BOOT)])
+    handler.reactor.advance(8.1)
+    assert handler.balancer._node._warmth(handler.clock(), 1) == 1.0
 
 
-def test_starts_heard_of_together_are_told_apart_by_what_discovery_says():
+def test_starts_in_one_message_keep_their_distances():
     starts = StartTimes()
     starts.observe(NOW, True, {0: BOOT, 1: BOOT - 5000.0, 2: 0.0})
     assert [starts.node_time(0, BOOT), starts.node_time(1, BOOT - 5000.0), starts.node_time(2, 0.0)] == [
@@ -226,17 +225,17 @@
     assert (starts.node_time(0, BOOT), starts.node_time(1, BOOT + 8000.0)) == (NOW, NOW + 8000.0)
 
 
-def test_starts_of_a_saved_list_are_placed_anew_by_the_first_that_discovery_tells():
+def test_starts_of_a_saved_list_are_mapped_anew_by_discovery():
     starts = StartTimes()
     starts.set_wall_clock_offset(BOOT + 20_500.0 - NOW)
     starts.observe(NOW, True, {0: BOOT, 1: BOOT - 2000.0})
-    assert starts.node_time(0, BOOT) == NOW  # a list that may be old says little of the date
+    assert starts.node_time(0, BOOT) == NOW  # a list that may be old says little about the clock
     starts.mark_as_saved()
     starts.observe(NOW + 300.0, True, {0: BOOT, 1: BOOT - 2000.0, 2: BOOT + 20_000.0})
     assert starts.node_time(2, BOOT + 20_000.0) == NOW - 500.0 and starts.node_time(0, BOOT) == NOW - 20_500.0
 
 
-def test_another_process_of_the_node_reads_the_same_clock_and_knows_the_same_starts(monkeypatch):
+def test_processes_of_one_node_share_the_clock_and_the_starts(monkeypatch):
     before = make_handler(hosts=1)
     before.update_roster(False, [host_row("s-9", boot=BOOT)])
     read = node_clock()
@@ -250,34 +249,36 @@
     assert age == pytest.approx(2000.0)
 
 
-# ---- nothing but these reads the date
+# ---- no other module reads the wall clock
 
-READS_OF_THE_DATE = {"caperdeck/state/clocks.py": 1, "caperdeck/lab/real.py": 2, "caperdeck/lab/launch.py": 2,
+WALL_CLOCK_READS = {"caperdeck/state/clocks.py": 1, "caperdeck/lab/real.py": 2, "caperdeck/lab/launch.py": 2,
                      "caperdeck/lab/wall_clock.py": 2, "caperdeck/lab/slopes/record.py": 3}  # fmt: skip
-DATE = re.compile(r"time\.time\b(?!\w)|datetime|localtime|gmtime|CLOCK_REALTIME|internet import reactor")
+WALL_CLOCK = re.compile(
+    r"time\.time\b(?!\w)|datetime|localtime|gmtime|CLOCK_REALTIME|internet import reactor"
+)
 
 
-def test_no_span_of_the_program_is_measured_by_the_date():
+def test_no_duration_is_measured_by_the_wall_clock():
     found = {}
     for path in (ROOT / "caperdeck").rglob("*.py"):
         code = "\n".join(line.partition("#")[0] for line in path.read_text().splitlines())
         code = re.sub(r'"""[\s\S]*?"""|`[^`]*`', "", code)
-        if hits := len(DATE.findall(code)):
+        if hits := len(WALL_CLOCK.findall(code)):
             found[str(path.relative_to(ROOT))] = hits
-    assert found == READS_OF_THE_DATE
+    assert found == WALL_CLOCK_READS
 
 
-def test_a_process_that_has_another_reactor_does_not_go_on():
+def test_process_with_another_reactor_refuses_to_start():
     code = "from twisted.internet import reactor\n" \
            "from caperdeck.lifecycle.reactor import install_reactor\ninstall_reactor()"  # fmt: skip
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert "WallClockReactorError: EPollReactor is installed already" in done.stderr
 
 
-def test_a_step_of_the_date_is_noticed_once_and_a_slow_reading_is_none():
+def test_step_of_the_wall_clock_is_detected_once():
     steady, date = [0.0], [5000.0]
     watch = WallClockMonitor(lambda: steady[0], lambda: date[0])
-    for passed, stepped, said in ((250, 0, None), (250, -HOUR * 1000, -HOUR * 1000), (250, 0, None),
+    for passed, stepped, said in ((250, 0, None), (250, -HOUR_S * 1000, -HOUR_S * 1000), (250, 0, None),
                                   (250, 150, None), (250, 20_000, 20_000)):  # fmt: skip
         steady[0] += passed
         date[0] += passed + stepped
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -215,36 +215,36 @@
     assert many < 2 * 8 * few
 
 
-def arrives_over(seconds, agent):
+def arrives_over(seconds, discovery):
     """The answer to the last call, the list of a large fleet in it, comes evenly over that time."""
-    sock, text, watch = agent.accepted[-1], large_list(3200), agent.watch
+    sock, text, watch = discovery.accepted[-1], large_list(3200), discovery.watch
     sock.send(HEADERS + b"%x\r\n" % len(text))
-    agent.reactor.run_until(lambda: watch.body)
+    discovery.reactor.run_until(lambda: watch.body)
     steps = round(seconds / 0.1)
     for i in range(steps):
         end = len(text) * (i + 1) // steps
         sock.send(text[len(text) * i // steps : end])
         # the kernel takes real time, which the reactor's clock does not tell
-        agent.reactor.run_until(
-            lambda end=end: not watch.body or agent.received_at or watch.body.length >= end
+        discovery.reactor.run_until(
+            lambda end=end: not watch.body or discovery.received_at or watch.body.length >= end
         )
-        agent.run("hangs", 0.1)
+        discovery.run("hangs", 0.1)
 
 
 # guards against: a list never read, as it takes longer to arrive than a node waits for the end of a line
 @pytest.mark.parametrize("seconds", [2.8, 5.0])
 def test_a_list_that_arrives_slowly_is_read(seconds):
-    agent = FakeDiscovery()
-    agent.watch.start()
-    agent.run("hangs", 0.1)
+    discovery = FakeDiscovery()
+    discovery.watch.start()
+    discovery.run("hangs", 0.1)
     for _ in range(4):
         with suppress(OSError):
-            arrives_over(seconds, agent)
-        agent.run("hangs", 1.5)
-        if agent.received_at:
+            arrives_over(seconds, discovery)
+        discovery.run("hangs", 1.5)
+        if discovery.received_at:
             break
-    agent.close()
-    assert len(agent.received_at) == 1
+    discovery.close()
+    assert len(discovery.received_at) == 1
 
 
 # guards against: the time that a line may take counted from the beginning of an earlier one
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -1,7 +1,7 @@
-"""A change of the list against a send: real loopback sockets, and a clock that only the test moves.
+"""Races between a change of the host list and a request, on loopback sockets with a test clock.
 
-Discovery has told when its bytes lie in the node's socket. No request may go to a host that the list takes
-away later than the grace after that, whatever kept the node from reading.
+A change counts as notified when its bytes are in the node's socket. No request may be sent to a host that the
+change removes later than the grace period after that, whatever kept the node from reading.
 """
 
 import pytest
@@ -20,110 +20,110 @@
 from caperdeck.wire.discovery import ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S, Discovery
 
 
-class Watched(LoopbackNode):
-    """A desk that watches a list; the test is discovery, too."""
+class WatchingNode(LoopbackNode):
+    """A loopback node that watches the host list; the test acts as discovery, too."""
 
     def __init__(self, hosts=2, nodes=3, grace=0.25, **parts):
         super().__init__(hosts=hosts, **parts)
-        self.agent = FakePeer()
+        self.discovery = FakePeer()
         self.handler.source = self.watch = Discovery(
-            self.reactor, f"127.0.0.1:{self.agent.port}", 1, self.handler.update_roster,
-            self.handler.discovery_heard, lambda *_: None, BackOff(7, nodes), self.away, grace / 2,
+            self.reactor, f"127.0.0.1:{self.discovery.port}", 1, self.handler.update_roster,
+            self.handler.discovery_heard, lambda *_: None, BackOff(7, nodes), self.is_catching_up, grace / 2,
         )  # fmt: skip
         self.watch.start()
         self.handler.last_turn_at = self.handler.read_clock()
 
-    def away(self):
+    def is_catching_up(self):
         self.handler.clock()
         return bool(self.handler.stall)
 
     def row(self, h, state="Ready"):
         return host_row(f"s-{h}", state, self.hosts[h].port)
 
-    def opened(self):
-        """The watch is open, and its first line has been read."""
-        self.reactor.run_until(self.agent.accept)
-        list_socket = self.agent.accepted[-1]
+    def open_watch(self):
+        """Opens the watch and lets the node read its first line; returns discovery's socket."""
+        self.reactor.run_until(self.discovery.accept)
+        list_socket = self.discovery.accepted[-1]
         list_socket.send(HEADERS + chunk(b"\n"))
         self.reactor.run_until(lambda: self.watch.read_count)
         return list_socket
 
     def list_transport(self):
-        """The transport under the watch."""
+        """Returns the node's transport of the watch."""
         clients = [reader for reader in self.reactor.getReaders() if isinstance(reader, Client)]
-        (transport,) = [client for client in clients if client.getPeer().port == self.agent.port]
+        (transport,) = [client for client in clients if client.getPeer().port == self.discovery.port]
         return transport
 
-    def stand(self, seconds):
-        """The node stands still for so long."""
+    def stall_node(self, seconds):
+        """Stalls the node for so long."""
         self.reactor.now += seconds
 
-    def sweeps(self):
+    def sweep(self):
         self.handler.sweep()
 
-    def sent(self, h):
-        """What has come to the host, on all its connections."""
+    def received_by(self, h):
+        """Returns the new data on all connections of the host."""
         while self.hosts[h].accept():
             pass
         return b"".join(read_all(sock)[0] for sock in self.hosts[h].accepted)
 
     def close(self):
         super().close()
-        self.agent.close()
+        self.discovery.close()
 
 
 @pytest.fixture
-def watched():
-    yield from closing_factory(Watched)
+def watching_node():
+    yield from closing_factory(WatchingNode)
 
 
-# ---- one turn reads the host's socket before the list's
+# ---- the host's socket is read before the list's in one reactor turn
 
 
 @pytest.mark.parametrize("stalls", [(0.3,), (0.3, 0.3), (0.12,) * 6], ids=["one", "two", "six-short"])
-def test_a_drain_that_lies_in_the_socket_is_read_before_a_request_goes_out(watched, stalls):
-    # Danger: no single stall is long enough to count as away, and together they are longer than the grace.
-    loopback = watched(dialTimeout=5.0)
+def test_unread_drain_is_read_before_a_request_is_sent(watching_node, stalls):
+    # Guards against stalls that are each too short to be detected, but together exceed the grace period.
+    loopback = watching_node(dialTimeout=5.0)
     list_socket = loopback.open_watch()
-    client, s = loopback.open_session()
-    first = s.host
-    loopback.hold_dial(s)
-    s.dial_timer.reset(60.0)
+    client, session = loopback.open_session()
+    first = session.host
+    loopback.hold_dial(session)
+    session.dial_timer.reset(60.0)
     with loopback.reactor.unmonitored(loopback.list_transport()):
         list_socket.send(list_of(2, loopback.row(first, "Terminating"), whole=False))
         for seconds in stalls:
-            loopback.stall(seconds)
-            loopback.sweeps()
+            loopback.stall_node(seconds)
+            loopback.sweep()
             loopback.reactor.run_turn(0.0005)
-        loopback.finish_dial(s)
+        loopback.finish_dial(session)
         assert not loopback.handler.stall and not loopback.received_by(first)
     loopback.reactor.settle()
     assert not loopback.received_by(first) and loopback.received_by(1 - first).startswith(b"OPEN ")
 
 
-def test_a_list_with_nothing_to_read_holds_up_no_request(watched):
-    loopback = watched(hosts=1)
+def test_list_without_unread_data_delays_no_request(watching_node):
+    loopback = watching_node(hosts=1)
     loopback.open_watch()
-    client, s = loopback.open_session()
-    loopback.hold_dial(s)
-    loopback.stall(0.15)
-    loopback.finish_dial(s)
+    client, session = loopback.open_session()
+    loopback.hold_dial(session)
+    loopback.stall_node(0.15)
+    loopback.finish_dial(session)
     assert loopback.received_by(0).startswith(b"OPEN ")
 
 
-def test_after_an_absence_the_head_of_an_answer_is_no_list(watched):
-    # Danger: the watch broke meanwhile, and the first line of the next one comes in pieces.
-    loopback = watched()
+def test_response_headers_after_a_stall_do_not_count_as_a_list(watching_node):
+    # The watch broke during the stall, and the first line of the next one arrives in pieces.
+    loopback = watching_node()
     loopback.open_watch().close()
-    loopback.sweeps()
-    loopback.stall(3.0)
+    loopback.sweep()
+    loopback.stall_node(3.0)
     client = loopback.client(OPEN_LINE.replace(b"d=1200", b"d=9000"))
     loopback.reactor.advance_in_steps(0.06, step=0.01)
-    assert loopback.handler.stall and loopback.agent.accept()
-    loopback.agent.accepted[-1].send(HEADERS)
+    assert loopback.handler.stall and loopback.discovery.accept()
+    loopback.discovery.accepted[-1].send(HEADERS)
     loopback.reactor.advance_in_steps(0.06, step=0.01)
     assert not loopback.received_by(0) and not loopback.received_by(1)
-    loopback.agent.accepted[-1].send(list_of(2, loopback.row(0, "Terminating"), loopback.row(1)))
+    loopback.discovery.accepted[-1].send(list_of(2, loopback.row(0, "Terminating"), loopback.row(1)))
     loopback.reactor.advance_in_steps(0.06, step=0.01)
     assert (
         not loopback.received_by(0)
@@ -132,110 +132,112 @@
     )
 
 
-# ---- the watch has ended, and the next one waits to be opened
+# ---- the watch has ended, and the next call is delayed
 
 
-class Unwatched(Watched):
-    """Discovery has ended the watch; the node waits as long as it may until it opens the next one."""
+class NodeWithoutWatch(WatchingNode):
+    """Discovery has ended the watch, and the node delays the next call for the longest time."""
 
     def __init__(self, grace):
         super().__init__(dialTimeout=5.0, nodes=200, grace=grace, listener={"handshakeTarget": 3.0})
         self.watch.back_off.next_delay = lambda policy=UNREACHABLE: UNREACHABLE.max_span_s
-        self.opened().close()
+        self.open_watch().close()
         self.reactor.run_until(lambda: self.watch.retry_timer is not None)
-        self.drains = list_of(2, self.row(0, "Terminating"), self.row(1))  # discovery has it from now on
+        self.drains = list_of(
+            2, self.row(0, "Terminating"), self.row(1)
+        )  # discovery has this change from now on
 
-    def pass_time(self, seconds):
+    def advance_with_sweeps(self, seconds):
         for _ in range(round(seconds / 0.01)):
-            self.sweeps()
+            self.sweep()
             self.reactor.advance_in_steps(0.01, step=0.005)
 
-    def asked(self):
-        """The sessions whose requests have come to the hosts since the last look."""
-        lines = (self.sent(0) + self.sent(1)).split(b"\r\n")
+    def take_requested_ids(self):
+        """Returns the ids of the requests that have reached the hosts since the last call."""
+        lines = (self.received_by(0) + self.received_by(1)).split(b"\r\n")
         return {line.split()[1][:4] for line in lines if line.startswith(b"OPEN ")}
 
-    def speak(self):
-        """Discovery answers the calls that have come."""
-        while self.agent.accept():
-            self.agent.accepted[-1].send(HEADERS + self.drains)
+    def answer_calls(self):
+        """Answers the pending calls to discovery."""
+        while self.discovery.accept():
+            self.discovery.accepted[-1].send(HEADERS + self.drains)
 
 
 @pytest.fixture
-def unwatched():
-    yield from closing_factory(Unwatched)
+def node_without_watch():
+    yield from closing_factory(NodeWithoutWatch)
 
 
 @pytest.mark.parametrize("grace", [0.25, 0.5])
-def test_nothing_goes_past_the_grace_to_a_host_that_drains_while_no_watch_is_open(unwatched, grace):
-    # Danger: what discovery has counts as told with no watch open, and the wait for the next one is longer.
-    loopback = unwatched(grace=grace)
-    loopback.pass_time(grace + 0.01)
+def test_no_request_after_the_grace_to_a_host_that_drains_while_no_watch_is_open(node_without_watch, grace):
+    # Changes count as notified while no watch is open, and the delay before the next one exceeds the grace.
+    loopback = node_without_watch(grace=grace)
+    loopback.advance_with_sweeps(grace + 0.01)
     clients = [loopback.client(open_line(n)) for n in range(8)]
     for _ in range(5):
-        loopback.pass_time(0.01)
+        loopback.advance_with_sweeps(0.01)
         assert not loopback.received_by(0)
         loopback.answer_calls()
     assert loopback.received_by(1).count(b"OPEN ") == len(clients)
 
 
-def test_a_dial_under_way_as_the_watch_ends_waits_for_the_next_one(unwatched):
-    loopback = unwatched(grace=0.25)
-    client, s = loopback.open_session()
-    first = s.host
+def test_dial_under_way_when_the_watch_ends_waits_for_the_next_watch(node_without_watch):
+    loopback = node_without_watch(grace=0.25)
+    client, session = loopback.open_session()
+    first = session.host
     loopback.drains = list_of(2, loopback.row(first, "Terminating"), loopback.row(1 - first))
-    loopback.hold_dial(s)
-    loopback.pass_time(0.26)
-    loopback.finish_dial(s)
-    loopback.pass_time(0.02)
-    assert not loopback.received_by(first) and loopback.agent.accept()
-    loopback.agent.accepted[-1].send(HEADERS + loopback.drains)
-    loopback.pass_time(0.02)
+    loopback.hold_dial(session)
+    loopback.advance_with_sweeps(0.26)
+    loopback.finish_dial(session)
+    loopback.advance_with_sweeps(0.02)
+    assert not loopback.received_by(first) and loopback.discovery.accept()
+    loopback.discovery.accepted[-1].send(HEADERS + loopback.drains)
+    loopback.advance_with_sweeps(0.02)
     assert not loopback.received_by(first) and loopback.received_by(1 - first).startswith(b"OPEN ")
 
 
-def test_requests_within_the_grace_and_with_a_discovery_that_is_gone_are_not_kept(unwatched):
-    loopback = unwatched(grace=0.25)
+def test_requests_are_not_delayed_within_the_grace_or_without_discovery(node_without_watch):
+    loopback = node_without_watch(grace=0.25)
     clients = [loopback.client(open_line(1))]
-    loopback.pass_time(0.02)
+    loopback.advance_with_sweeps(0.02)
     assert loopback.take_requested_ids() == {b"0001"}
-    loopback.pass_time(0.3)
-    loopback.agent.server.close()
+    loopback.advance_with_sweeps(0.3)
+    loopback.discovery.server.close()
     clients.append(loopback.client(open_line(2)))
-    loopback.pass_time(0.05)
+    loopback.advance_with_sweeps(0.05)
     assert loopback.take_requested_ids() == {b"0002"}
 
 
-def test_a_discovery_that_ends_each_watch_is_called_no_more_than_twice_a_grace_however_many_ask(unwatched):
-    loopback = unwatched(grace=0.25)
+def test_calls_to_a_discovery_that_ends_each_watch_are_limited(node_without_watch):
+    loopback = node_without_watch(grace=0.25)
     calls, began, clients, asked = 0, loopback.reactor.now, [], set()
     for n in range(100):
         clients.append(loopback.client(open_line(n)))
-        loopback.pass_time(0.01)
+        loopback.advance_with_sweeps(0.01)
         asked |= loopback.take_requested_ids()
-        while loopback.agent.accept():
+        while loopback.discovery.accept():
             calls += 1
-            loopback.agent.accepted[-1].send(HEADERS + chunk(b"\n"))
-            loopback.agent.accepted[-1].close()
+            loopback.discovery.accepted[-1].send(HEADERS + chunk(b"\n"))
+            loopback.discovery.accepted[-1].close()
     assert 4 <= calls <= (loopback.reactor.now - began) * 2 / 0.25 and len(asked) > 80
 
 
 # ---- a new process
 
 
-class Started:
-    """A service that has just started on loopback with an old list of hosts; the test is its surroundings."""
+class StartedService:
+    """A service that has just started on loopback with an old host list."""
 
     def __init__(self, folder, monkeypatch, hosts=2):
         monkeypatch.setattr(Service, "mind_signals", lambda self: None)
-        self.reactor, self.agent, self.hosts = (
+        self.reactor, self.discovery, self.hosts = (
             SteppedReactor(),
             FakePeer(),
             [FakePeer() for _ in range(hosts)],
         )
         (port,) = free_ports(1)
         environment = write_config(folder / "c", CONFIG | {
-            "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{self.agent.port}",
+            "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{self.discovery.port}",
             "known": {"rev": 41, "all": True, "targets": [self.row(h) for h in range(hosts)]},
         }) | {"TMPDIR": str(folder)}  # fmt: skip
         self.service = Service(
@@ -247,33 +249,33 @@
     def row(self, h, state="Ready"):
         return host_row(f"s-{h}", state, self.hosts[h].port)
 
-    client, sent = LoopbackNode.client, Watched.sent
+    client, received_by = LoopbackNode.client, WatchingNode.received_by
 
     def close(self):
         self.reactor.close()
-        for peer in (*self.hosts, self.agent):
+        for peer in (*self.hosts, self.discovery):
             peer.close()
 
 
 @pytest.fixture
 def started(tmp_path, monkeypatch):
-    made = Started(tmp_path, monkeypatch)
+    made = StartedService(tmp_path, monkeypatch)
     yield made
     made.close()
 
 
-def test_a_new_process_sends_nothing_by_the_list_that_it_was_given(started):
-    # Danger: what discovery has counts as told from the first moment of a process, and loading alone takes
-    # as long as the grace; clients that lie in the queue of its port are read before the list is.
+def test_new_process_sends_no_request_by_its_saved_list(started):
+    # Changes count as notified from the first moment of a process, and starting up alone takes as long as the
+    # grace period. Clients that wait in the queue of the port are read before the list.
     clients = [started.client(open_line(n)) for n in range(8)]
-    started.reactor.run_until(started.agent.accept)
+    started.reactor.run_until(started.discovery.accept)
     started.reactor.advance_in_steps(0.06, step=0.01)
     assert (
         not started.received_by(0)
         and not started.received_by(1)
         and len(started.service.handler.sessions.by_index) == 8
     )
-    list_socket = started.agent.accepted[0]
+    list_socket = started.discovery.accepted[0]
     list_socket.send(HEADERS)
     started.reactor.advance_in_steps(0.06, step=0.01)
     line = list_of(42, started.row(0, "Terminating"), started.row(1))
@@ -285,7 +287,7 @@
     assert not started.received_by(0) and started.received_by(1).count(b"OPEN ") == len(clients)
 
 
-def test_a_new_process_whose_discovery_says_nothing_serves_by_the_list_that_it_was_given(started):
+def test_new_process_uses_its_saved_list_if_discovery_is_silent(started):
     client = started.client(OPEN_LINE)
     started.reactor.advance_in_steps(LIST_WAIT_MS / MS - 0.05, step=0.01)
     assert not started.received_by(0) + started.received_by(1)
@@ -295,7 +297,7 @@
     assert not read_all(client)[1]
 
 
-def test_a_new_process_waits_for_the_list_half_of_the_time_that_its_clients_have_at_the_most(started):
+def test_new_process_waits_for_the_list_for_at_most_half_of_a_clients_time(started):
     client = started.client(OPEN_LINE.replace(b"d=1200", b"d=300"))
     started.reactor.advance_in_steps(0.13, step=0.01)
     assert not started.received_by(0) + started.received_by(1)
@@ -305,59 +307,59 @@
     assert not read_all(client)[1]
 
 
-def test_a_new_process_answers_the_front_before_it_has_the_list(started):
+def test_new_process_answers_the_front_end_before_it_has_the_list(started):
     front = started.client(b"PING")
     started.reactor.settle(60)
     assert read_all(front)[0] == b"PONG\r\n"
 
 
-# ---- the clock of a silent watch, on a node that is starved
+# ---- time-outs of the watch on a node that stalls
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_in_time_by_a_node_that_is_away_again_and_again(watched):
-    # Danger: each return counted the silence from its start, so that it never ended.
-    loopback = watched()
+def test_silent_watch_is_reopened_in_time_by_a_node_that_stalls_repeatedly(watching_node):
+    # Guards against a silence time-out that restarts after each stall, and so never ends.
+    loopback = watching_node()
     loopback.open_watch()
     fell = loopback.reactor.now
-    while not loopback.agent.accept():
+    while not loopback.discovery.accept():
         for _ in range(4):
-            loopback.stall(0.05)
-            loopback.sweeps()
+            loopback.stall_node(0.05)
+            loopback.sweep()
             loopback.reactor.run_turn(0.0005)
             loopback.reactor.run_turn(0.0005)
-        loopback.stall(0.6)
+        loopback.stall_node(0.6)
         loopback.reactor.settle(6)
         assert loopback.reactor.now - fell < SILENCE_TIMEOUT_S + 1.0
 
 
 @pytest.mark.parametrize("stall", [0.45, 0.6, 5.0])
-def test_a_call_that_was_due_as_the_node_stood_still_is_made_and_waited_for(watched, stall):
-    loopback = watched(nodes=200)
+def test_call_that_was_due_in_a_stall_is_made_and_waited_for(watching_node, stall):
+    loopback = watching_node(nodes=200)
     list_socket = loopback.open_watch()
     list_socket.close()
     loopback.reactor.run_until(lambda: loopback.watch.retry_timer is not None)
-    loopback.stall(0.6 + stall)
-    loopback.reactor.run_until(loopback.agent.accept)
-    loopback.stall(ANSWER_TIMEOUT_S - stall - 0.05 if stall < 0.5 else ANSWER_TIMEOUT_S - 0.05)
+    loopback.stall_node(0.6 + stall)
+    loopback.reactor.run_until(loopback.discovery.accept)
+    loopback.stall_node(ANSWER_TIMEOUT_S - stall - 0.05 if stall < 0.5 else ANSWER_TIMEOUT_S - 0.05)
     loopback.handler.last_turn_at = loopback.handler.read_clock()
     loopback.reactor.settle(6)
-    assert loopback.watch.call is not None and not loopback.agent.accept()
+    assert loopback.watch.call is not None and not loopback.discovery.accept()
 
 
 @pytest.mark.parametrize("stall", [0.1, 0.24, 0.45])
-def test_timers_that_run_late_do_not_add_up_past_the_bound(watched, stall):
-    # Danger: silence, a wait, a call without an answer and another wait, each late by one stall.
-    loopback = watched(nodes=200)
+def test_late_timers_do_not_add_up_past_the_bound(watching_node, stall):
+    # Silence, a delay, a call without an answer and another delay are each late by one stall.
+    loopback = watching_node(nodes=200)
     loopback.watch.back_off.next_delay = lambda policy=UNREACHABLE: (
         UNREACHABLE.max_span_s
-    )  # as drawn at the worst
+    )  # the longest delay
     loopback.open_watch()
     fell, calls = loopback.reactor.now, 0
     while calls < 2:
-        loopback.stall(stall)
-        loopback.sweeps()
+        loopback.stall_node(stall)
+        loopback.sweep()
         loopback.reactor.settle(6)
-        calls += loopback.agent.accept()
+        calls += loopback.discovery.accept()
     assert (
         loopback.reactor.now - fell
         <= SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + 2 * UNREACHABLE.max_span_s + stall + 0.01
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,9 +2,9 @@
 
 import pytest
 from helpers import (
-    OPEN_LINE, START, RecordingTransport, accept, add_established, connect, dials, establish, host_row,
-    lose_connection, make_handler, make_node, open_line, roster_entry, service_over, session_request,
-    set_reported_loads,
+    OPEN_LINE, START, RecordingTransport, accept, connect, dials, establish, establish_sessions, host_row,
+    lose_connection, make_handler, make_node, open_line, report_loads, roster_entry, service_over,
+    session_request,
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -231,7 +231,7 @@
 
 def test_a_host_called_back_is_cold_and_soon_tried():
     n = make_node(12)
-    set_reported_loads(n, [0.2] * 12)
+    report_loads(n, [0.2] * 12)
     n.set_ban(START, 5, True)
     assert 5 not in {dials(n.open_session(START, session_request(i)))[0].host for i in range(30)}
     n.set_ban(START + 2000, 5, False)
@@ -250,7 +250,7 @@
     # Danger: full by the mean alone it was sent nothing, and looked at by nobody, while any host had room.
     n = make_node(5, nodes=2)
     n.unit, n.mean_hint, n.asked = 1200.0, 10.0, 1000
-    set_reported_loads(n, [0.1, *others])
+    report_loads(n, [0.1, *others])
     n.set_ban(START - 4000, 0, True)
     n.set_ban(START, 0, False)
     tried = []
@@ -267,7 +267,7 @@
 
 def test_a_host_taken_out_again_before_it_took_a_session_is_not_tried():
     n = make_node(3)
-    set_reported_loads(n, [0.2] * 3)
+    report_loads(n, [0.2] * 3)
     for out in (True, False, True):
         n.set_ban(START, 1, out)
     assert 1 not in n.cold and 1 not in {
@@ -294,7 +294,7 @@
 def test_a_host_that_starts_again_is_filled_by_what_it_bore_itself(held, figure=0.4):
     n = make_node(4)
     for h in range(4):
-        add_established(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
     n._survey(START)
     mean = n.unit
@@ -309,7 +309,7 @@
 def test_what_a_cold_host_bears_is_no_measure_of_it():
     n = make_node(entries=[roster_entry(0, started_at=START - 1000.0), roster_entry(1)])
     for h in range(2):
-        add_established(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     assert not n.able[0] and n.able[1]
@@ -318,7 +318,7 @@
 def test_a_cold_budget_goes_by_those_that_stand_not_by_those_that_ask_again():
     n = make_node(4)
     for h in range(4):
-        add_established(n, h, [10.0] * 20, first=100 * h + 100)
+        establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
     n._survey(START)
     for i in range(300):
@@ -341,8 +341,8 @@
 
 def test_what_stands_on_a_host_taken_out_is_left_there():
     n = make_node(3)
-    add_established(n, 0, [10.0] * 20)
-    set_reported_loads(n, [0.3, 0.3, 0.1])
+    establish_sessions(n, 0, [10.0] * 20)
+    report_loads(n, [0.3, 0.3, 0.1])
     n.set_ban(START, 0, True)
     assert not [
         a for i in range(1, 4) for a in n.timer_fired(START + 500 * i, TICK_TOKEN) if isinstance(a, Move)
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -1,4 +1,4 @@
-"""Connections that stood at their servers before a node started, and come back to it with `at=`."""
+"""Resuming sessions that were established before the node started; clients name their host with `at=`."""
 
 import pytest
 from helpers import (
@@ -15,109 +15,113 @@
         yield lines
 
 
-def standing(d, host="s-0", number=0, wait=b"9223372036854"):
-    """A client whose connection stood at that server."""
-    return connect(d, resume_line(number, host, wait))
+def connect_for_resumption(handler, host="s-0", number=0, wait=b"9223372036854"):
+    """Connects a client whose session was established on that host before."""
+    return connect(handler, resume_line(number, host, wait))
 
 
-def comes_up(d, client):
-    accept(d).dataReceived(b"UP r1\r\n")
+def finish_resumption(handler, client):
+    accept(handler).dataReceived(b"UP r1\r\n")
     return client.transport.lines() == [b"UP r1"]
 
 
-def pass_time(d, seconds):
+def pass_time(handler, seconds):
     for _ in range(round(seconds / 0.1)):
-        d.reactor.advance(0.1)
-        d.sweep()
+        handler.reactor.advance(0.1)
+        handler.sweep()
 
 
-# guards against: a standing connection lost as the list of the node's start does not name its server yet
-def test_a_connection_whose_server_is_told_late_comes_up():
-    d = make_handler()
-    client = standing(d, "s-9")
-    pass_time(d, 5.0)
+# Guards against the loss of a session whose host is not on the node's first list yet.
+def test_resumption_waits_until_the_host_is_listed():
+    handler = make_handler()
+    client = connect_for_resumption(handler, "s-9")
+    pass_time(handler, 5.0)
     assert client.transport.lines() == []
-    d.update_roster(False, [host_row("s-9", port=9009)])
-    pass_time(d, 0.5)
-    assert d.reactor.tcpClients[-1][1] == 9009 and comes_up(d, client)
-
-
-# guards against: a standing connection closed unanswered, as only a call of an operator has named its server
-def test_a_connection_whose_server_has_no_address_yet_waits_for_it():
-    d = make_handler()
-    d.set_ban("s-9", True)
-    client = standing(d, "s-9")
-    d.update_roster(False, [host_row("s-9", port=9009)])
-    pass_time(d, 0.5)
-    assert comes_up(d, client)
-
-
-# guards against: a standing connection refused for want of descriptors, which it had before the node's start
-def test_a_connection_that_finds_no_descriptor_waits_for_one():
-    d = make_handler(sockets=40)
-    others = [establish(d) for _ in range(d.budget.session_headroom)]
-    idle = [connect(d) for _ in range(d.budget.free_descriptors - 1)]
-    client = standing(d, number=99)
-    dialed = len(d.reactor.tcpClients)
+    handler.update_roster(False, [host_row("s-9", port=9009)])
+    pass_time(handler, 0.5)
+    assert handler.reactor.tcpClients[-1][1] == 9009 and finish_resumption(handler, client)
+
+
+# Guards against a client closed without an answer because its host is known only from an operator's ban.
+def test_resumption_waits_for_the_address_of_a_host_known_from_a_ban():
+    handler = make_handler()
+    handler.set_ban("s-9", True)
+    client = connect_for_resumption(handler, "s-9")
+    handler.update_roster(False, [host_row("s-9", port=9009)])
+    pass_time(handler, 0.5)
+    assert finish_resumption(handler, client)
+
+
+# Guards against a refusal for lack of descriptors, which the session had before the node's start.
+def test_resumption_waits_for_a_descriptor():
+    handler = make_handler(sockets=40)
+    others = [establish(handler) for _ in range(handler.budget.session_headroom)]
+    idle = [connect(handler) for _ in range(handler.budget.free_descriptors - 1)]
+    client = connect_for_resumption(handler, number=99)
+    dialed = len(handler.reactor.tcpClients)
     assert client.transport.lines() == [] and dialed == len(others)
     lose_connection(idle[0])
-    pass_time(d, 0.3)
-    assert len(d.reactor.tcpClients) == dialed + 1 and comes_up(d, client)
+    pass_time(handler, 0.3)
+    assert len(handler.reactor.tcpClients) == dialed + 1 and finish_resumption(handler, client)
 
 
-# guards against: descriptors used past the limit, as many connections that stood come back in one instant
-def test_connections_that_come_back_together_stay_within_the_descriptors():
-    d = make_handler(sockets=200)
+# Guards against exceeding the descriptor limit when many sessions come back at one instant.
+def test_resuming_many_sessions_stays_within_the_descriptor_limit():
+    handler = make_handler(sockets=200)
     clients = []
-    while more := d.budget.acceptable_clients:
-        clients += [connect(d) for _ in range(more)]
+    while more := handler.budget.acceptable_clients:
+        clients += [connect(handler) for _ in range(more)]
         for i, client in enumerate(clients[-more:]):
             client.dataReceived(resume_line(len(clients) + i) + b"\r\n")
-    fixed = d.budget.used + d.budget.probe_descriptors
-    assert fixed + len(clients) + len(d.reactor.tcpClients) <= 200 - d.budget.reserve // 2
+    fixed = handler.budget.used + handler.budget.probe_descriptors
+    assert fixed + len(clients) + len(handler.reactor.tcpClients) <= 200 - handler.budget.reserve // 2
     for client in clients[1::2]:
         lose_connection(client)
-    pass_time(d, 0.5)
-    assert len(d.reactor.tcpClients) >= len(clients[::2]) and not d.budget.undialed_sessions
+    pass_time(handler, 0.5)
+    assert len(handler.reactor.tcpClients) >= len(clients[::2]) and not handler.budget.undialed_sessions
 
 
-# guards against: a client that waits without end for a server that is on no list, or does not take it up
+# Guards against a client that waits forever for a host that is not listed or does not accept connections.
 @pytest.mark.parametrize("host", ["s-9", "s-0"])
 @pytest.mark.parametrize("wait, within", [(b"9223372036854", RESUME_WITHIN_S), (b"2000", 2.0)])
-def test_a_connection_that_cannot_be_taken_up_is_answered_in_its_time(host, wait, within, log):
-    d = make_handler()
-    client = standing(d, host, wait=wait)
+def test_session_that_cannot_be_resumed_is_answered_in_time(host, wait, within, log):
+    handler = make_handler()
+    client = connect_for_resumption(handler, host, wait=wait)
     for _ in range(round(within / 0.1)):
-        for *_, factory, _, _ in d.reactor.tcpClients[-1:]:
+        for *_, factory, _, _ in handler.reactor.tcpClients[-1:]:
             if not factory.conn.ended:
                 factory.clientConnectionFailed(None, Failure(Refused()))
-        d.reactor.advance(0.1)
-    assert client.transport.lines() == [b"ERR"] and not d.sessions.by_index
+        handler.reactor.advance(0.1)
+    assert client.transport.lines() == [b"ERR"] and not handler.sessions.by_index
     assert "reason=host-lost" in log[-1] and any("waits=" in line for line in log)
 
 
-# guards against: no answer in its time from a node whose server has taken the line and says nothing
-def test_a_connection_whose_server_says_nothing_is_answered_in_its_time():
-    d = make_handler()
-    client = standing(d, wait=b"2000")
-    accept(d)
-    d.reactor.advance(1.99)
-    assert client.transport.lines() == [b"ERR"] and not d.metrics.overdue_answers
-
-
-# guards against: a descriptor counted for good for a client that left while it waited to be taken up
-def test_a_client_that_leaves_while_it_waits_is_not_counted_any_more():
-    d = make_handler()
-    room = d.budget.session_headroom
-    lose_connection(standing(d, "s-9"))
-    pass_time(d, 1.0)
-    assert (d.budget.session_headroom, d.budget.undialed_sessions, d.sessions.by_index) == (room, 0, {})
-
-
-# guards against: new clients let in on descriptors that connections from before the start still need
-def test_new_clients_are_refused_while_those_that_stood_need_the_room():
-    d = make_handler(sockets=100)
-    for i in range(d.budget.session_headroom):
-        standing(d, "s-9", number=i)
-    client = connect(d, OPEN_LINE)
-    assert client.transport.lines()[0].startswith(b"BUSY") and not d.reactor.tcpClients
+# Guards against a missing answer when the host has received the request line and sends nothing.
+def test_session_resumed_at_a_silent_host_is_answered_in_time():
+    handler = make_handler()
+    client = connect_for_resumption(handler, wait=b"2000")
+    accept(handler)
+    handler.reactor.advance(1.99)
+    assert client.transport.lines() == [b"ERR"] and not handler.metrics.overdue_answers
+
+
+# Guards against a descriptor that stays counted for a client that left while it waited.
+def test_client_that_leaves_during_resumption_is_no_longer_counted():
+    handler = make_handler()
+    room = handler.budget.session_headroom
+    lose_connection(connect_for_resumption(handler, "s-9"))
+    pass_time(handler, 1.0)
+    assert (handler.budget.session_headroom, handler.budget.undialed_sessions, handler.sessions.by_index) == (
+        room,
+        0,
+        {},
+    )
+
+
+# Guards against new clients that take the descriptors that sessions to be resumed still need.
+def test_new_clients_are_refused_while_resumption_needs_the_descriptors():
+    handler = make_handler(sockets=100)
+    for i in range(handler.budget.session_headroom):
+        connect_for_resumption(handler, "s-9", number=i)
+    client = connect(handler, OPEN_LINE)
+    assert client.transport.lines()[0].startswith(b"BUSY") and not handler.reactor.tcpClients
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -5,7 +5,7 @@
 import zlib
 
 import pytest
-from helpers import START, dials, make_node, roster_entry, session_request, set_reported_loads
+from helpers import START, dials, make_node, report_loads, roster_entry, session_request
 
 from caperdeck.core.model import (
     Dial, Effect, HostState, Outcome, Refuse, RosterScope, Scope, TearDown, Withdraw,
@@ -222,7 +222,7 @@
                 entries=[roster_entry(0, started_at=START), roster_entry(1)], nodes=40, seed=seed * 0x9E3779B1
             )
             n.unit, n.mean_hint = 1600.0, 10.0
-            set_reported_loads(n, [0.0, 0.5])
+            report_loads(n, [0.0, 0.5])
             n.seen_at = [START + 900.0] * 2
             sent[load] += dials(n.open_session(START + 900, session_request(0, load=load)))[0].host == 0
     assert 5 * sent[100.0] <= sent[10.0]
@@ -233,7 +233,7 @@
     for born in (0.0, START):
         n = make_node(entries=[roster_entry(h, started_at=born * (h < 5)) for h in range(10)])
         n.unit = 1000.0
-        set_reported_loads(n, [0.0] * 5 + [0.65] * 5)
+        report_loads(n, [0.0] * 5 + [0.65] * 5)
         parts.append(n.part)
     assert parts[1] < parts[0] / 4
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -1,8 +1,8 @@
-"""System calls that fail for a moment, in the ways that Linux documents, and a disk that does.
+"""System calls and disk writes that fail for a moment, in the ways that Linux documents.
 
-Seen: none of it in service; found by looking through every module for waits and errors that are taken for
-something else, after timers had been found to run on the wall clock. Each was forced on the program before as
-well: 24 of 45 cases failed there, the others hold what held already.
+These guard against transient errors that are taken for something else, such as a failure of the other side or
+the end of a client. None was seen in service; they come from a review of waits and error handling in all
+modules. On the program before that review, 24 of 45 cases failed.
 """
 
 import errno
@@ -27,8 +27,8 @@
     yield from closing_factory(LoopbackNode)
 
 
-class Faulty:
-    """A method of every socket that fails with these errors first, one a call, and then works."""
+class FailingSocketCall:
+    """Makes a method of all sockets fail with these errors, one per call, before it works."""
 
     def __init__(self, monkeypatch, name, errors):
         self.left, self.calls, call = list(errors), 0, getattr(socket.socket, name)
@@ -45,7 +45,7 @@
         monkeypatch.setattr(socket.socket, name, failing, raising=False)
 
 
-# accept(2): what the machine lacks, and errors of the connection that is accepted
+# accept(2): lack of local resources, and errors of the accepted connection
 ACCEPT = [
     errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EPERM,
     errno.ENETDOWN, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EOPNOTSUPP,
@@ -53,9 +53,9 @@
 
 
 @pytest.mark.parametrize("number", ACCEPT)
-def test_clients_in_the_queue_are_served_once_accept_works_again(loop, monkeypatch, number):
+def test_queued_clients_are_served_once_accept_works_again(loop, monkeypatch, number):
     loopback = loop()
-    faulty = Faulty(monkeypatch, "accept", [number])
+    faulty = FailingSocketCall(monkeypatch, "accept", [number])
     client = loopback.client(OPEN_LINE)
     loopback.reactor.advance_in_steps(0.1, step=0.01)
     loopback.accept_at_host().send(b"UP r1\r\n")
@@ -63,16 +63,16 @@
     assert read_all(client) == (b"UP r1\r\n", "") and faulty.calls > 1
 
 
-def test_while_accept_fails_the_reactor_does_not_turn_on_it(loop, monkeypatch):
+def test_reactor_does_not_busy_loop_while_accept_fails(loop, monkeypatch):
     loopback = loop()
-    faulty = Faulty(monkeypatch, "accept", [errno.ENFILE] * 100)
+    faulty = FailingSocketCall(monkeypatch, "accept", [errno.ENFILE] * 100)
     client = loopback.client(OPEN_LINE)
     loopback.reactor.settle(50)
     assert faulty.calls == 1 and read_all(client) == (b"", "")
 
 
-# guards against: a core in full use at a port that is read while no descriptor is left for a client
-def test_while_no_client_can_be_let_in_the_reactor_does_not_turn_on_the_port(loop, monkeypatch):
+# Guards against a busy loop on a port with waiting clients while no descriptor is free.
+def test_reactor_does_not_busy_loop_on_a_port_without_descriptors(loop, monkeypatch):
     loopback = loop()
     loopback.handler.set_accepting = lambda on: (
         loopback.port.startReading if on else loopback.port.stopReading
@@ -89,7 +89,7 @@
     assert read_all(client) == (b"UP r1\r\n", "")
 
 
-def test_a_queue_that_cannot_be_let_in_just_now_is_not_closed_over_its_clients(loop, monkeypatch, tmp_path):
+def test_port_is_not_closed_while_accept_fails_for_queued_clients(loop, monkeypatch, tmp_path):
     loopback = loop()
     service = service_over(loopback.handler, tmp_path)
     service.port, service.takes, ended = loopback.port, True, []
@@ -98,7 +98,7 @@
     serve_all(loopback, 0.8)
     with loopback.reactor.unmonitored(loopback.port):
         client = loopback.client(OPEN_LINE)
-        Faulty(monkeypatch, "accept", [errno.ENFILE])
+        FailingSocketCall(monkeypatch, "accept", [errno.ENFILE])
         service.stopped_at -= 10_000
         service.move_some()
     serve_all(loopback, 2.5)
@@ -110,19 +110,19 @@
 
 
 @pytest.mark.parametrize("number", CONNECT)
-def test_a_connect_that_fails_for_a_moment_uses_up_no_dial_and_blames_no_host(loop, monkeypatch, number):
+def test_transient_connect_error_uses_up_no_dial_and_blames_no_host(loop, monkeypatch, number):
     loopback = loop(mostDials=2)
-    Faulty(monkeypatch, "connect_ex", [number] * 4)
-    client, s = loopback.open_session()
+    FailingSocketCall(monkeypatch, "connect_ex", [number] * 4)
+    client, session = loopback.open_session()
     loopback.reactor.advance_in_steps(0.12, step=0.01)
     loopback.accept_at_host().send(b"UP r1\r\n")
     loopback.reactor.settle()
-    assert read_all(client) == (b"UP r1\r\n", "") and s.dial == 0
+    assert read_all(client) == (b"UP r1\r\n", "") and session.dial == 0
     assert loopback.handler.balancer._node.ill == [0.0]
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_dial_that_finds_no_socket_for_a_moment_is_made_a_moment_later(loop, monkeypatch, number):
+def test_dial_is_retried_when_no_socket_can_be_created_for_a_moment(loop, monkeypatch, number):
     loopback = loop(mostDials=2)
     client = loopback.client(OPEN_LINE)
     loopback.reactor.run_until(lambda: loopback.handler.idle_clients)
@@ -141,22 +141,22 @@
     assert not left and read_all(client) == (b"UP r1\r\n", "")
 
 
-def test_a_network_that_stays_away_costs_its_client_no_answer(loop, monkeypatch):
+def test_client_is_answered_when_the_network_stays_unreachable(loop, monkeypatch):
     loopback = loop()
-    Faulty(monkeypatch, "connect_ex", [errno.ENETUNREACH] * 10_000)
+    FailingSocketCall(monkeypatch, "connect_ex", [errno.ENETUNREACH] * 10_000)
     client = loopback.client(OPEN_LINE)
     loopback.reactor.advance_in_steps(1.25, step=0.01)
     assert answers(client)[0][0].startswith(b"BUSY")
 
 
-# recv(2): a look that the machine has no memory for is no end of the client
+# recv(2): a peek that fails for lack of memory is not the end of the client
 @pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOBUFS])
-def test_a_look_at_a_client_that_fails_for_a_moment_does_not_lose_it(loop, monkeypatch, number):
+def test_transient_error_of_a_peek_does_not_lose_the_client(loop, monkeypatch, number):
     loopback = loop()
-    client, s = loopback.open_session()
-    loopback.hold_dial(s)
-    Faulty(monkeypatch, "recv", [number])
-    loopback.finish_dial(s)
+    client, session = loopback.open_session()
+    loopback.hold_dial(session)
+    FailingSocketCall(monkeypatch, "recv", [number])
+    loopback.finish_dial(session)
     monkeypatch.undo()
     loopback.hosts[0].accepted[-1].send(b"UP r1\r\n")
     loopback.reactor.settle()
@@ -164,19 +164,19 @@
 
 
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
-def test_a_client_whose_connection_has_broken_is_sent_nowhere(loop, monkeypatch, number):
+def test_request_of_a_broken_client_connection_is_not_sent(loop, monkeypatch, number):
     loopback = loop()
-    _, s = loopback.open_session()
-    host = loopback.hold_dial(s)
-    Faulty(monkeypatch, "recv", [number])
-    loopback.finish_dial(s)
+    _, session = loopback.open_session()
+    host = loopback.hold_dial(session)
+    FailingSocketCall(monkeypatch, "recv", [number])
+    loopback.finish_dial(session)
     assert read_all(host)[0] == b"" and not loopback.handler.sessions.by_index
 
 
-# setsockopt(2) on a connection that has broken by the time that it is accepted
-def test_a_client_that_is_gone_as_it_is_let_in_is_counted_out_again(loop, monkeypatch):
+# setsockopt(2) on a connection that has broken before it is accepted
+def test_client_that_is_gone_when_accepted_is_no_longer_counted(loop, monkeypatch):
     loopback = loop()
-    Faulty(monkeypatch, "setsockopt", [errno.EINVAL])
+    FailingSocketCall(monkeypatch, "setsockopt", [errno.EINVAL])
     client = loopback.client()
     loopback.reactor.run_until(lambda: loopback.handler.idle_clients)
     client.close()
@@ -184,7 +184,7 @@
     assert loopback.handler.budget.client_connections == 0 and not loopback.handler.idle_clients
 
 
-def test_a_start_waits_for_what_the_machine_lacks_for_a_moment_and_for_nothing_else(monkeypatch):
+def test_start_retries_transient_errors_only(monkeypatch):
     waits = []
     monkeypatch.setattr("caperdeck.state.errors.time.sleep", waits.append)
     errors = [OSError(errno.ENFILE, ""), OSError(errno.ENOBUFS, "")]
@@ -206,21 +206,21 @@
     raise OSError(number, os.strerror(number))
 
 
-# ---- a disk that is full for a while
+# ---- a full disk
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-def test_bans_that_cannot_be_written_hold_at_a_successor_all_the_same(tmp_path, monkeypatch, number):
-    d = make_handler()
-    service = service_over(d, tmp_path)
+def test_bans_that_cannot_be_written_are_applied_by_the_new_process(tmp_path, monkeypatch, number):
+    handler = make_handler()
+    service = service_over(handler, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with captured_log() as lines:
         service.know([host_row("s-0"), host_row("s-1")], {"bans": ["s-1"]})
-    assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned
+    assert service.bans.uids == {"s-1": None} and 1 in handler.balancer._node.banned
     assert "reason=bans-unwritable" in "".join(lines)
 
 
-def test_a_ban_that_a_full_disk_did_not_take_leaves_the_file_before_whole(tmp_path, monkeypatch):
+def test_ban_that_a_full_disk_rejects_leaves_the_old_file_intact(tmp_path, monkeypatch):
     bans = Bans(str(tmp_path))
     bans.change(Ban("s-0", True))
     bans.save()
@@ -238,12 +238,12 @@
     assert again.uids == {"s-0": None, "s-1": None}
 
 
-# ---- the end of a process, and of a connection that rests
+# ---- stopping a process
 
 
 @pytest.fixture
 def stopping(loop, tmp_path):
-    """A service over a loopback desk that has been told to end; the longest wait of a client is 1.2 s."""
+    """A loopback node whose service is stopping; clients wait for at most 1.2 s."""
     loopback = loop(mostDials=1)
     service = service_over(loopback.handler, tmp_path)
     service.port, service.takes = loopback.port, True
@@ -252,11 +252,11 @@
     return loopback, service
 
 
-KILLED = 1.2 + 0.7  # seconds after SIGTERM at the earliest
+EARLIEST_KILL_S = 1.2 + 0.7  # after SIGTERM
 
 
 def pass_while_hosts_hang(loopback, seconds):
-    """Time goes on; no host answers."""
+    """Moves the clock while no host answers."""
     end = loopback.reactor.now + seconds
     while loopback.reactor.now < end:
         loopback.reactor.advance_in_steps(0.01, step=0.01)
@@ -264,45 +264,45 @@
 
 
 @pytest.mark.parametrize("at", [0.0, 0.6, 1.0, 1.15, 1.39, 1.6, 1.8])
-def test_a_request_that_comes_while_the_process_ends_is_answered_before_the_earliest_kill(stopping, at):
+def test_request_during_a_stop_is_answered_before_the_earliest_kill(stopping, at):
     loopback, service = stopping
-    before = loopback.client(OPEN_LINE)  # holds the port open
+    before = loopback.client(OPEN_LINE)  # keeps the port open
     pass_while_hosts_hang(loopback, at)
     client = loopback.client(open_line(1))
-    pass_while_hosts_hang(loopback, KILLED - at - 0.05)
+    pass_while_hosts_hang(loopback, EARLIEST_KILL_S - at - 0.05)
     assert not loopback.handler.sessions.by_index
-    for each in (before, client):
-        (line,), end = answers(each)
+    for sock in (before, client):
+        (line,), end = answers(sock)
         assert line.split()[0] in (b"BUSY", b"ERR") and end == "end"
 
 
-def test_a_session_that_fails_to_move_does_not_keep_the_process_from_ending(tmp_path, monkeypatch):
-    d = make_handler(hosts=1)
-    service = service_over(d, tmp_path)
-    bad, good = establish(d)[0], establish(d)[0]
-    move, ended = d.redirect, []
+def test_session_that_fails_to_redirect_does_not_prevent_the_exit(tmp_path, monkeypatch):
+    handler = make_handler(hosts=1)
+    service = service_over(handler, tmp_path)
+    bad, good = establish(handler)[0], establish(handler)[0]
+    move, ended = handler.redirect, []
     service.reactor.stop = lambda: ended.append(True)
 
-    def fails_once(s, reason, failures=[True]):  # noqa: B006
-        if s.client is bad and failures:
+    def fails_once(session, reason, failures=[True]):  # noqa: B006
+        if session.client is bad and failures:
             raise RuntimeError(failures.pop())
-        move(s, reason)
+        move(session, reason)
 
-    monkeypatch.setattr(d, "redirect", fails_once)
+    monkeypatch.setattr(handler, "redirect", fails_once)
     service.stop()
     with suppress(RuntimeError):
-        d.reactor.advance(0.5)
+        handler.reactor.advance(0.5)
     for _ in range(60):
-        d.reactor.advance(0.05)
+        handler.reactor.advance(0.05)
     assert good.transport.lines() == bad.transport.lines() == [b"MOVE"]
     for client in (good, bad):
         lose_connection(client)
     for _ in range(40):
-        d.reactor.advance(0.05)
+        handler.reactor.advance(0.05)
     assert ended
 
 
-def test_a_configuration_that_comes_after_the_stop_does_not_put_it_off(stopping, tmp_path):
+def test_reload_after_a_stop_does_not_delay_the_exit(stopping, tmp_path):
     loopback, service = stopping
     longer = SETUP | {"listeners": [SETUP["listeners"][0] | {"hardLimit": 30.0}]}
     (tmp_path / "c").write_text(json.dumps(CONFIG | {"admin_addr": "127.0.0.1:9100", "settings": longer}))
@@ -310,32 +310,32 @@
     assert service.config.limits.max_client_wait == 30_000.0
     service.stop()
     clients = [loopback.client(open_line(n)) for n in range(40)]
-    serve_all(loopback, KILLED - 0.05)
+    serve_all(loopback, EARLIEST_KILL_S - 0.05)
     assert all(answers(client) == ([b"UP r1", b"MOVE"], "end") for client in clients)
 
 
-def test_a_session_whose_timer_was_lost_is_answered_all_the_same():
-    d = make_handler(mostDials=1)
-    client = connect(d, open_line(1))
-    (s,) = d.sessions.by_index.values()
-    s.dial_timer.cancel()
+def test_session_whose_timer_was_lost_is_answered_by_the_sweep():
+    handler = make_handler(mostDials=1)
+    client = connect(handler, open_line(1))
+    (session,) = handler.sessions.by_index.values()
+    session.dial_timer.cancel()
     with captured_log() as lines:
         for _ in range(8):
-            d.reactor.advance(0.25)
-            d.sweep()
-    assert client.transport.lines() == [b"ERR"] and not d.sessions.by_index
-    assert "reason=overdue" in "".join(lines) and d.metrics.overdue_answers == 1
+            handler.reactor.advance(0.25)
+            handler.sweep()
+    assert client.transport.lines() == [b"ERR"] and not handler.sessions.by_index
+    assert "reason=overdue" in "".join(lines) and handler.metrics.overdue_answers == 1
 
 
-def test_why_sessions_and_dials_ended_is_told_in_the_log_and_in_the_figures():
-    d = make_handler(mostDials=1)
+def test_reasons_of_ended_sessions_and_dials_are_logged_and_counted():
+    handler = make_handler(mostDials=1)
     with captured_log() as lines:
-        connect(d, open_line(1))
+        connect(handler, open_line(1))
         for _ in range(12):
-            d.reactor.advance(0.25)
-            d.sweep()
+            handler.reactor.advance(0.25)
+            handler.sweep()
     (line,) = [line for line in lines if line.startswith("dial id=")]
     assert "dial=0 host=s-" in line and "outcome=unreached sent=False ms=" in line
-    told = d.metrics.lines(d.gauges())
+    told = handler.metrics.lines(handler.gauges())
     assert 'app_failed_dials_total{outcome="unreached"} 1' in told
     assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in told)
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -22,7 +22,7 @@
 import pytest
 from helpers import (
     OPEN_LINE, START, accept, captured_log, connect, dials, make_handler, make_settings, open_line,
-    roster_entry, service_over, session_request, set_reported_loads,
+    report_loads, roster_entry, service_over, session_request,
 )  # fmt: skip
 from node_processes import NodeProcesses, StandIns, until
 from test_upgrade import PortNumber, names, raised, sides
@@ -298,7 +298,7 @@
     while now < until:
         for number, made in enumerate(nodes):
             made.seen_at = [now, now]
-            set_reported_loads(made, [0.1, 0.1], now)
+            report_loads(made, [0.1, 0.1], now)
             sid = int(now) * len(nodes) + number
             count += sum(dial.host == 0 for dial in dials(made.open_session(now, session_request(sid))))
             made.client_disconnected(now, sid)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -626,7 +626,7 @@
     assert host.transport.lines() == [b"one"]
 
 
-def stall(handler, seconds):
+def stall_node(handler, seconds):
     """Stops the node for so long right after a sweep."""
     handler.sweep()
     handler.reactor.rightNow += seconds
@@ -634,7 +634,7 @@
 
 def test_request_read_after_a_stall_is_placed_by_the_list_read_beside_it():
     handler = make_handler(hosts=2)
-    stall(handler, 3.0)
+    stall_node(handler, 3.0)
     connect(handler, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     assert not handler.reactor.tcpClients  # nothing is decided before the backlog has been read
     handler.update_roster(False, [host_row("s-0", "Terminating", 9000)])
@@ -644,7 +644,7 @@
 
 def test_stall_counts_towards_the_wait_of_a_client():
     handler = make_handler()
-    stall(handler, 3.0)
+    stall_node(handler, 3.0)
     client = connect(handler, OPEN_LINE)
     handler.reactor.advance(0)
     assert client.transport.lines()[0].startswith(b"BUSY") and not handler.reactor.tcpClients
@@ -653,7 +653,7 @@
 def test_request_whose_connection_opened_in_a_stall_waits_for_the_list():
     handler = make_handler(hosts=1)
     connect(handler, OPEN_LINE.replace(b"d=1200", b"d=9000"))
-    stall(handler, 0.9)
+    stall_node(handler, 0.9)
     host = accept(handler)
     assert not host.transport.value()
     handler.update_roster(False, [host_row("s-0", "Terminating", 9000)])
@@ -671,7 +671,7 @@
         "take_expiry": lambda self: False,
     }
     handler.source = type("Source", (), parts)()
-    stall(handler, 3.0)
+    stall_node(handler, 3.0)
     connect(handler, OPEN_LINE.replace(b"d=1200", b"d=9000"))
     handler.reactor.advance(delay)
     assert bool(handler.reactor.tcpClients) is open_
@@ -683,7 +683,7 @@
     handler = make_handler(hosts=1)
     client = connect(handler, OPEN_LINE)
     host = accept(handler)
-    stall(handler, 2.0)
+    stall_node(handler, 2.0)
     handler._dial_timed_out(host)
     host.dataReceived(b"UP r1\r\n")
     handler.reactor.advance(0)
@@ -692,7 +692,7 @@
 
 def test_busy_reactor_turn_is_not_a_stall():
     handler = make_handler()
-    stall(handler, 0.45)
+    stall_node(handler, 0.45)
     connect(handler, OPEN_LINE)
     assert handler.reactor.tcpClients and not handler.stall
 
@@ -701,7 +701,7 @@
     handler = make_handler(mayProbe=True)
     handler.probes.probe(0, handler.hosts.addresses[0])
     probe = accept(handler)
-    stall(handler, 2.0)
+    stall_node(handler, 2.0)
     probe.on_timeout()
     handler.reactor.advance(0)
     assert probe.ended and 0 not in handler.probes.connections and not any(handler.balancer._node.ill)
@@ -710,7 +710,7 @@
 def test_connect_time_out_in_a_stall_is_not_held_against_the_host():
     handler = make_handler(hosts=1)
     connect(handler, OPEN_LINE.replace(b"d=1200", b"d=9000"))
-    stall(handler, 2.0)
+    stall_node(handler, 2.0)
     handler.dial_failed(next(iter(handler.sessions.by_index.values())).host_connection)
     handler.reactor.advance(0)
     assert not any(handler.balancer._node.ill) and len(handler.reactor.tcpClients) == 2
@@ -720,7 +720,7 @@
     handler = make_handler(hosts=1, mayProbe=True)
     handler.probes.probe(0, handler.hosts.addresses[0])
     probe = accept(handler)
-    stall(handler, 2.0)
+    stall_node(handler, 2.0)
     probe.dataReceived(b"PONG x0=0.9\r\n")
     handler.reactor.advance(0)
     assert handler.balancer._node.figure == [None]
