--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -7,9 +7,9 @@
 import time
 from pathlib import Path
 
-from caperdeck.distribution.publisher_selection import preferred
+from caperdeck.distribution.publisher_selection import publishers_by_preference
 from caperdeck.lifecycle.merge import STAND_IN
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 
 from .measured import WITHIN, CutLook, RefusalLook, Step
 from .plan import NORTH, SOUTH, refusing_names
@@ -76,7 +76,7 @@
 
 def preferring(run: InForceRun, instance: int) -> int:
     places, name = run.instances.places, f"o{instance}"
-    return sum(preferred(node, places)[0].name == name for node in run.places)
+    return sum(publishers_by_preference(node, places)[0].name == name for node in run.places)
 
 
 async def start_again(run: InForceRun, i: int) -> None:
@@ -106,7 +106,7 @@
         await look_in_cut(run, rest, cut_off)
     await run.change("region cut", names=rest)
     await sleep_until(began + CUT)
-    healed, newest = steady(), run.measured.steps[-1].published
+    healed, newest = boottime_ms(), run.measured.steps[-1].published
     run.tell(f"healed after {time.monotonic() - began:.1f} s")
     await run.relay.cut(False)
     run.measured.steps.append(Step("region healed", newest, cut_off, healed))
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -17,7 +17,7 @@
 from twisted.internet import stdio
 
 from caperdeck.distribution.node import DiskThread
-from caperdeck.distribution.subscriber import Held, State
+from caperdeck.distribution.subscriber import HeldVersion, State
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scale.heartbeat import BEAT, Beats
@@ -29,7 +29,7 @@
 from caperdeck.lifecycle.merge import STAND_IN
 from caperdeck.lifecycle.published import Published
 from caperdeck.lifecycle.reactor import install_reactor
-from caperdeck.owner.process import steady
+from caperdeck.owner.process import boottime_ms
 from caperdeck.state.addresses import parse_address
 
 from .plan import CLUSTER, NORTH, SOUTH, InForce, NodePlan, Plan, Refused, Report
@@ -55,7 +55,7 @@
 class ControlledNode(Published):
     """Stands for the service too: takes a configuration by keeping it."""
 
-    clock = staticmethod(steady)
+    clock = staticmethod(boottime_ms)
 
     def __init__(self, control: Control, disk: DiskThread, put: list[InForce], refuses: bool) -> None:
         own = STAND_IN | {"name": control.place.name}
@@ -75,9 +75,9 @@
     def take(self, config: Config) -> None:
         self.config = config
 
-    def put_in_force(self, held: Held, prepared: Config) -> None:
-        super().put_in_force(held, prepared)
-        self.put.append(InForce(self.name, held.revision, steady()))
+    def activate(self, held: HeldVersion, prepared: Config) -> None:
+        super().activate(held, prepared)
+        self.put.append(InForce(self.name, held.revision, boottime_ms()))
 
 
 def instances_of(plan: Plan, region: str) -> dict[str, Instance]:
@@ -105,7 +105,7 @@
     def _node(self, node: NodePlan) -> ControlledNode:
         control = Control(CLUSTER, node.place, node.folder, self.instances[node.place.region])
         made = ControlledNode(control, self.disk, self.put, node.refuses)
-        self.begun.append(InForce(node.place.name, made.held.revision, steady()))
+        self.begun.append(InForce(node.place.name, made.held.revision, boottime_ms()))
         return made
 
     def start(self) -> None:
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -21,14 +21,14 @@
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
-from caperdeck.gossip.sharing import Uses
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.config import Config, decode_config
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
 from caperdeck.ops.admin_server import Caller, Front
-from caperdeck.owner.config import Owners
-from caperdeck.peers.swim import State
+from caperdeck.owner.config import OwnerEndpoints
+from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
 
 from .heartbeat import BEAT, Beats
@@ -71,20 +71,20 @@
         """The process ends as a whole."""
 
 
-def knows(states: list[State], members: int) -> float:
+def knows(states: list[MemberState], members: int) -> float:
     """The share of the members that a view has as alive."""
-    return states.count(State.ALIVE) / members
+    return states.count(MemberState.ALIVE) / members
 
 
 def holds_dead(swim: Any, watched: list[int]) -> bool:
     """Whether 9 in 10 of the watched members that the view ever knew are silent in it."""
-    seen, silent = [i for i in watched if swim.life[i]], State.SILENT
+    seen, silent = [i for i in watched if swim.life[i]], MemberState.SILENT
     return bool(seen) and sum(swim.state[i] is silent for i in seen) >= MOST * len(seen)
 
 
 def holds_alive(swim: Any, lives: dict[int, int]) -> bool:
     """Whether 9 in 10 of the watched members are alive in another life than the one given."""
-    alive = State.ALIVE
+    alive = MemberState.ALIVE
     back = sum(swim.state[i] is alive and swim.life[i] > life for i, life in lives.items())
     return bool(lives) and back >= MOST * len(lives)
 
@@ -110,9 +110,12 @@
         self.base_uss = psutil.Process().memory_full_info().uss
         self.made_s = 0.0
         self.encode = msgspec.json.Encoder().encode
-        owners = Owners(plan.cluster, tuple(parse_address(a) for a in plan.instances))
+        owners = OwnerEndpoints(plan.cluster, tuple(parse_address(a) for a in plan.instances))
         # what `serve` is given by its flags, by keyword; another part of control is one more row
-        self.flags: dict[str, Any] = {"uses": Uses(**dict.fromkeys(plan.sharing, True)), "owners": owners}
+        self.flags: dict[str, Any] = {
+            "uses": SharingFeatures(**dict.fromkeys(plan.sharing, True)),
+            "owners": owners,
+        }
 
     def start(self) -> None:
         # Danger: the collector would walk all nodes made so far again and again while more are made.
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -17,8 +17,8 @@
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.ops.admin_calls import Answer, Calls, Then, no, yes
 from caperdeck.ops.admin_server import Caller, Front
-from caperdeck.owner.token_recovery import Asking
-from caperdeck.owner.config import Owners
+from caperdeck.owner.token_recovery import TokenRecovery
+from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.state.addresses import Address, parse_address
 
 from .instances import CLUSTER, LOOPBACK
@@ -63,23 +63,23 @@
 class Node:
     """What a node does with an act, without the hosts and clients of a whole one."""
 
-    def __init__(self, number: int, nodes: int, owners: Owners) -> None:
+    def __init__(self, number: int, nodes: int, owners: OwnerEndpoints) -> None:
         self.target = Target(number + 1, nodes, lambda: HOSTS, list, lambda uid: False, lambda: 0)
-        self.asking = Asking(reactor, owners, self.target.fence.learned)
+        self.token_recovery = TokenRecovery(reactor, owners, self.target.fence.record_token)
 
     @property
     def reached(self) -> bool:
-        return self.target.taken > 0 or bool(self.target.refused)
+        return self.target.accepted > 0 or bool(self.target.refused)
 
     def act(self, work: str, token: str, body: str, then: Then) -> None:
         now = reactor.seconds() * 1000.0
-        answer = self.target.act(now, work, int(token), orjson.loads(body))
+        answer = self.target.execute(now, work, int(token), orjson.loads(body))
         reason = answer.get("no")
         if reason is None:
             then(yes(orjson.dumps(answer).decode()))
             return
         if reason == "asks-first":
-            self.asking.ask(work)
+            self.token_recovery.recover(work)
         then(no(reason))
 
 
@@ -99,8 +99,8 @@
 
     def begin(self, count: str, instance: str, then: Then) -> None:
         for node in self.nodes:
-            node.asking.stop()
-        owners = Owners(CLUSTER, (parse_address(instance),))
+            node.token_recovery.stop()
+        owners = OwnerEndpoints(CLUSTER, (parse_address(instance),))
         self.nodes = [Node(number, int(count), owners) for number in range(int(count))]
         for front in self.fronts:
             front.figures = Figures()
--- a/caperdeck/wire/peers.py
+++ b/caperdeck/wire/peers.py
@@ -49,7 +49,7 @@
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         now = self.clock()
-        self._send(self.sharing.datagram(now, data, self.members.get(address), self.read_delay()))
+        self._send(self.sharing.receive_datagram(now, data, self.members.get(address), self.read_delay()))
         self._log_drops(now)
 
     def _timer_fired(self) -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -183,7 +183,7 @@
     handler.hosts.start_times.set_wall_clock_offset(BOOT - handler.clock() + wall_clock_error)
     handler.update_roster(whole, [host_row("s-0"), host_row("s-9", boot=BOOT - true_age)])
     node, h = handler.balancer._node, handler.hosts.index_by_uid["s-9"]
-    return handler.clock() - node.started_at[h], node._warmth(handler.clock(), h)
+    return handler.clock() - node.started_at[h], node._warm_share(handler.clock(), h)
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
     handler.hosts.start_times.set_wall_clock_offset(BOOT - handler.clock() - HOUR_S * 1000)
     handler.update_roster(False, [host_row("s-9", boot=BOOT)])
     handler.reactor.advance(8.1)
-    assert handler.balancer._node._warmth(handler.clock(), 1) == 1.0
+    assert handler.balancer._node._warm_share(handler.clock(), 1) == 1.0
 
 
 def test_starts_in_one_message_keep_their_distances():
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -113,7 +113,7 @@
     for host in range(3200):
         looked_at(d, host)
     assert len(d.probes.connections) == d.budget.max_probes and d.budget.session_headroom == room
-    assert list(d.probes.connections)[-1] == 3199 and min(d.balancer._node.seen_at) > 0
+    assert list(d.probes.connections)[-1] == 3199 and min(d.balancer._node.probed_at) > 0
 
 
 # guards against: servers held to be ill, and connections moved off them, as the node lacks a descriptor
@@ -126,7 +126,7 @@
     d.probes.probe(39, d.hosts.addresses[39])
     node = d.balancer._node
     assert len(d.reactor.tcpClients) == dialed and 39 not in d.probes.connections
-    assert not any(node.ill) and not node.unseen[39] and not node.probe_out[39]
+    assert not any(node.failure_score) and not node.no_probe_until[39] and not node.probe_sent_at[39]
 
 
 GROWTH = 1.4  # the stated target for a node's processor time at sixteen times the servers
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -202,7 +202,9 @@
         and not loopback.handler.sessions.by_index
         and loopback.handler.metrics.relayed_requests == 0
     )
-    assert not any(loopback.handler.balancer._node.held + loopback.handler.balancer._node.dialing)
+    assert not any(
+        loopback.handler.balancer._node.connections + loopback.handler.balancer._node.pending_dials
+    )
 
 
 def test_no_dial_begins_for_a_client_whose_end_is_unread_when_a_timer_fires(loop):
@@ -221,7 +223,9 @@
         and sum(peer.accept() for peer in loopback.hosts) == 0
         and not loopback.handler.sessions.by_index
     )
-    assert not any(loopback.handler.balancer._node.held + loopback.handler.balancer._node.dialing)
+    assert not any(
+        loopback.handler.balancer._node.connections + loopback.handler.balancer._node.pending_dials
+    )
 
 
 def test_client_that_does_not_wait_is_refused_before_its_request_is_sent(loop):
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -118,7 +118,7 @@
     loopback.accept_at_host().send(b"UP r1\r\n")
     loopback.reactor.settle()
     assert read_all(client) == (b"UP r1\r\n", "") and session.dial == 0
-    assert loopback.handler.balancer._node.ill == [0.0]
+    assert loopback.handler.balancer._node.failure_score == [0.0]
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
@@ -216,7 +216,7 @@
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with captured_log() as lines:
         service.know([host_row("s-0"), host_row("s-1")], {"bans": ["s-1"]})
-    assert service.bans.uids == {"s-1": None} and 1 in handler.balancer._node.banned
+    assert service.bans.uids == {"s-1": None} and 1 in handler.balancer._node.banned_at
     assert "reason=bans-unwritable" in "".join(lines)
 
 
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -276,8 +276,8 @@
     there.listen = there.discovery.start = lambda *_: None
     there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
     node = there.handler.balancer._node
-    assert node.started_at[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
-    assert node._warmth(at + 1.0, 1) == 1.0
+    assert node.started_at[0] == at and node._warm_share(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
+    assert node._warm_share(at + 1.0, 1) == 1.0
 
 
 SPAN = 4000.0  # milliseconds in which sessions come to both processes
@@ -288,7 +288,7 @@
     """A node of three that knows what a session weighs; of its two hosts the first has just started."""
     made = Node(make_settings(), now)
     made.update_roster(now, RosterScope.SAVED, [roster_entry(0, started_at=START), roster_entry(1)])
-    made.unit, made.mean_hint, made.asked, made.each = 2000.0, 10.0, 1000, 10.0
+    made.unit_capacity, made.mean_hint, made.request_count, made.mean_session_load = 2000.0, 10.0, 1000, 10.0
     return made
 
 
@@ -297,7 +297,7 @@
     count, now = 0, first
     while now < until:
         for number, made in enumerate(nodes):
-            made.seen_at = [now, now]
+            made.probed_at = [now, now]
             report_loads(made, [0.1, 0.1], now)
             sid = int(now) * len(nodes) + number
             count += sum(dial.host == 0 for dial in dials(made.open_session(now, session_request(sid))))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -353,7 +353,7 @@
     client, host = establish(handler)
     host.dataReceived(line + b"\r\n")
     assert client.transport.lines() == [line]
-    assert handler.balancer._node.sessions[0].present == (1.5 if line == b"LOAD 1500" else None)
+    assert handler.balancer._node.sessions[0].last_load == (1.5 if line == b"LOAD 1500" else None)
 
 
 def test_session_established_before_the_start_is_resumed_at_its_host():
@@ -704,7 +704,9 @@
     stall_node(handler, 2.0)
     probe.on_timeout()
     handler.reactor.advance(0)
-    assert probe.ended and 0 not in handler.probes.connections and not any(handler.balancer._node.ill)
+    assert (
+        probe.ended and 0 not in handler.probes.connections and not any(handler.balancer._node.failure_score)
+    )
 
 
 def test_connect_time_out_in_a_stall_is_not_held_against_the_host():
@@ -713,7 +715,7 @@
     stall_node(handler, 2.0)
     handler.dial_failed(next(iter(handler.sessions.by_index.values())).host_connection)
     handler.reactor.advance(0)
-    assert not any(handler.balancer._node.ill) and len(handler.reactor.tcpClients) == 2
+    assert not any(handler.balancer._node.failure_score) and len(handler.reactor.tcpClients) == 2
 
 
 def test_probe_answer_that_waited_in_a_stall_gives_no_load():
@@ -723,7 +725,7 @@
     stall_node(handler, 2.0)
     probe.dataReceived(b"PONG x0=0.9\r\n")
     handler.reactor.advance(0)
-    assert handler.balancer._node.figure == [None]
+    assert handler.balancer._node.reported_load == [None]
 
 
 def open_watch(reactor, problems, stalled):
