--- a/caperdeck/gossip/__init__.py
+++ b/caperdeck/gossip/__init__.py
@@ -1,1 +1,3 @@
-"""What the nodes of a fleet share beside their membership: counts, lent rights, judgements. No I/O."""
+"""State that the nodes of a fleet share besides membership: counters, quota transfers, judgements of hosts.
+No I/O.
+"""
--- a/caperdeck/gossip/counters.py
+++ b/caperdeck/gossip/counters.py
@@ -1,7 +1,8 @@
-"""Counts that no path can count twice: each is one member's in one life, grows only, merges by the higher.
+"""Replicated counters that are never counted twice: each belongs to one member in one life, only grows, and
+merges by maximum.
 
 Source: state-based grow-only counters, Shapiro et al., "A comprehensive study of Convergent and Commutative
-Replicated Data Types" (INRIA RR-7506, 2011), 3.1.1, counter apart by life so that a restart begins a new one.
+Replicated Data Types" (INRIA RR-7506, 2011), 3.1.1, kept apart by life so that a restart begins a new one.
 """
 
 from __future__ import annotations
@@ -9,15 +10,15 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-EXPIRY_MS = 15_000.0  # without a rise a count is left out
-MAX_COUNTERS = 1024  # counts kept
-MIN_RATE_WINDOW_MS = 500.0  # a rate is taken over at least so long
+EXPIRY_MS = 15_000.0  # a counter without an increase for this long is dropped
+MAX_COUNTERS = 1024
+MIN_RATE_WINDOW_MS = 500.0  # minimum time over which a rate is measured
 MAX_VALUE = 0xFFFFFFFF
-MAX_INCREASE = 1 << 24  # in one step; more is a fault of the sender
+MAX_INCREASE = 1 << 24  # per merge; a larger step is a fault of the sender
 
 
 class CounterValue(NamedTuple):
-    """What a member has done since this life began; `subject` says what is counted."""
+    """A member's count since the start of its life; `subject` says what is counted."""
 
     subject: int
     member: int
@@ -26,6 +27,8 @@
 
 
 class _StoredCounter:
+    """A counter's value with the measurement of its rate."""
+
     __slots__ = ("value", "increased_at", "rate", "rate_base", "rate_base_at", "rate_known")
 
     def __init__(self, value: int, now: float) -> None:
@@ -34,21 +37,21 @@
 
 
 class CounterStore:
-    """All counts heard of, the own among them. Merging is in any order, any number of times."""
+    """All known counters, including this member's. Merges may come in any order and any number of times."""
 
     def __init__(self) -> None:
         self.stored: dict[tuple[int, int, int], _StoredCounter] = {}  # by subject, member, life
-        # the highest life and value left out, by subject and member
+        # highest dropped life and value, by subject and member
         self.retired: dict[tuple[int, int], tuple[int, int]] = {}
-        self.lives: dict[int, int] = {}  # the highest life heard of
-        self.cursors = [0, 0]  # whose counts are passed on next: of the own ones, of others'
+        self.lives: dict[int, int] = {}  # highest known life by member
+        self.cursors = [0, 0]  # round-robin positions among this member's counters and those of others
 
     def merge(self, now: float, count: CounterValue) -> str | None:
-        """Takes the count in; the reason if it is not taken."""
+        """Merges a counter; returns the reason if it is rejected."""
         key = count.subject, count.member, count.life
         counter = self.stored.get(key)
         if counter is None:
-            # Danger: a count that was left out and comes again late would be added once more.
+            # A dropped counter that arrives again late would be added a second time.
             if (count.life, count.value) <= self.retired.get(key[:2], (0, 0)):
                 return "closed-life"
             if len(self.stored) >= MAX_COUNTERS:
@@ -59,7 +62,7 @@
             self.lives[count.member] = max(self.lives.get(count.member, 0), count.life)
             return None
         if count.value <= counter.value:
-            return None  # an older one, or the same again
+            return None  # outdated or unchanged
         if count.value - counter.value > MAX_INCREASE:
             return "count-jumps"
         counter.value, counter.increased_at = count.value, now
@@ -69,12 +72,14 @@
         return None
 
     def expire(self, now: float) -> None:
-        """Leaves out what has not risen for long; it comes back, whole, once it has risen."""
+        """Drops counters that have not increased for long; one comes back with its full value once it
+        increases.
+        """
         for key in [k for k, counter in self.stored.items() if now - counter.increased_at > EXPIRY_MS]:
             subject, member, life = key
             value = self.stored.pop(key).value
             self.retired[subject, member] = max(self.retired.get((subject, member), (0, 0)), (life, value))
-        # Danger: hosts come and go for as long as a node lives, and each would leave a mark here.
+        # Hosts come and go as long as the process runs, and each would leave an entry here.
         while len(self.retired) > MAX_COUNTERS:
             del self.retired[next(iter(self.retired))]
 
@@ -84,7 +89,9 @@
         )
 
     def rate(self, now: float, subject: int, excluded_member: int) -> tuple[float, int]:
-        """What the members but one add in a millisecond, and from how many of them that is known."""
+        """Returns the increase per millisecond of all members but one, and the number of members it is known
+        from.
+        """
         rates = [
             counter.rate for (key_subject, member, life), counter in self.stored.items()
             if key_subject == subject and member != excluded_member and life == self.lives[member]
@@ -97,7 +104,7 @@
         return 0.0 if counter is None else counter.rate
 
     def rows_to_send(self, limit: int, own_member: int) -> Iterator[CounterValue]:
-        """Counts to pass on: the member's own and those of others, each in turn."""
+        """Returns counters to send: of this member and of others, each in rotation."""
         own = [k for k in self.stored if k[1] == own_member]
         others = [k for k in self.stored if k[1] != own_member]
         for which, (keys, count) in enumerate(((own, -(-limit // 2)), (others, limit // 2))):
--- a/caperdeck/gossip/judgements.py
+++ b/caperdeck/gossip/judgements.py
@@ -1,9 +1,10 @@
-"""What the nodes say of hosts, and when enough of them say it to matter to one that has not seen it.
+"""Judgements of hosts by the nodes, and when enough of them count for a node that has no observation of its
+own.
 
-A judgement is one node's: a host, a kind, how long ago it was seen. It counts for SPAN from then on. A host
-is held for lost here only while WITNESSES nodes say so, heard through INFORMANTS nodes, none of which sees
-ill everywhere, more than say that the host has answered them, and for at most PART of the hosts. It never
-takes a host out: it puts one's next look off, as a failed look of one's own does.
+A judgement is one node's: a host, its condition, the age of the observation. It is valid for VALIDITY_MS. A
+host counts as lost only while MIN_WITNESSES nodes say so, reported by MIN_INFORMANTS nodes, and more than
+report it healthy; nodes that see most hosts failing do not count. At most MAX_LOST_SHARE of the hosts can be
+lost. A lost host is not ejected: its next probe is postponed, as after a failed probe by this node.
 """
 
 from __future__ import annotations
@@ -12,42 +13,49 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-VALIDITY_MS = 3000.0  # a judgement counts for so long from what it rests on
+VALIDITY_MS = 3000.0  # from the time of the observation
 MIN_WITNESSES = 3
-MIN_INFORMANTS = 2  # one node passes on what others say, and may say it wrongly of all of them
-MAX_LOST_SHARE = 0.25  # of the listed hosts, at the most
-FAILING_SHARE_LIMIT = 0.3  # of the hosts that a node has seen lately: past this its word counts for nothing
-MAX_JUDGEMENTS = 512  # judgements kept
+MIN_INFORMANTS = 2  # a single node could misreport what all others say
+MAX_LOST_SHARE = 0.25  # of the listed hosts
+FAILING_SHARE_LIMIT = 0.3  # share of recently observed hosts above which a node's judgements do not count
+MAX_JUDGEMENTS = 512
 MAX_JUDGEMENTS_PER_MEMBER = 16
 
 
 class HostCondition(IntEnum):
+    """Condition of a host as judged by a node; the values are part of the wire format."""
+
     HEALTHY = 0  # it has answered
-    LOST = 1  # dials and looks do not come up, or fail
-    FULL = 2  # it turns away
+    LOST = 1  # dials and probes fail or time out
+    FULL = 2  # it refuses sessions
 
 
 class Judgement(NamedTuple):
-    host: int  # its mark
+    """One node's observation of a host."""
+
+    host: int  # stable id
     condition: HostCondition
-    member: int  # who says so
-    age: float  # milliseconds, of what it rests on, when it was sent
+    member: int  # the observer
+    age: float  # age of the observation in milliseconds, when it was sent
 
 
 class Judgements:
+    """Judgements of all nodes, including relayed ones."""
+
     def __init__(self) -> None:
-        self.rows: dict[
-            tuple[int, int], tuple[HostCondition, float, int]
-        ] = {}  # by host, member: seen at, from whom
-        self.unsound: dict[int, float] = {}  # members that see ill everywhere, and until when they do
+        # by host and observer: condition, time of observation, informant
+        self.rows: dict[tuple[int, int], tuple[HostCondition, float, int]] = {}
+        # members that see most hosts failing, and until when they do not count
+        self.unsound: dict[int, float] = {}
 
     def record(self, now: float, judgement: Judgement, asked_at: float, informant: int) -> str | None:
-        """A word in that node's answer to a question asked at that time, by this node's clock.
+        """Records a judgement that was part of the answer to a request of this node.
 
-        Returns the reason if it is not taken.
+        `asked_at` is the time of the request by this node's clock, `informant` the node that answered.
+        Returns the reason if the judgement is rejected.
         """
-        # Danger: an age by another node's clock and a datagram minutes late; what was seen is dated back from
-        # this node's own question, so it is never taken for newer than it can be.
+        # The age is by another node's clock, and the datagram may be minutes late. The observation is
+        # therefore dated back from this node's request, so it never appears newer than it can be.
         observed_at = asked_at - judgement.age
         if now - observed_at > VALIDITY_MS:
             return "old-judgement"
@@ -71,7 +79,9 @@
         self.unsound = {m: until for m, until in self.unsound.items() if until > now}
 
     def lost_hosts(self, now: float, hosts: int) -> dict[int, float]:
-        """Hosts held for lost by enough of the others, by mark, and until when; of `hosts` listed ones."""
+        """Returns the hosts that count as lost, by stable id, and until when; `hosts` is the number of listed
+        hosts.
+        """
         self.expire(now)
         lost_reports: dict[int, list[tuple[float, int]]] = {}
         healthy_counts: dict[int, int] = {}
@@ -86,10 +96,10 @@
         for host, reports in lost_reports.items():
             needed = max(MIN_WITNESSES, healthy_counts.get(host, 0) + 1)
             if len(reports) >= needed and len({informant for _, informant in reports}) >= MIN_INFORMANTS:
-                # it ends when the last word without which there are not enough of them does
+                # the loss lasts until too few of these reports are valid
                 found.append(
                     (-len(reports), host, sorted(reports, reverse=True)[needed - 1][0] + VALIDITY_MS)
                 )
         limit = math.floor(MAX_LOST_SHARE * hosts)
-        # Danger: a cut that many see would take most hosts out at once; past the part none of them counts.
+        # A partition seen by many nodes would take out most hosts at once; above the limit no loss counts.
         return {} if len(found) > limit else {host: until for _, host, until in sorted(found)}
--- a/caperdeck/gossip/message_sections.py
+++ b/caperdeck/gossip/message_sections.py
@@ -1,4 +1,6 @@
-"""What rides on a message between nodes: sections of a tag, a number of rows, and the rows, big-endian."""
+"""Sections of a message between nodes: each has a tag, a number of rows, and the rows. All numbers are
+big-endian.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 from .counters import CounterValue
 from .judgements import Judgement, HostCondition
 
-AGE_STEP_MS = 16.0  # milliseconds, of an age
+AGE_STEP_MS = 16.0  # resolution of ages on the wire
 MAX_AGE_MS = 255 * AGE_STEP_MS
 MAX_ROWS = 24
 MAX_AMOUNT = 1e18
@@ -24,18 +26,24 @@
 
 @dataclass(slots=True)
 class MessageSections:
-    """Pots are hosts' marks, 0 is the room of all; loads in milliseconds of work a second, ages in ms."""
+    """Decoded sections.
+
+    Budgets are identified by stable ids of hosts, 0 is the room of all hosts; amounts are in milliseconds of
+    work per second, ages in milliseconds.
+    """
 
     counters: list[CounterValue] = field(default_factory=list)
-    requests: list[tuple[int, float]] = field(default_factory=list)  # budget, at the most so much
-    grants: list[tuple[int, float]] = field(default_factory=list)  # budget, so much is lent
-    loads: list[tuple[int, float, float]] = field(default_factory=list)  # host, load over capacity, age
+    requests: list[tuple[int, float]] = field(default_factory=list)  # budget, limit
+    grants: list[tuple[int, float]] = field(default_factory=list)  # budget, amount lent
+    loads: list[tuple[int, float, float]] = field(default_factory=list)  # host, load ratio, age
     judgements: list[Judgement] = field(default_factory=list)
     majority_failing: bool = False
 
 
 def encode(sections: MessageSections, max_bytes: int) -> bytes:
-    """What fits in so many bytes: first what moves rights, then counts, judgements and figures."""
+    """Encodes what fits into `max_bytes`: first the sections that move quota, then counters, judgements and
+    loads.
+    """
     out = bytearray()
     for tag, rows in (
         (GRANT, sections.grants), (REQUEST, sections.requests), (FAILING, [()] * sections.majority_failing),
@@ -59,20 +67,20 @@
 
 
 def round_down_to_wire(amount: float) -> float:
-    """The amount as it arrives, never more than was given."""
+    """Returns the amount as it arrives, which is never more than was lent."""
     (bits,) = struct.unpack(">I", struct.pack(">f", min(amount, MAX_AMOUNT)))
     (sent,) = struct.unpack(">f", bits.to_bytes(4, "big"))
-    # Danger: rounded up on its way, a loan would be more than its lender gave; the number before it is not.
+    # Rounding up would give the borrower more than the lender spent, so the next lower float is taken.
     return sent if sent <= amount else struct.unpack(">f", (bits - 1).to_bytes(4, "big"))[0]
 
 
 def _age_steps(age_ms: float) -> int:
-    # rounded up: nothing may look newer than it is
+    # rounded up, so that nothing appears newer than it is
     return min(math.ceil(max(age_ms, 0.0) / AGE_STEP_MS), 255)
 
 
 def decode(data: bytes, members: int) -> MessageSections:
-    """Raises DatagramError; nothing of notes with any fault is taken."""
+    """Decodes sections; raises DatagramError and uses nothing of them if any part is invalid."""
     sections, offset = MessageSections(), 0
     while offset < len(data):
         if offset + 2 > len(data):
@@ -102,7 +110,7 @@
         if any(c.member >= members or not c.life for c in sections.counters):
             raise DatagramError("no-such-member")
     elif tag in (REQUEST, GRANT):
-        # Danger: a number that is none, or is under 0, would take rights away or make them without end.
+        # NaN or a negative amount would take quota away or create it without limit.
         if not all(0 <= amount <= MAX_AMOUNT for _, amount in rows):
             raise DatagramError("bad-amount")
         (sections.requests if tag == REQUEST else sections.grants).extend(rows)
--- a/caperdeck/gossip/quota_transfers.py
+++ b/caperdeck/gossip/quota_transfers.py
@@ -1,28 +1,32 @@
-"""One node's side of lending rights: questions with a number, one answer to each, and when a loan ends.
+"""One node's side of quota transfers: numbered requests, one answer to each, and the expiry of what is
+borrowed.
 
-What is lent is gone at the lender before the answer is sent, so what is lost on the way is nobody's. A loan
-ends LOAN after its borrower asked, on the borrower's own clock: the lender gave it after that, so whatever
-the way took, a right is spent at most LOAN after it left its lender's hands; no two clocks are compared.
+The lender deducts the amount before it sends the answer, so an amount that is lost on the way is lost to all.
+It expires TRANSFER_VALIDITY_MS after the borrower's request, by the borrower's clock. The lender lent it
+after that, so quota is spent at most TRANSFER_VALIDITY_MS after it left the lender, however long the answer
+took; no clocks of two nodes are compared.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-TRANSFER_VALIDITY_MS = 500.0  # from the question until what is lent for it ends
-MAX_PENDING_REQUESTS = 64  # questions that wait for an answer
-MAX_ANSWERED_REQUESTS = 512  # questions answered with a loan
+TRANSFER_VALIDITY_MS = 500.0  # from the request until the borrowed amount expires
+MAX_PENDING_REQUESTS = 64  # requests without an answer
+MAX_ANSWERED_REQUESTS = 512  # requests that were answered with a grant
 
 
 class QuotaTransfers:
+    """Requests of this node and grants to others."""
+
     def __init__(self, nonce: int = 0) -> None:
         self.last_nonce = nonce
-        self.pending_requests: dict[int, tuple[int, float]] = {}  # by number: whom, and when
-        self.answered_requests: dict[tuple[int, int, int], None] = {}  # asker, its life, its number
-        self.lent = self.borrowed = self.late = 0.0  # since the start
+        self.pending_requests: dict[int, tuple[int, float]] = {}  # by number: lender, time of the request
+        self.answered_requests: dict[tuple[int, int, int], None] = {}  # borrower, its life, number
+        self.lent = self.borrowed = self.late = 0.0  # totals since the start
 
     def request(self, now: float, member: int) -> int:
-        """The number of a new question to that member."""
+        """Registers a new request to a member and returns its number."""
         self.last_nonce = (self.last_nonce + 1) & 0xFFFFFFFF
         self.pending_requests[self.last_nonce] = member, now
         if len(self.pending_requests) > MAX_PENDING_REQUESTS:
@@ -33,9 +37,9 @@
         self, borrower: int, life: int, nonce: int, requests: list[tuple[int, float]],
         lend: Callable[[int, float], float],
     ) -> list[tuple[int, float]]:  # fmt: skip
-        """What is lent for a question, budget by budget, once."""
+        """Lends for a request, at most once per request; returns the amount by budget."""
         key = borrower, life, nonce
-        # Danger: a question that was doubled on its way would be lent to twice, and one of the two be lost.
+        # A duplicated request would be granted twice, and one of the grants would be lost.
         if key in self.answered_requests:
             return []
         grants = [
@@ -54,8 +58,11 @@
         self, now: float, member: int, nonce: int, grants: list[tuple[int, float]],
         borrow: Callable[[int, float, float], None],
     ) -> float | None:  # fmt: skip
-        """An answer: hands on what is lent with its end; when it was asked for, None if it was not."""
-        # Danger: an answer that comes twice would be spent twice, one to a life before this would be no loan.
+        """Accepts an answer and passes on the amounts with their expiry.
+
+        Returns the time of the request, or None if the answer was not requested.
+        """
+        # A duplicated answer would be spent twice, and an answer to a previous life is no grant to this one.
         pending = self.pending_requests.get(nonce)
         if pending is None or pending[0] != member:
             return None
@@ -63,7 +70,8 @@
         until = pending[1] + TRANSFER_VALIDITY_MS
         for budget, amount in grants:
             if now >= until:
-                # Danger: read after a sleep or a long way, the lender has long had it grow anew.
+                # The answer came after a suspension or a long delay; the lender has long accrued the amount
+                # again.
                 self.late += amount
             else:
                 self.borrowed += amount
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -1,6 +1,6 @@
-"""One node's side of all that the fleet shares, as one state machine: time and datagrams in, datagrams out.
+"""One node's side of all shared state, as one state machine: time and datagrams in, datagrams out.
 
-It asks the decisions for numbers and hands them numbers; what may be sent is decided there alone.
+It exchanges numbers with the decisions of this node; only these decide what may be sent to hosts.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from .quota_transfers import QuotaTransfers
 from .message_sections import MessageSections
 
-SHORTAGE_CHECK_MS = 100.0  # so often a node looks whether it is short of rights, a session's wait for a host
+SHORTAGE_CHECK_MS = 100.0  # interval of checks for missing quota; a session waits this long for a host
 JUDGE_INTERVAL_MS = 500.0
-HEARD_WITHIN_MS = 30_000.0  # what `hearing` is stated for
-MAX_DATAGRAMS_PER_S = 200.0  # datagrams a second that are looked at, at the most
-SHARED_ROOM_BUDGET = 0  # the budget of the room of all hosts
-DIALS_STARTED, DIALS_ENDED = 0, 1  # counts of all hosts together: dials, and those that ended
+HEARD_WITHIN_MS = 30_000.0  # window of the heard-from counts of `lines`
+MAX_DATAGRAMS_PER_S = 200.0  # further datagrams are dropped unread
+SHARED_ROOM_BUDGET = 0  # id of the budget for the room of all hosts
+DIALS_STARTED, DIALS_ENDED = 0, 1  # counted subjects of all hosts together
 COUNTER_ROWS, LOAD_ROWS, JUDGEMENT_ROWS, REQUEST_ROWS = 4, 10, 4, 4
-OVERLOAD_VALIDITY_MS = 1500.0  # a look that shows a host past full load counts for so long
+OVERLOAD_VALIDITY_MS = 1500.0  # validity of an observation of a host above full load
 OVERLOAD_WITNESSES = 2
-OVERLOAD_SPREAD_MS = 500.0  # milliseconds in which nodes act on it, each at a random moment
+OVERLOAD_SPREAD_MS = 500.0  # nodes act on a confirmed overload at random times within this span
 MAX_OVERLOADED_HOSTS = 128
-MAX_OVERLOAD_REPORTS_PER_S = 2.0  # a second
-MIN_REPORTING_MEMBERS = 3  # members that have told what they send, before it counts
-LOAD_VALIDITY_MS = 2000.0  # an older figure is told to nobody, and not taken
+MAX_OVERLOAD_REPORTS_PER_S = 2.0
+MIN_REPORTING_MEMBERS = 3  # members whose dial rate must be known before it is used
+LOAD_VALIDITY_MS = 2000.0  # maximum age of a load, for sending and for use
 
 
 class SharingFeatures(NamedTuple):
-    """What is done with what is shared; everything off is membership alone."""
+    """Uses of the shared state, each switched on by the operator; with all off there is membership alone."""
 
     room: bool = False
     cold: bool = False
@@ -47,17 +47,17 @@
 
 
 class LocalObservations(NamedTuple):
-    """What the decisions tell of themselves; hosts under their marks."""
+    """What the decisions have observed; hosts are identified by stable ids."""
 
-    counters: list[tuple[int, int]]  # subject and value, growing: dials, those ended, dials to cold hosts
-    loads: list[tuple[int, float, float]]  # host, load over capacity, seen at
-    conditions: list[tuple[int, HostCondition, float]]  # host, what, seen at
+    counters: list[tuple[int, int]]  # subject and value: dials started and ended, and dials to each cold host
+    loads: list[tuple[int, float, float]]  # host, load ratio, observed at
+    conditions: list[tuple[int, HostCondition, float]]  # host, condition, observed at
     majority_failing: bool
     host_count: int
 
 
 class Decisions(Protocol):
-    """The decisions, as far as this part speaks with them."""
+    """Interface to the decisions of this node."""
 
     def observations(self, now: float) -> LocalObservations: ...
 
@@ -79,6 +79,8 @@
 
 
 class Sharing:
+    """Membership, counters, judgements and quota transfers of one node."""
+
     def __init__(
         self, decisions: Decisions, me: int, members: int, life: int, seed: int, now: float,
         features: SharingFeatures, names: Iterable[str] = (),
@@ -91,16 +93,16 @@
         self.transfers = QuotaTransfers(self.swim.last_nonce)
         self.sent = self.received = self.bytes_sent = 0
         self.rotation = 0
-        self.overload_witnesses: dict[
-            int, dict[int, tuple[float, float]]
-        ] = {}  # hosts seen past full: by whom, how, when
-        self.pending_relief: dict[int, tuple[float, float]] = {}  # hosts to act on: when, and the load
+        # overloaded hosts: by observer, load ratio and time
+        self.overload_witnesses: dict[int, dict[int, tuple[float, float]]] = {}
+        # confirmed overloads to act on: time, load ratio
+        self.pending_relief: dict[int, tuple[float, float]] = {}
         self.observed_until, self.overload_report = now, []
         self.report_limit = TokenBucket(MAX_OVERLOAD_REPORTS_PER_S, now)
         self.next_check_at = now + SHORTAGE_CHECK_MS * self.swim._random()
         self.next_judgement_at = now + JUDGE_INTERVAL_MS * self.swim._random()
 
-    # ---- in and out
+    # ---- input and output
 
     @property
     def due(self) -> float:
@@ -116,8 +118,10 @@
     def receive_datagram(
         self, now: float, data: bytes, sender: int | None, read_delay: float = 0.0,
     ) -> list[tuple[int, bytes]]:  # fmt: skip
-        """One datagram, from that member's address, that may have lain there so long; what is sent for it."""
-        # Danger: a flood costs a look at each; past the bound it costs a comparison.
+        """Processes a datagram from the address of `sender` that may have waited for `read_delay`; returns
+        the answers.
+        """
+        # Under a flood decoding every datagram would be costly; above the rate limit only the limiter runs.
         if not self.receive_limit.take(now):
             self.swim.drop("flood")
             return []
@@ -142,7 +146,7 @@
             sends, grants = self._grant(now, message, sections.requests)
             return self._encode(now, sends, grants)
         elif message.kind is MessageKind.TELL and self.features.full:
-            # Danger: read after a sleep, looks told to all that lay there seem to be of this moment.
+            # After a suspension, queued reports of overload would look current without the delay.
             self._receive_overload_report(
                 now, message.sender, [(h, x, age + read_delay) for h, x, age in sections.loads]
             )
@@ -159,7 +163,7 @@
             out.append((to, data))
         return out
 
-    # ---- what is told
+    # ---- sending
 
     def _encode_sections(self, now: float, kind: MessageKind, grants: list[tuple[int, float]]) -> bytes:
         if kind is MessageKind.GOSSIP:
@@ -180,7 +184,7 @@
                 self.counters.merge(now, CounterValue(subject, me, self.swim.life[me], min(value, MAX_VALUE)))
             sections.counters = list(self.counters.rows_to_send(COUNTER_ROWS, me))
         if kind is MessageKind.ACK and self.features.prior:
-            # hosts with room are what another lacks; each node tells of those that it has looked at itself
+            # other nodes need hosts with headroom; each node reports only what it has observed itself
             least_loaded = sorted(
                 (x, h, now - at) for h, x, at in observations.loads if now - at <= LOAD_VALIDITY_MS
             )
@@ -199,21 +203,21 @@
         return message_sections.encode(sections, codec.SECTION_BYTES)
 
     def _wanted_quota(self, now: float) -> list[tuple[int, float]]:
-        """Pots that are short, and by how much."""
+        """Returns the budgets that lack quota, and the amounts."""
         return [row for row in self.decisions.wanted_quota(now) if self._may_transfer(row[0])]
 
     def _rotate(self, rows: list, limit: int) -> list:
-        """So many of the rows, others each time."""
+        """Returns a limited number of rows, different ones on each call."""
         if len(rows) <= limit:
             return rows
         self.rotation += 1
         first = self.rotation * limit % len(rows)
         return (rows + rows)[first : first + limit]
 
-    # ---- what is heard
+    # ---- receiving
 
     def _apply_answer(self, now: float, heard: AnswerReceived, sections: MessageSections) -> None:
-        """The answer to a question of this node's: what it says was so after the question was sent."""
+        """Uses an answer to a request of this node; its content is dated from the time of the request."""
         if self.features.prior:
             for host, load_ratio, age in sections.loads:
                 if (observed_at := heard.asked_at - age) > now - LOAD_VALIDITY_MS:
@@ -228,7 +232,7 @@
                 if reason is not None:
                     self.swim.drop(reason)
 
-    # ---- loans
+    # ---- quota transfers
 
     def _may_transfer(self, budget: int) -> bool:
         return self.features.room if budget == SHARED_ROOM_BUDGET else self.features.cold
@@ -263,7 +267,7 @@
         else:
             self.swim.record_answer(now, message.sender, asked_at)
 
-    # ---- in its turn
+    # ---- periodic work
 
     def _run_periodic(self, now: float) -> list[Send]:
         if now >= self.next_judgement_at:
@@ -286,7 +290,7 @@
         ]
 
     def _report_overload(self, now: float) -> list[Send]:
-        """Acts on what was told, at a moment of its own; tells the own looks that show a host past full."""
+        """Acts on confirmed overloads that are due; reports overloaded hosts observed by this node."""
         for host in [h for h, (at, _) in self.pending_relief.items() if now >= at]:
             self.decisions.relieve_overloaded_host(now, host, self.pending_relief.pop(host)[1])
         overloaded = self.decisions.overloaded_hosts(now, self.observed_until)
@@ -319,7 +323,7 @@
         rows = recent_observations(now, self.overload_witnesses.get(host, {}))
         rows[member] = load_ratio, now - age
         self.overload_witnesses[host] = rows
-        # Danger: one node that sees wrongly would move connections of all; two have to see it.
+        # A single node with a wrong observation must not move the sessions of all nodes; two must agree.
         if len(rows) >= OVERLOAD_WITNESSES and host not in self.pending_relief:
             confirmed_ratio = sorted((x for x, _ in rows.values()), reverse=True)[OVERLOAD_WITNESSES - 1]
             self.pending_relief[host] = now + OVERLOAD_SPREAD_MS * self.swim._random(), confirmed_ratio
@@ -336,18 +340,18 @@
             self.decisions.set_sender_count(self._effective_senders(now))
 
     def _effective_senders(self, now: float) -> float | None:
-        """So many nodes like this one would send what all do together; None where too few have told."""
+        """Returns how many nodes like this one would send what all send; None if too few have reported."""
         others, known = self.counters.rate(now, DIALS_STARTED, self.swim.me)
         own = self.counters.own_rate(DIALS_STARTED, self.swim.me, self.swim.life[self.swim.me])
         if known < MIN_REPORTING_MEMBERS or not own:
             return None
-        # those that have told nothing yet are taken for like the ones that have, silent ones for nothing
+        # members without a report yet count as the average, silent ones do not count
         return 1 + others / known * max(len(self.swim.alive()), known) / own
 
-    # ---- what is shown
+    # ---- metrics
 
     def lines(self, now: float) -> list[str]:
-        """Figures for `caperdeck peers show`."""
+        """Returns the metrics for `caperdeck peers show`."""
         swim = self.swim
         direct, heard_of = swim.count_heard(now, HEARD_WITHIN_MS)
         states = {s.name.lower(): sum(x is s for x in swim.state) for s in codec.MemberState}
@@ -374,9 +378,10 @@
 
 
 def recent_observations(now: float, rows: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
+    """Returns the observations that are still valid."""
     return {member: row for member, row in rows.items() if now - row[1] <= OVERLOAD_VALIDITY_MS}
 
 
 def life_from(unix_ms: float) -> int:
-    """A life that grows with time: tenths of a second since 2026."""
+    """Returns a life that grows with time: tenths of a second since 2026."""
     return max(int((unix_ms - 1_767_225_600_000.0) / 100.0), 1) & 0x7FFFFFFF if math.isfinite(unix_ms) else 1
