--- a/tests/held_instance.py
+++ b/tests/held_instance.py
@@ -1,9 +1,9 @@
-"""An instance that stands still between a commit and its first word of it to a watcher, when ordered to.
+"""An owner instance that suspends itself between a commit and the first message about it to a watcher.
 
     python tests/held_instance.py CONFIG ORDER
 
-The program's own instance. Once the file ORDER exists, with a revision in it, the first message to a watcher
-that would tell of that revision is not written: the process creates ORDER.held and stops itself (SIGSTOP).
+Runs the program's own instance. Once the file ORDER exists and contains a revision, the first message to a
+watcher about that revision is not written: the process creates ORDER.held and stops itself (SIGSTOP).
 """
 
 import os
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,6 @@
-"""Leases: the table that is agreed on, both sides of time, the fence, and every order of their steps."""
+"""Leases: the replicated table, expiry at holder and leader, fencing, and the exploration of every order of
+steps.
+"""
 
 import pytest
 
@@ -15,7 +17,7 @@
     return table.apply({"do": "acquire", "work": work, "holder": holder, "span": SPAN})
 
 
-def test_a_token_grows_with_every_grant_also_over_a_snapshot_and_for_other_works():
+def test_tokens_increase_with_each_grant_across_works_and_snapshots():
     t = LeaseTable()
     tokens = [acquire(t)["token"], acquire(t, work="v")["token"]]
     t.apply({"do": "give", "work": "w", "token": tokens[0]})
@@ -40,7 +42,7 @@
     ({"do": "acquire", "holder": "b", "span": 1.0}, "bad-span"),
     ({"do": "fly"}, "unknown-command"),
 ])  # fmt: skip
-def test_what_is_not_taken_has_its_reason_and_changes_nothing(command, answer):
+def test_a_refused_command_has_a_reason_and_changes_nothing(command, answer):
     t = LeaseTable()
     acquire(t)
     before = repr(t.dump())
@@ -48,16 +50,16 @@
 
 
 @pytest.mark.parametrize("command", [None, [], {"do": "acquire"}, {"do": "acquire", "work": 5}])
-def test_a_command_without_a_work_is_none(command):
+def test_a_command_without_a_work_is_refused(command):
     assert LeaseTable().apply(command) == {"no": "no-work-named"}
 
 
-def test_works_are_bounded():
+def test_the_number_of_works_is_limited():
     t = LeaseTable()
     assert [acquire(t, work=f"w{i}").get("no") for i in range(MAX_WORKS + 1)][-1] == "too-many-works"
 
 
-def test_what_an_owner_saved_is_what_the_next_one_goes_on_from():
+def test_the_next_holder_gets_the_saved_state():
     t = LeaseTable()
     token = acquire(t)["token"]
     assert t.apply({"do": "save", "work": "w", "token": token, "state": "half"}) == {"ok": True}
@@ -65,7 +67,7 @@
     assert acquire(t, "b")["state"] == "half"
 
 
-def test_work_that_is_handed_over_is_kept_for_its_heir_until_that_one_does_not_come():
+def test_work_handed_over_is_reserved_for_the_heir_for_one_span():
     t = LeaseTable()
     monitor = LeaseExpiryMonitor(t, 0.0)
     t.apply({"do": "hand", "work": "w", "token": acquire(t)["token"], "to": "b"})
@@ -76,7 +78,7 @@
     assert acquire(t, "c")["ok"]
 
 
-def test_a_lease_counts_from_before_it_was_asked_for_and_ends_before_others_may_have_it():
+def test_a_lease_counts_from_its_request_and_ends_before_others_can_acquire_it():
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     answer = t.apply(h.next_command(0.0))
     monitor = LeaseExpiryMonitor(t, 1.0)
@@ -88,22 +90,22 @@
     )
 
 
-def test_an_answer_that_comes_past_the_end_gives_nothing():
+def test_an_answer_after_the_expiry_grants_nothing():
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.handle_answer(SPAN, 0.0, t.apply(h.next_command(0.0)))
     assert not h.may_act(SPAN) and h.token == 0
 
 
-def test_a_holder_that_slept_past_the_end_does_not_renew():
-    """Renewed in time by the table's count, it would go on with a lease that another may have had between."""
+def test_a_holder_suspended_past_the_expiry_does_not_renew():
+    """The table still counts the lease as renewed in time, but another holder may have had it in between."""
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.handle_answer(0.0, 0.0, t.apply(h.next_command(0.0)))
     assert h.next_command(100.0) is None and h.next_command(400.0)["do"] == "renew"
     assert h.next_command(5000.0)["do"] == "acquire" and h.loss_reason == "ended"
 
 
-def test_a_renewal_that_is_answered_past_the_end_gives_nothing_back():
-    """On the rig it gave the census back to its owner without its state, and shares passed the whole."""
+def test_a_renewal_answered_after_the_expiry_does_not_revive_the_lease():
+    """It revived the lease of the census without the saved state, and shares exceeded the whole."""
     h, t = LeaseHolder("w", "a", SPAN), LeaseTable()
     h.handle_answer(0.0, 0.0, t.apply(h.next_command(0.0)))
     t.apply({"do": "save", "work": "w", "token": 1, "state": "far"})
@@ -115,8 +117,8 @@
     assert h.token == 2 and h.state == "far"
 
 
-def test_an_operator_ends_a_lease_that_goes_on_being_renewed():
-    """By the count of renewals that was read before, each renewal under way would save it."""
+def test_an_operator_can_end_a_lease_that_is_still_renewed():
+    """An expire command names a count of renewals, so each renewal in flight would save the lease."""
     t = LeaseTable()
     acquire(t)
     t.apply({"do": "renew", "work": "w", "token": 1})
@@ -126,23 +128,23 @@
     assert acquire(t, "b")["token"] == 2
 
 
-def test_a_new_leader_waits_a_whole_span_before_it_ends_a_lease():
+def test_a_new_leader_waits_a_whole_span_before_it_expires_a_lease():
     t = LeaseTable()
     acquire(t)
     monitor = LeaseExpiryMonitor(t, 50_000.0)
     assert monitor.check(50_000.0 + SPAN) == []
     t.apply({"do": "renew", "work": "w", "token": 1})
-    assert monitor.check(50_000.0 + 2 * SPAN) == []  # renewed since
+    assert monitor.check(50_000.0 + 2 * SPAN) == []  # renewed since the last check
 
 
-def test_a_fence_takes_no_older_token_and_counts_what_it_refuses():
+def test_a_fence_refuses_and_counts_older_tokens():
     f = Fence({})
     assert [f.check("w", t) for t in (3, 3, 2, 5, 4)] == [None, None, "older-token", None, "older-token"]
     assert f.check("v", 1) is None and f.check("w", 0) == "no-token" and f.check("", 9) == "bad-name"
     assert f.refused == {"older-token": 2, "no-token": 1, "bad-name": 1}
 
 
-def test_a_target_without_memory_asks_before_it_takes_a_token():
+def test_a_target_without_memory_looks_up_the_token_first():
     f = Fence()
     assert f.check("w", 7) == "asks-first"
     f.record_token("w", 8)
@@ -150,10 +152,12 @@
     assert Fence({"w": 8}).check("w", 7) == "older-token"
 
 
-# ---- every order of steps
+# ---- exploration of every order of steps
 
 
-class CountsFromTheAnswer(LeaseHolder):
+class CountsFromAnswer(LeaseHolder):
+    """Counts the lease from the answer instead of the request."""
+
     def handle_answer(self, now, requested_at, answer):
         super().handle_answer(now, now, answer)
 
@@ -163,7 +167,7 @@
         return None
 
 
-class TakesTheFirst(Fence):
+class AcceptsFirstToken(Fence):
     def _check(self, work, token):
         return "older-token" if token < self.highest.get(work, 0) else None
 
@@ -178,17 +182,19 @@
     {}, {"deaths": 1, "ticks": 2}, {"deaths": 1, "ticks": 2, "disk": True},
     {"rates": (0.96, 1.04, 1.0)}, {"rates": (2.0, 0.5, 1.0)}, {"snapshots": 1, "ticks": 2},
 ])  # fmt: skip
-def test_no_order_of_steps_breaks_what_must_hold(changes):
-    """Clocks far past the stated drift too: then two may hold, and the tokens still go up at the target."""
+def test_no_order_of_steps_breaks_the_invariants(changes):
+    """Includes clocks beyond the stated drift: then two holders may coexist, but tokens still increase at the
+    target.
+    """
     assert explore(LeaseModel(**{"ticks": 3, "asks": 2, "acts": 1, "deaths": 0} | changes)) > 100
 
 
 @pytest.mark.parametrize("changes, text", [
-    ({"holder": CountsFromTheAnswer}, "two owners"),
+    ({"holder": CountsFromAnswer}, "two owners"),
     ({"fence": ChecksNothing}, "is taken after"),
-    ({"fence": TakesTheFirst, "deaths": 1}, "is taken after"),
+    ({"fence": AcceptsFirstToken, "deaths": 1}, "is taken after"),
     ({"table": ReusesTokens, "snapshots": 1, "acts": 0}, "given twice"),
 ])  # fmt: skip
-def test_a_planted_fault_is_found(changes, text):
+def test_a_seeded_fault_is_found(changes, text):
     with pytest.raises(BrokenError, match=text):
         explore(LeaseModel(**{"ticks": 4, "asks": 2, "acts": 2, "deaths": 0} | changes))
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -1,4 +1,4 @@
-"""Owned work: the runner, a node as target, both works, and the census under torment."""
+"""Owned work: the runner, a node as the target, both works, and the census under random faults."""
 
 import orjson
 import pytest
@@ -33,8 +33,8 @@
 SPAN = 1000.0
 
 
-class Steps:
-    """A work of one act a turn, kept before each."""
+class StepWork:
+    """A work with one action per step, whose state is saved before each."""
 
     name = "steps"
     due = 0.0
@@ -55,114 +55,116 @@
         self.answers.append(reply)
 
 
-class Fleet:
-    """A table that is agreed on at once, and runners that ask it."""
+class RunnerHarness:
+    """A lease table that applies commands at once, and runners that use it."""
 
     def __init__(self):
-        self.table, self.acts = LeaseTable(), []
+        self.table, self.actions = LeaseTable(), []
 
     def runner(self, name, seed=1):
-        return Runner(Steps(), name, SPAN, seed)
+        return Runner(StepWork(), name, SPAN, seed)
 
-    def turn(self, runner, now, answers=True):
+    def run_tick(self, runner, now, answers=True):
         out = runner.tick(now)
         for x in out:
             if isinstance(x, Proposal) and answers:
                 runner.handle_result(now, x.session, x.serial, self.table.apply(x.command))
             elif isinstance(x, Action):
-                self.acts.append(x)
+                self.actions.append(x)
         return out
 
 
-def held(now=0.0):
-    fleet = Fleet()
-    runner = fleet.runner("o0")
-    fleet.turn(runner, now)
-    return fleet, runner
+def granted_runner(now=0.0):
+    harness = RunnerHarness()
+    runner = harness.runner("o0")
+    harness.run_tick(runner, now)
+    return harness, runner
 
 
-def test_an_act_waits_for_what_it_rests_on_and_carries_the_token():
-    fleet, runner = held()
-    fleet.turn(runner, 1.0)
-    assert fleet.acts == [Action("n0", {"step": 1}, 1)] and fleet.table.row("steps")["state"] is None
-    out = fleet.turn(runner, 2.0, answers=False)  # the state is on its way, and nothing else is done
-    assert [x.command["do"] for x in out] == ["save"] and fleet.turn(runner, 3.0) == []
-    runner.handle_result(4.0, STATE_SESSION, out[0].serial, fleet.table.apply(out[0].command))
-    fleet.turn(runner, 5.0)
-    assert [a.body["step"] for a in fleet.acts] == [1, 2]
+def test_an_action_waits_for_its_state_and_carries_the_token():
+    harness, runner = granted_runner()
+    harness.run_tick(runner, 1.0)
+    assert harness.actions == [Action("n0", {"step": 1}, 1)] and harness.table.row("steps")["state"] is None
+    out = harness.run_tick(
+        runner, 2.0, answers=False
+    )  # nothing else is done while the state is being committed
+    assert [x.command["do"] for x in out] == ["save"] and harness.run_tick(runner, 3.0) == []
+    runner.handle_result(4.0, STATE_SESSION, out[0].serial, harness.table.apply(out[0].command))
+    harness.run_tick(runner, 5.0)
+    assert [a.body["step"] for a in harness.actions] == [1, 2]
 
 
-def test_the_next_owner_goes_on_from_what_was_kept():
-    fleet, first = held()
+def test_the_next_owner_resumes_from_the_saved_state():
+    harness, first = granted_runner()
     for k in range(1, 6):
-        fleet.turn(first, float(k))
-    row = fleet.table.row("steps")
-    fleet.table.apply({"do": "expire", "work": "steps", "token": 1, "renewed": row["renewed"]})
-    second = fleet.runner("o1")
-    fleet.turn(second, 10.0)
-    fleet.turn(second, 11.0)
-    assert fleet.acts[-1].token == 2 and fleet.acts[-1].body["step"] == int(row["state"]) + 1
-
-
-def test_a_state_that_does_not_stand_ends_the_work():
-    fleet, runner = held()
-    fleet.turn(runner, 1.0)
-    (save,) = fleet.turn(runner, 2.0, answers=False)
+        harness.run_tick(first, float(k))
+    row = harness.table.row("steps")
+    harness.table.apply({"do": "expire", "work": "steps", "token": 1, "renewed": row["renewed"]})
+    second = harness.runner("o1")
+    harness.run_tick(second, 10.0)
+    harness.run_tick(second, 11.0)
+    assert harness.actions[-1].token == 2 and harness.actions[-1].body["step"] == int(row["state"]) + 1
+
+
+def test_a_refused_save_stops_the_work():
+    harness, runner = granted_runner()
+    harness.run_tick(runner, 1.0)
+    (save,) = harness.run_tick(runner, 2.0, answers=False)
     runner.handle_result(3.0, STATE_SESSION, save.serial, {"no": "older-token"})
     assert runner.token == 0 and RunnerEvent("lost", 1, reason="older-token") in runner.tick(4.0)
 
 
-def test_a_target_that_knows_a_newer_token_ends_the_work():
-    fleet, runner = held()
-    fleet.turn(runner, 1.0)
-    runner.handle_reply(2.0, fleet.acts[0], {"no": "asks-first"})
+def test_a_target_with_a_newer_token_stops_the_work():
+    harness, runner = granted_runner()
+    harness.run_tick(runner, 1.0)
+    runner.handle_reply(2.0, harness.actions[0], {"no": "asks-first"})
     assert runner.token == 1 and runner.work.answers == [None]
-    runner.handle_reply(2.0, fleet.acts[0], {"no": "older-token"})
+    runner.handle_reply(2.0, harness.actions[0], {"no": "older-token"})
     assert runner.token == 0 and runner.refused == {"asks-first": 1, "older-token": 1}
-    runner.handle_reply(2.0, fleet.acts[0], {"life": 1})
+    runner.handle_reply(2.0, harness.actions[0], {"life": 1})
     assert runner.work.answers == [None]
 
 
-def test_an_owner_that_slept_does_nothing_under_its_token():
-    """What it had under way is not taken either: another may have begun meanwhile."""
-    fleet, runner = held()
-    fleet.turn(runner, 1.0)
-    out = fleet.turn(runner, 5 * SPAN, answers=False)
+def test_an_owner_suspended_past_its_lease_does_nothing():
+    """Replies to actions in flight are ignored too: another instance may own the work by now."""
+    harness, runner = granted_runner()
+    harness.run_tick(runner, 1.0)
+    out = harness.run_tick(runner, 5 * SPAN, answers=False)
     assert RunnerEvent("lost", 1, reason="ended") in out and not any(isinstance(x, Action) for x in out)
-    runner.handle_reply(5 * SPAN, fleet.acts[0], {"life": 1})
+    runner.handle_reply(5 * SPAN, harness.actions[0], {"life": 1})
     assert runner.work.answers == []
 
 
-def test_a_renewal_under_way_when_the_lease_ends_gives_nothing_back():
-    """It would take the work up again from the state of its grant, behind what was done and told since."""
-    fleet, runner = held()
+def test_a_renewal_in_flight_at_the_expiry_does_not_revive_the_lease():
+    """It would restart the work from the state of its grant, behind what was done since."""
+    harness, runner = granted_runner()
     for k in range(1, 9):
-        fleet.turn(runner, float(k))
+        harness.run_tick(runner, float(k))
     (renew,) = [x for x in runner.tick(400.0) if isinstance(x, Proposal) and x.session == LEASE_SESSION]
-    answer = fleet.table.apply(renew.command)
+    answer = harness.table.apply(renew.command)
     runner.tick(SPAN)
     runner.handle_result(SPAN + 1, LEASE_SESSION, renew.serial, answer)
     assert runner.token == 0
-    fleet.turn(runner, runner.due)
-    assert runner.token == 2 and runner.work.done == int(fleet.table.row("steps")["state"])
+    harness.run_tick(runner, runner.due)
+    assert runner.token == 2 and runner.work.done == int(harness.table.row("steps")["state"])
 
 
-def test_a_proposal_without_an_answer_is_made_again_under_its_number():
-    runner = Fleet().runner("o0")
+def test_an_unanswered_proposal_is_resent_under_its_serial():
+    runner = RunnerHarness().runner("o0")
     first = runner.tick(0.0)
     assert runner.tick(50.0) == [] and runner.tick(100.0) == first
     runner.handle_result(
         150.0, LEASE_SESSION, first[0].serial, {"ok": True, "token": 1, "span": SPAN, "state": None}
     )
-    assert runner.holder.expires_at < SPAN  # counted from the first time of asking
-    late = Fleet().runner("o0")
+    assert runner.holder.expires_at < SPAN  # counted from the first request
+    late = RunnerHarness().runner("o0")
     (one,) = late.tick(0.0)
     (other,) = late.tick(SPAN)
     assert other.serial > one.serial
 
 
-def test_who_sees_the_work_held_asks_nothing_and_asks_once_it_is_free():
-    runner = Fleet().runner("o0")
+def test_no_request_is_sent_while_another_instance_holds_the_work():
+    runner = RunnerHarness().runner("o0")
     runner.held_elsewhere = True
     assert runner.tick(0.0) == [] and runner.due > 0.0
     runner.held_elsewhere = False
@@ -170,13 +172,14 @@
 
 
 @pytest.mark.parametrize("to, holder, heir", [(None, None, None), ("o1", None, "o1")])
-def test_work_is_given_back_or_handed_over(to, holder, heir):
-    fleet, runner = held()
-    assert fleet.runner("o1").give_up(to) == "not-held" and runner.give_up(to) is None
-    fleet.turn(runner, 1.0)
-    row = fleet.table.row("steps")
+def test_work_is_released_or_handed_over(to, holder, heir):
+    harness, runner = granted_runner()
+    assert harness.runner("o1").give_up(to) == "not-held" and runner.give_up(to) is None
+    harness.run_tick(runner, 1.0)
+    row = harness.table.row("steps")
     assert (row["holder"], row["heir"], runner.token) == (holder, heir, 0)
-    assert not any(isinstance(x, Proposal) for x in runner.tick(2.0))  # it does not take it again at once
+    # the lease is not acquired again at once
+    assert not any(isinstance(x, Proposal) for x in runner.tick(2.0))
 
 
 # ---- a node as the target
@@ -220,7 +223,7 @@
     (CENSUS, 6, share(3, 1.5), "bad-share"),
     (CENSUS, 6, share(True, 0.5), "bad-act"),
 ])  # fmt: skip
-def test_an_act_that_is_refused_changes_nothing_and_has_its_reason(work, token, body, reason):
+def test_a_refused_action_changes_nothing_and_has_a_reason(work, token, body, reason):
     t = target()
     assert "no" not in t.execute(0.0, HOSTS, 5, out("h0", number=2))
     assert "no" not in t.execute(0.0, CENSUS, 5, share(2, 0.2))
@@ -229,7 +232,7 @@
     assert (t.ejected_until, t.share, t.epoch, t.last_ejection) == before and t.refused == {reason: 1}
 
 
-def test_a_node_that_starts_takes_nothing_before_it_has_asked():
+def test_a_started_node_accepts_nothing_before_it_knows_the_token():
     t = Target(1, 4, list, list, bool, int)
     assert t.execute(0.0, CENSUS, 9, share(0, 0.0, 0)) == {"no": "asks-first"} and t.share == FLOOR_SHARE / 4
     t.fence.record_token(CENSUS, 10)
@@ -237,7 +240,7 @@
     assert "no" not in t.execute(0.0, CENSUS, 10, share(0, 0.0, 0))
 
 
-def test_a_host_is_back_by_itself_when_nobody_renews_it():
+def test_a_host_is_readmitted_if_its_ejection_is_not_renewed():
     t = target()
     t.execute(0.0, HOSTS, 1, out("h0", "h1"))
     t.execute(EJECTION_LEASE_MS / 2, HOSTS, 1, out("h1"))
@@ -247,17 +250,17 @@
     )
 
 
-def test_a_node_says_what_it_sees_of_hosts():
+def test_a_node_reports_its_view_of_hosts():
     said = target(ill=["h3"], well=["h2"]).execute(0.0, HOSTS, 1, out(ask=["h2", "h4"]))
     assert (said["ill"], said["well"], said["sound"], said["hosts"]) == (["h3"], ["h2"], True, 8)
     assert target(ill=None).execute(0.0, HOSTS, 1, out())["sound"] is False
 
 
-# ---- hosts turned out and back
+# ---- outlier ejection
 
 
 class Hosts:
-    """The work over nodes that see what they are told to."""
+    """The ejection work, with nodes that report what the test sets."""
 
     def __init__(self, nodes=4, state=None, now=0.0):
         self.names = [f"n{i}" for i in range(nodes)]
@@ -270,19 +273,19 @@
 
     def run(self, now, until):
         while now < until:
-            got = self.work.next_step(now)
-            if isinstance(got, SaveState):
-                self.state = got.state
+            result = self.work.next_step(now)
+            if isinstance(result, SaveState):
+                self.state = result.state
                 self.work.state_committed(now)
                 continue
-            for act in got:
+            for action in result:
                 reply = None
-                if act.target not in self.silent:
-                    seen = [u for u in self.ill[act.target] if u not in act.body["out"]]
-                    sound = self.ill[act.target] is not Hosts.everything
-                    well = [u for u in act.body["ask"] if u in self.well[act.target]]
+                if action.target not in self.silent:
+                    seen = [u for u in self.ill[action.target] if u not in action.body["out"]]
+                    sound = self.ill[action.target] is not Hosts.everything
+                    well = [u for u in action.body["ask"] if u in self.well[action.target]]
                     reply = {"life": 1, "sound": sound, "ill": seen, "well": well, "hosts": 8}
-                self.work.handle_reply(now, act.target, reply)
+                self.work.handle_reply(now, action.target, reply)
             now += 50.0
         return sorted(self.work.ejected_until)
 
@@ -293,11 +296,12 @@
     ({"n0": ["h5"], "n1": ["h5"]}, {}, (), ["h5"]),
     ({"n0": ["h5"]}, {}, (), []),
     ({"n0": ["h5"], "n1": ["h5"]}, {"n2": ["h5"], "n3": ["h5"]}, (), []),
-    ({"n0": ["h5"], "n1": ["h5"]}, {}, ("n2", "n3"), []),  # half of the nodes is no word of the fleet
+    ({"n0": ["h5"], "n1": ["h5"]}, {}, ("n2", "n3"), []),  # half of the nodes is no majority of the fleet
     ({"n0": Hosts.everything, "n1": ["h5"]}, {}, (), []),
-    ({n: ["h3", "h4", "h5", "h6"] for n in ("n0", "n1", "n2")}, {}, (), ["h3", "h4"]),  # a part at the most
+    # limited to a share of the hosts
+    ({n: ["h3", "h4", "h5", "h6"] for n in ("n0", "n1", "n2")}, {}, (), ["h3", "h4"]),
 ])  # fmt: skip
-def test_hosts_go_out_by_enough_of_the_fleet_and_a_part_at_the_most(ill, well, silent, gone):
+def test_ejection_needs_enough_votes_and_is_limited_to_a_share(ill, well, silent, gone):
     f = Hosts()
     f.ill |= ill
     f.well |= well
@@ -305,7 +309,7 @@
     assert f.run(0.0, REPORT_VALIDITY_MS + 2000) == gone and len(gone) <= MAX_EJECTED_SHARE * 8
 
 
-def test_a_host_comes_back_as_a_trial_and_goes_out_for_longer():
+def test_a_host_is_readmitted_on_trial_and_ejected_for_longer():
     f = Hosts()
     f.ill |= {"n0": ["h5"], "n1": ["h5"]}
     assert f.run(0.0, 3000) == ["h5"]
@@ -314,7 +318,7 @@
     assert f.work.ejected_until["h5"] - first > 1.9 * FIRST_EJECTION_MS
 
 
-def test_so_many_go_out_in_a_minute_whoever_owns_the_work():
+def test_ejections_per_minute_are_limited_across_owners():
     f = Hosts(nodes=3)
     f.ill |= {n: [f"h{i}" for i in range(8)] for n in ("n0", "n1", "n2")}
     f.run(0.0, FIRST_EJECTION_MS + 4000)
@@ -329,10 +333,10 @@
     assert sum(at > 0 for at in other.work.recent_ejections) == MAX_EJECTIONS_PER_MINUTE
 
 
-# ---- the census
+# ---- census
 
 
-def test_shares_follow_traffic_and_a_silent_node_keeps_its_own():
+def test_shares_follow_traffic_and_a_silent_node_keeps_its_share():
     world = walk(1, 0, nodes=3, owners=1)
     world.left |= {"tick": 100}
     world.grant(0)
@@ -361,42 +365,48 @@
 
 
 @pytest.mark.parametrize("nodes", [2, 3, 5])
-def test_no_order_of_steps_deals_out_more_than_the_whole(nodes):
+def test_no_order_of_steps_assigns_more_than_the_whole(nodes):
     reached = [walk(seed, 150, nodes=nodes, **MANY) for seed in range(600)]
     assert max(t.epoch for w in reached for t in w.nodes.values()) >= 4
 
 
-class GivesAwayWhatTheSilentHold(Census):
+class AssignsSharesOfSilentNodes(Census):
+    """Assigns shares that silent nodes still hold."""
+
     def _grow_shares(self):
         for node in self.nodes:
             if self.wanted_shares.get(node, 0.0) > self.held_shares[node]:
                 self.held_shares[node], self.dirty = self.wanted_shares[node], True
 
 
-class TakesAnyWordForTheLast(Census):
+class TakesAnyReportAsFinal(Census):
+    """Takes any report as final, not only one made under the current epoch."""
+
     def handle_reply(self, now, target, reply):
         super().handle_reply(now, target, reply)
         if reply is not None:
             self.held_shares[target] = reply["share"]
 
 
-class TellsWhatIsNotKept(Census):
+class SendsUncommittedShares(Census):
+    """Sends shares before they are committed."""
+
     def next_step(self, now):
-        got = super().next_step(now)
-        if isinstance(got, SaveState):
+        result = super().next_step(now)
+        if isinstance(result, SaveState):
             self.dirty = False
             return super().next_step(now)
-        return got
+        return result
 
 
-@pytest.mark.parametrize("kind", [GivesAwayWhatTheSilentHold, TakesAnyWordForTheLast, TellsWhatIsNotKept])
-def test_a_planted_fault_in_the_census_is_found(kind):
+@pytest.mark.parametrize("kind", [AssignsSharesOfSilentNodes, TakesAnyReportAsFinal, SendsUncommittedShares])
+def test_a_seeded_fault_in_the_census_is_found(kind):
     with pytest.raises(BrokenError, match="add up"):
         for seed in range(20_000):
             walk(seed, 150, nodes=2 + seed % 2, kind=kind, **MANY)
 
 
-def test_a_state_that_was_kept_is_read_back_whole():
+def test_a_saved_state_round_trips():
     c = Census(["a", "b"], 1)
     c.epoch, c.wanted_shares, c.held_shares["a"], c.living = 4, {"a": 0.5}, 0.5, 1
     d = Census(["a", "b", "c"], 1)
@@ -404,7 +414,7 @@
     assert (d.epoch, d.wanted_shares, d.living, d.held_shares["a"]) == (4, {"a": 0.5}, 1, 0.5)
 
 
-def test_a_node_that_the_file_names_no_more_is_gone_and_its_share_free():
+def test_the_share_of_a_node_that_was_removed_is_free():
     c = Census(["a", "b", "c", "d"], 1)
     c.epoch, c.wanted_shares, c.held_shares = (
         4,
@@ -425,22 +435,23 @@
 
 
 @given(states, st.integers(0, 1 << 40))
-def test_rows_read_back_no_share_held_as_less_and_none_wanted_as_more(nodes, epoch):
+def test_rows_never_lower_held_shares_or_raise_wanted_ones(nodes, epoch):
     want, held = ({n: pair[i] for n, pair in nodes.items()} for i in (0, 1))
     told = decode(_encode_rows(CensusState(epoch, 7, want, held)), nodes)
     assert (told.epoch, told.living, set(told.held_shares)) == (epoch, 7, set(nodes))
     assert all(-1e-15 <= told.held_shares[n] - held[n] < 1e-9 for n in nodes)
     assert all(-1e-15 <= want[n] - told.wanted_shares.get(n, 0.0) < 1e-9 for n in nodes)
-    assert decode(encode(CensusState(epoch, 7, want, held)), nodes) == (epoch, 7, want, held)  # by name
+    # in the format of names
+    assert decode(encode(CensusState(epoch, 7, want, held)), nodes) == (epoch, 7, want, held)
 
 
-def test_the_census_of_the_most_nodes_fits_with_the_longest_names():
+def test_the_census_of_the_maximum_of_nodes_fits_with_longest_names():
     names = [f"{i:064}" for i in range(MAX_NODES)]
     whole = CensusState(1 << 53, MAX_NODES, {}, dict.fromkeys(names, 1.0))
     assert MAX_NODES >= 3650 and len(_encode_rows(whole)) <= MAX_STATE_LENGTH
     few = CensusState(3, 2, {"a": 0.5}, {"a": 0.5})
     assert orjson.loads(encode(few)) == {"epoch": 3, "want": {"a": 0.5}, "living": 2, "held": {"a": 0.5}}
-    # an older program, for which what is not there is a fleet at its floors, must not read the other form
+    # An older version takes missing names for nodes at their floor, so it must fail to read the rows.
     assert orjson.loads(_encode_rows(few))["want"] is None
 
 
@@ -454,7 +465,7 @@
     (ROWS | {"rows": "\""}, "bad-rows"), (ROWS | {"rows": 5}, "bad-rows"),
     (ROWS | {"rows": ROWS["rows"][:-3]}, "rows-cut-short"), (ROWS | {"rows": 13 * 10 * "0"}, "a-row-twice"),
 ])  # fmt: skip
-def test_a_state_that_cannot_be_read_is_no_state_and_its_work_is_left_to_others(state, reason):
+def test_work_with_an_unreadable_state_is_left_to_others(state, reason):
     text = (state if isinstance(state, bytes) else orjson.dumps(state)).decode()
     with pytest.raises(StateError, match=f"^{reason}$"):
         decode(text, ["a"])
@@ -466,10 +477,11 @@
         runner.handle_result(0.0, out.session, out.serial, table.apply(out.command))
     assert runner.tick(1.0) == [RunnerEvent("lost", 2, reason=f"state-{reason}")]
     assert not runner.token and runner.refused == {f"state-{reason}": 1}
-    assert not runner.tick(3 * SPAN) and runner.tick(5 * SPAN)  # asks again, once others had the time to
+    # retries once others had time to acquire the lease
+    assert not runner.tick(3 * SPAN) and runner.tick(5 * SPAN)
 
 
-def test_many_nodes_are_dealt_the_whole_with_a_bounded_number_of_looks_at_all(monkeypatch):
+def test_many_nodes_get_the_whole_with_a_bounded_number_of_reviews(monkeypatch):
     size, seconds, looks = 1200, 8, 0
     names = [f"n{i}" for i in range(size)]
     census, heard = Census(names, 1), RoundScheduler.recent_replies
@@ -483,26 +495,28 @@
     nodes = {n: Target(i + 1, size, list, list, lambda uid: False, lambda: 0) for i, n in enumerate(names)}
     for node in nodes.values():
         node.fence.record_token(CENSUS, 1)
-    acts = kept = 0
+    actions = kept = 0
     for now in range(0, seconds * 1000, 2):
-        got = census.next_step(float(now))
-        if isinstance(got, SaveState):
-            assert len(got.state) <= MAX_STATE_LENGTH
+        result = census.next_step(float(now))
+        if isinstance(result, SaveState):
+            assert len(result.state) <= MAX_STATE_LENGTH
             kept += 1
             census.state_committed(float(now))
             continue
-        acts += len(got)
-        for act in got:
-            census.handle_reply(float(now), act.target, nodes[act.target].execute(now, CENSUS, 1, act.body))
+        actions += len(result)
+        for action in result:
+            census.handle_reply(
+                float(now), action.target, nodes[action.target].execute(now, CENSUS, 1, action.body)
+            )
     assert sum(n.share for n in nodes.values()) == pytest.approx(1.0, abs=1e-6)
-    assert {n.living for n in nodes.values()} == {size} and acts > size * (seconds - 2)
+    assert {n.living for n in nodes.values()} == {size} and actions > size * (seconds - 2)
     assert looks + kept < (REVIEWS_PER_ROUND + 10) * seconds * 1.3
 
 
-def test_a_wish_ends_with_its_lease():
-    fleet, runner = held()
+def test_a_requested_handover_ends_with_its_lease():
+    harness, runner = granted_runner()
     runner.give_up(None)
     runner.tick(5 * SPAN)
-    fleet.turn(runner, runner.due)
-    fleet.turn(runner, runner.due)
+    harness.run_tick(runner, runner.due)
+    harness.run_tick(runner, runner.due)
     assert runner.token == 2
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Instances as processes: their file, frames, a disk that fails, commands, and the rig's rounds of faults."""
+"""Owner instances as processes: configuration, frames, disk failures, commands, runs with random faults."""
 
 import os
 import signal
@@ -47,7 +47,7 @@
 }  # fmt: skip
 
 
-def kept(where, **changes):
+def write_config(where, **changes):
     path = where / "owner.toml"
     path.write_text(tomli_w.dumps({k: v for k, v in (FILE | changes).items() if v is not None}))
     return str(path)
@@ -73,17 +73,17 @@
     ({"span": 0}, "span"), ({"span": float("nan")}, "span"), ({"span": float("inf")}, "span"),
     ({"span": 500.0}, "renewals"), ({"span": "1"}, "span"), ({"span": True}, "span"),
 ])  # fmt: skip
-def test_a_file_that_cannot_be_used_names_the_key(changes, where, tmp_path):
+def test_an_unusable_configuration_names_the_key(changes, where, tmp_path):
     with pytest.raises(OwnerError, match=where):
-        load_instance(kept(tmp_path, **changes))
+        load_instance(write_config(tmp_path, **changes))
 
 
-def test_the_files_under_deploy_can_be_used():
+def test_the_files_under_deploy_are_valid():
     assert load_instance(str(ROOT / "deploy/owner.toml")).instances.keys() == {0, 1, 2}
     assert len(load_owners(str(ROOT / "deploy/owners.toml")).instances) == 3
 
 
-def test_a_node_without_a_second_address_has_no_owners(tmp_path):
+def test_a_node_without_an_admin_address_has_no_owners(tmp_path):
     from caperdeck.lifecycle.config import load_config
 
     config = load_config(write(tmp_path / "c", CONFIG))
@@ -94,13 +94,13 @@
 # ---- frames
 
 
-def net(received):
+def make_net(received):
     reactor = MemoryReactorClock()
     return Net(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
                lambda body, then: then({"echo": body}), lambda: 0.5)  # fmt: skip
 
 
-def opened(n):
+def open_connection(n):
     conn, wire = n.buildProtocol(None), StringTransport()
     wire.setTcpNoDelay = lambda on: None
     wire.getHandle = lambda: socket.socket()
@@ -109,38 +109,38 @@
     return conn, wire
 
 
-def framed(data):
+def prefixed(data):
     return struct.pack("!I", len(data)) + data
 
 
 @pytest.mark.parametrize("data, reason", [
-    (framed(b"{"), "no-json"), (framed(b"[1]"), "no-frame"),
-    (framed(encode(TakeOver(1, 1), "other")), "other-cluster"),
-    (framed(orjson.dumps([2, "t", "takeover", [1, 1]])), "other-version"),
-    (framed(encode(TakeOver(1, 0), "t")), "own-name"),
-    (framed(encode(TakeOver(1, 7), "t")), "unknown-instance"),
-    (framed(frame("t", "dance", [])), "unknown-kind"), (framed(frame("t", "call", [1])), "wrong-fields"),
-    (framed(frame("t", "takeover", [1 << 60, 1])), "impossible-number"), (b"\xff\xff\xff\xff", "too-long"),
+    (prefixed(b"{"), "no-json"), (prefixed(b"[1]"), "no-frame"),
+    (prefixed(encode(TakeOver(1, 1), "other")), "other-cluster"),
+    (prefixed(orjson.dumps([2, "t", "takeover", [1, 1]])), "other-version"),
+    (prefixed(encode(TakeOver(1, 0), "t")), "own-name"),
+    (prefixed(encode(TakeOver(1, 7), "t")), "unknown-instance"),
+    (prefixed(frame("t", "dance", [])), "unknown-kind"), (prefixed(frame("t", "call", [1])), "wrong-fields"),
+    (prefixed(frame("t", "takeover", [1 << 60, 1])), "impossible-number"), (b"\xff\xff\xff\xff", "too-long"),
 ])  # fmt: skip
-def test_a_frame_that_is_none_ends_its_connection_and_is_counted(data, reason):
+def test_an_invalid_frame_closes_its_connection_and_is_counted(data, reason):
     received = []
-    n = net(received)
-    conn, wire = opened(n)
+    n = make_net(received)
+    conn, wire = open_connection(n)
     conn.dataReceived(data)
     assert n.dropped == {reason: 1} and wire.disconnecting and received == []
 
 
-def test_a_message_comes_in_and_a_call_is_answered():
+def test_a_message_is_received_and_a_call_is_answered():
     received = []
-    n = net(received)
-    conn, wire = opened(n)
-    conn.dataReceived(framed(encode(TakeOver(3, 1), "t")) + framed(frame("t", "call", [9, "x"])))
-    assert received == [TakeOver(3, 1)] and wire.value() == framed(frame("t", "reply", [9, {"echo": "x"}]))
+    n = make_net(received)
+    conn, wire = open_connection(n)
+    conn.dataReceived(prefixed(encode(TakeOver(3, 1), "t")) + prefixed(frame("t", "call", [9, "x"])))
+    assert received == [TakeOver(3, 1)] and wire.value() == prefixed(frame("t", "reply", [9, {"echo": "x"}]))
 
 
-def test_what_cannot_go_out_is_dropped_and_a_call_has_no_answer():
-    """Kept for one that sleeps, it would grow without end."""
-    n, answers = net([]), []
+def test_unsendable_messages_are_dropped_and_calls_get_no_answer():
+    """Output that is kept for a suspended instance would grow without limit."""
+    n, answers = make_net([]), []
     n.send(1, TakeOver(1, 0))
     n.ask(1, {}, answers.append)
     assert answers == [None] and n.dropped == {"unsent": 1}
@@ -161,40 +161,40 @@
     (b'ACK {"life":1}', {"life": 1}), (b"NAK older-token", {"no": "older-token"}), (b"ACK", None),
     (b"ACK [1]", None), (b"hello", None), (b"", None),
 ])  # fmt: skip
-def test_a_nodes_answer_is_read_whole_or_not_at_all(line, answer):
+def test_an_answer_of_a_node_is_parsed_completely_or_not_at_all(line, answer):
     assert read_answer(line) == answer
 
 
-def link_up(reactor):
-    """The connection that was opened last, up."""
+def complete_connection(reactor):
+    """Completes the connection that was opened last."""
     conn = reactor.tcpClients[-1][2].buildProtocol(None)
     wire = Wire()
     conn.makeConnection(wire)
     return conn, wire
 
 
-def test_acts_at_a_node_go_over_one_connection_and_each_has_the_answer_in_its_turn():
+def test_actions_share_a_connection_and_get_answers_in_order():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1), "n1": ("127.0.0.1", 2)})
     links.send("n0", b"act census 7 {}\n", said.append)
     links.send("n0", b"act hosts 9 {}\n", said.append)
-    conn, wire = link_up(reactor)
+    conn, wire = complete_connection(reactor)
     conn.dataReceived(b'ACK {"life":1}\r\nNAK older')
     conn.dataReceived(b"-token\r\n")
     links.send("n0", b"act census 7 {}\n", said.append)
     assert wire.value() == b"act census 7 {}\nact hosts 9 {}\nact census 7 {}\n"
     assert said == [{"life": 1}, {"no": "older-token"}] and len(reactor.tcpClients) == 1
-    conn.connectionLost(Failure(ConnectionDone()))  # as by a node that was idle, or of an older program
+    conn.connectionLost(Failure(ConnectionDone()))  # like a node that was idle or runs an older version
     assert said[2:] == [None]
     links.send("n0", b"act census 7 {}\n", said.append)
     assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.closed
 
 
-def test_after_an_answer_that_did_not_come_in_time_no_later_one_is_taken_for_another():
+def test_a_late_answer_is_not_taken_for_the_next_action():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1)})
     links.send("n0", b"act census 7 {}\n", said.append)
-    conn, wire = link_up(reactor)
+    conn, wire = complete_connection(reactor)
     reactor.advance(ANSWER_TIMEOUT_S / 2)
     links.send("n0", b"act hosts 9 {}\n", said.append)
     reactor.advance(ANSWER_TIMEOUT_S)
@@ -204,8 +204,8 @@
     assert said == [None, None] and len(reactor.tcpClients) == 2
 
 
-def test_a_node_keeps_the_connection_of_an_owner_for_as_long_as_acts_come(tmp_path):
-    d, service, owned = owned_node(tmp_path)
+def test_a_node_keeps_an_owners_connection_while_actions_arrive(tmp_path):
+    d, service, owned = make_owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest, keeps=True)
     front = Front(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), Wire()
@@ -216,7 +216,7 @@
         d.reactor.advance(PATIENCE - 1)
     conn.dataReceived(line + line.replace(b" 1 ", b" 0 "))
     assert [answer[:5] for answer in wire.lines()] == [b"ACK {"] * 4 + [b"NAK n"] and not wire.ended
-    assert wire.producer is conn  # no act is read while answers are not
+    assert wire.producer is conn  # no further action is read while answers cannot be written
     d.reactor.advance(PATIENCE + 1)
     assert wire.ended == "reset"
     conn.dataReceived(b"")
@@ -224,14 +224,16 @@
     assert not front.open
 
 
-# ---- a disk that fails, two on one folder
+# ---- disk failures
 
 
-def test_an_instance_whose_disk_is_full_answers_nothing_more_and_says_so(tmp_path, monkeypatch):
+def test_an_instance_with_a_full_disk_stops_answering_and_reports_it(tmp_path, monkeypatch):
     from caperdeck.lifecycle.reactor import install_reactor
 
     reactor, ended, now = install_reactor(), [], [0.0]
-    config = load_instance(kept(tmp_path, folder=str(tmp_path / "d"), instances={"0": "127.0.0.1:7100"}))
+    config = load_instance(
+        write_config(tmp_path, folder=str(tmp_path / "d"), instances={"0": "127.0.0.1:7100"})
+    )
     with pytest.raises(StorageError, match="another instance"):
         first = Storage(config.folder, "t", 0, config_members(config))
         try:
@@ -240,8 +242,8 @@
             first.close()
     made = Instance(reactor, config, lambda: now[0], ended.append)
     monkeypatch.setattr("caperdeck.owner.instance.deferToThreadPool", at_once)
-    monkeypatch.setattr("caperdeck.raft.storage.os.fsync", full)
-    now[0] = 10_000.0  # alone, it elects itself, and cannot write that down
+    monkeypatch.setattr("caperdeck.raft.storage.os.fsync", raise_no_space)
+    now[0] = 10_000.0  # the only instance elects itself and cannot store its vote
     made.driver.tick()
     assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
     answers = []
@@ -263,14 +265,14 @@
     return maybeDeferred(do, *args)
 
 
-def full(fd):
+def raise_no_space(fd):
     raise OSError(28, os.strerror(28))
 
 
-# ---- a node as the target, over its second address
+# ---- a node as the target, on its admin address
 
 
-def owned_node(tmp_path):
+def make_owned_node(tmp_path):
     d = make_handler(hosts=8)
     service = service_over(d, tmp_path)
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
@@ -280,46 +282,47 @@
     return d, service, owned
 
 
-def act(owned, work, token, body):
+def execute(owned, work, token, body):
     said = []
     owned.act(work, str(token), orjson.dumps(body).decode(), said.append)
     return said[0][0]
 
 
-def turned(d, uid):
+def is_ejected(d, uid):
     return d.hosts.index_by_uid[uid] in d.balancer._node.banned
 
 
-def test_a_host_is_out_by_the_fleets_word_until_it_ends_or_by_hand(tmp_path):
-    d, service, owned = owned_node(tmp_path)
+def test_a_host_is_ejected_by_the_fleet_or_by_an_operator(tmp_path):
+    d, service, owned = make_owned_node(tmp_path)
     body = {"number": 1, "out": ["s-1", "s-9"], "ms": 2000, "ask": []}
-    assert act(owned, "hosts", 1, body).startswith("ACK {") and turned(d, "s-1")
-    service.ban_calls.include("s-1", lambda answer: None)  # an operator here cannot end the fleet's word, nor
-    assert turned(d, "s-1")
+    assert execute(owned, "hosts", 1, body).startswith("ACK {") and is_ejected(d, "s-1")
+    # a local operator cannot end an ejection by the fleet
+    service.ban_calls.include("s-1", lambda answer: None)
+    assert is_ejected(d, "s-1")
     service.ban_calls.exclude("s-2", lambda answer: None)
-    act(owned, "hosts", 1, body | {"number": 2, "out": []})  # the fleet's the operator's
-    assert not turned(d, "s-1") and turned(d, "s-2")
-    act(owned, "hosts", 1, body | {"number": 3})
+    execute(owned, "hosts", 1, body | {"number": 2, "out": []})  # nor the fleet one by the operator
+    assert not is_ejected(d, "s-1") and is_ejected(d, "s-2")
+    execute(owned, "hosts", 1, body | {"number": 3})
     d.reactor.advance(2.1)
-    assert not turned(d, "s-1") and act(owned, "hosts", 0, body) == "NAK no-token"
+    assert not is_ejected(d, "s-1") and execute(owned, "hosts", 0, body) == "NAK no-token"
 
 
-def test_what_lay_there_while_the_node_slept_is_refused(tmp_path):
-    d, _, owned = owned_node(tmp_path)
+def test_actions_queued_during_a_suspension_are_refused(tmp_path):
+    d, _, owned = make_owned_node(tmp_path)
     d.last_turn_at = d.clock()
     d.reactor.rightNow += 30.0
-    assert act(owned, "census", 1, {"epoch": 0, "share": 0.0, "living": 0, "nodes": 4}) == "NAK was-away"
+    assert execute(owned, "census", 1, {"epoch": 0, "share": 0.0, "living": 0, "nodes": 4}) == "NAK was-away"
 
 
 @pytest.mark.parametrize("token, body", [("x", "{}"), ("1", "{"), ("1", "[]"), ("1", "{}")])
-def test_an_act_that_cannot_be_read_is_refused(token, body, tmp_path):
-    _, _, owned = owned_node(tmp_path)
+def test_an_unreadable_action_is_refused(token, body, tmp_path):
+    _, _, owned = make_owned_node(tmp_path)
     said = []
     owned.act("hosts", token, body, said.append)
     assert said == [["NAK bad-act"]]
 
 
-def test_a_line_of_the_longest_lists_is_taken(tmp_path):
+def test_an_action_with_the_longest_lists_is_accepted(tmp_path):
     from caperdeck.leases.outlier_ejection import EJECTION_LEASE_MS, MAX_UID_CHARACTERS, truncate_uids
     from caperdeck.ops.admin_server import LONGEST_CALL
 
@@ -327,7 +330,7 @@
     body = {"number": 123456, "out": uids, "ms": EJECTION_LEASE_MS, "ask": uids}
     line = action_line("hosts", 1 << 40, body)
     assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= LONGEST_CALL
-    d, service, owned = owned_node(tmp_path)
+    d, service, owned = make_owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest)
     said = []
     service.calls.call(line.rstrip(b"\n"), said.append)
@@ -337,7 +340,7 @@
 # ---- processes
 
 
-def started(folder, count=3):
+def write_configs(folder, count=3):
     ports = free_ports(count + 1)
     made = []
     for i in range(count):
@@ -350,11 +353,11 @@
     return made, ports
 
 
-def owner(*words):
+def owner_command(*words):
     return [sys.executable, "-B", "-m", "caperdeck", "owner", *map(str, words)]
 
 
-def until(what, seconds=10.0):
+def wait_until(what, seconds=10.0):
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if got := what():
@@ -363,15 +366,16 @@
     raise AssertionError("not in its time")
 
 
-def test_commands_show_hand_over_and_release_what_instances_hold(tmp_path):
-    files, ports = started(tmp_path)
+def test_commands_show_hand_over_and_release_held_work(tmp_path):
+    files, ports = write_configs(tmp_path)
     processes = [
-        subprocess.Popen(owner("serve", f"--config={f}"), cwd=ROOT, stderr=subprocess.DEVNULL) for f in files
+        subprocess.Popen(owner_command("serve", f"--config={f}"), cwd=ROOT, stderr=subprocess.DEVNULL)
+        for f in files
     ]
 
     def say(*words):
-        done = subprocess.run(owner(*words, f"--config={files[0]}"), cwd=ROOT, capture_output=True, text=True,
-                              timeout=30, check=False)  # fmt: skip
+        done = subprocess.run(owner_command(*words, f"--config={files[0]}"), cwd=ROOT, capture_output=True,
+                              text=True, timeout=30, check=False)  # fmt: skip
         return done.returncode, done.stdout + done.stderr
 
     def held(work):
@@ -382,12 +386,12 @@
         return None
 
     try:
-        first = until(lambda: held("census"))
+        first = wait_until(lambda: held("census"))
         code, text = say("status")
         assert code == 0 and "leader" in text and "census: holder=" in text
         to = (first[0] + 1) % 3
-        watching = subprocess.Popen(owner("watch", "census", f"--config={files[0]}"), cwd=ROOT, text=True,
-                                    stdout=subprocess.PIPE)  # fmt: skip
+        watching = subprocess.Popen(owner_command("watch", "census", f"--config={files[0]}"), cwd=ROOT,
+                                    text=True, stdout=subprocess.PIPE)  # fmt: skip
         processes.append(watching)
         assert watching.stdout.readline().startswith("census holder=")
         assert say("hand-over", "census", f"o{to}")[0] == 0
@@ -395,23 +399,25 @@
         def handed():
             now = held("census")
             if now and now[0] != to and now[1] > first[1]:
-                # a machine so busy that the heir did not come in its time: open to all, and handed over anew
+                # on a busy machine the heir missed its time, so the lease was open to all
                 say("hand-over", "census", f"o{to}")
             return now and now[0] == to and now
 
-        second = until(handed, 20.0)
+        second = wait_until(handed, 20.0)
         assert second[1] > first[1]
         while f"holder=o{to}" not in watching.stdout.readline():
-            pass  # given back first, or another's for a while
+            pass  # released first, or held by another instance for a while
         assert say("release", "hosts") == (0, "ok=True\n")
         assert say("release", "bake")[0] == 1 and say("hand-over", "bake", "1")[0] == 1
         assert say("hand-over", "census", "x")[0] == 2 and say("remove", "7")[0] == 1
-        again_on_it = subprocess.run(owner("serve", f"--config={files[0]}"), cwd=ROOT, capture_output=True,
-                                     timeout=30, check=False)  # fmt: skip
+        again_on_it = subprocess.run(owner_command("serve", f"--config={files[0]}"), cwd=ROOT,
+                                     capture_output=True, timeout=30, check=False)  # fmt: skip
         assert again_on_it.returncode == 2 and b"another instance runs on it" in again_on_it.stderr
         assert say("remove", "2")[0] == 0
-        until(lambda: any((s := call_instance(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] ==
-                          [0, 1] for p in ports[:2]))  # fmt: skip
+        wait_until(lambda: any(
+            (s := call_instance(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] == [0, 1]
+            for p in ports[:2]
+        ))  # fmt: skip
         processes[0].send_signal(signal.SIGTERM)
         assert processes[0].wait(10) == 0
     finally:
@@ -420,14 +426,14 @@
             p.wait()
 
 
-def test_virtual_time_has_no_instances():
+def test_virtual_time_does_not_support_instances():
     from caperdeck.lab.virtual import VirtualFleet
 
     with pytest.raises(ScenarioError, match="owners"):
         VirtualFleet(load(str(ROOT / "caperdeck/lab/scenarios/owners/late.toml")))
 
 
-def played(scenario):
+def run_scenario(scenario):
     for _ in range(3):
         fleet = RealFleet(scenario)
         try:
@@ -445,22 +451,22 @@
 
 @pytest.fixture(scope="module")
 def runs():
-    """All runs with faults, a few at a time: by name of the scenario, and the rounds."""
+    """Runs all scenarios with faults, a few at a time; returns the results by name."""
     scenarios = {path.stem: load(str(path)) for path in sorted(FOLDER.glob("*.toml"))}
     scenarios |= {f"again-{i}": s for i, s in enumerate(ROUNDS)}
     with ThreadPoolExecutor(4) as pool:
-        jobs = {name: pool.submit(played, s) for name, s in scenarios.items()}
+        jobs = {name: pool.submit(run_scenario, s) for name, s in scenarios.items()}
         return {name: job.result() for name, job in jobs.items()}
 
 
 @pytest.mark.parametrize("name", [path.stem for path in sorted(FOLDER.glob("*.toml"))])
-def test_nothing_breaks_with_owners_on_bad_links_and_bad_clocks(name, runs):
+def test_invariants_hold_with_owners_on_faulty_links_and_clocks(name, runs):
     events, found = runs[name]
     assert found == [] and sum(e["ev"] == "acted" for e in events) > 20
     assert sum(e["ev"] == "renewed" for e in events) > 20
 
 
-def test_an_owner_that_wakes_after_two_grants_is_refused_where_it_acts(runs):
+def test_an_owner_resumed_after_two_grants_is_refused_by_the_target(runs):
     events, _ = runs["late"]
     refused = [e for e in events if e["ev"] == "refused-at" and e["reason"] == "older-token"]
     taken = [e for e in events if e["ev"] == "acted"]
@@ -471,21 +477,23 @@
     assert any(e["out"] == ["h7"] for e in taken) and taken[-1]["token"] > hosts[0]["token"]
 
 
-def test_acts_that_are_longer_on_the_wire_than_their_lease_are_refused(runs):
+def test_actions_delayed_past_their_lease_are_refused(runs):
     events, _ = runs["wire"]
     assert sum(e["ev"] == "refused-at" and e["reason"] == "older-token" for e in events) >= 2
 
 
-def test_in_a_storm_of_lost_messages_owners_seldom_change(runs):
+def test_owners_seldom_change_under_heavy_message_loss(runs):
     events, _ = runs["storm"]
     for work in ("hosts", "census"):
         owners = [e["holder"] for e in events if e["ev"] == "held" and e["work"] == work]
-        # in fifty seconds; the same one may be granted it anew as its renewals come too late
+        # within fifty seconds; the same instance may be granted the work again if its renewals are late
         assert sum(a != b for a, b in zip(owners, owners[1:], strict=False)) <= 2 and len(owners) <= 20
 
 
-def test_leaders_and_owners_fail_again_and_again(runs):
-    """Killed, stopped, cut off, stopped with an act in hand: forty-eight times in three runs."""
+def test_repeated_failures_of_leaders_and_owners_are_survived(runs):
+    """Instances are killed, suspended, cut off, and suspended with an action in flight: forty-eight times in
+    three runs.
+    """
     leads, owns = [], []
     for events, found in (runs[f"again-{i}"] for i in range(len(ROUNDS))):
         assert found == []
@@ -493,18 +501,18 @@
         times = took(events)
         leads += times[LEADER]
         owns += [x for role, rows in times.items() if role.startswith(HOLDER) for x in rows]
-        # each work went on: what was told at the end is what the last owner stands at
+        # each work made progress: the last actions carry the state of the last owner
         last = {e["work"]: e for e in events if e["ev"] == "acted"}
         assert last["census"]["epoch"] == max(e["epoch"] for e in events if e["ev"] == "acted")
         assert last["hosts"]["number"] == max(
             e["number"] for e in events if e["ev"] == "acted" and e["work"] == "hosts")  # fmt: skip
-    # the slowest one may be the machine's: several runs share it
+    # the slowest case may be due to the machine, which several runs share
     assert sorted(leads)[-2] < 2000 and sorted(owns)[-2] < 5000 and len(leads) >= 15 and len(owns) >= 9
 
 
-def test_with_no_quorum_nothing_is_granted_and_sessions_are_served(tmp_path):
+def test_without_a_quorum_nothing_is_granted_and_sessions_are_served(tmp_path):
     scenario = load_lost(tmp_path)
-    events, found = played(scenario)
+    events, found = run_scenario(scenario)
     assert found == []
     cut = next(e["t"] for e in events if e["ev"] == "fault")
     assert not [e for e in events if e["ev"] in ("grant", "held") and e["t"] > cut + 100]
@@ -524,7 +532,7 @@
     return load(str(path))
 
 
-# ---- planted faults in histories, each found by the checks
+# ---- seeded faults in histories, each found by the checks
 
 
 SLEPT, WOKE = ({"ev": "instance", "who": "o1", "state": state} for state in ("asleep", "awake"))
@@ -542,17 +550,18 @@
     ([SOUND[2] | {"token": 3}, SOUND[2]], "fence"),
     ([SOUND[2] | {"epoch": 2}, SOUND[2]], "census"),
     ([SOUND[2] | {"who": "n1", "living": 2}], "census"),
-    ([SOUND[2] | {"who": "n1"}], "census"),  # with the floor of the third the shares pass 1
+    ([SOUND[2] | {"who": "n1"}], "census"),  # with the floor of the third node the shares exceed 1
     ([SOUND[3] | {"number": 2, "out": ["h1", "h2", "h3"]}], "part"),
     ([SOUND[3] | {"who": "n1", "out": ["h2"]}], "step"),
     ([SOUND[3] | {"token": 3, "number": 0}], "step"),
     ([SOUND[1] | {"who": "o2", "holder": "o2", "token": 2}], "owner"),
     ([SLEPT, SOUND[1] | {"who": "o2", "holder": "o2", "token": 2}], None),
-    ([SLEPT, WOKE, SOUND[1] | {"who": "o2", "holder": "o2", "token": 2}], None),  # it has yet to look
+    # the instance has not checked its lease yet
+    ([SLEPT, WOKE, SOUND[1] | {"who": "o2", "holder": "o2", "token": 2}], None),
     ([SLEPT, WOKE, SOUND[1] | {"ev": "renewed"}, SOUND[1] | {"who": "o2", "holder": "o2", "token": 2}],
      "owner"),
 ])  # fmt: skip
-def test_a_history_that_breaks_what_must_hold_is_named(more, rule):
+def test_a_history_that_violates_an_invariant_is_reported(more, rule):
     scenario = again(1, 3, 1)
     events = [e | {"t": 1.0 + i} for i, e in enumerate(SOUND + more)]
     assert {b.rule for b in judge(scenario, events, CHECKS)} == ({rule} if rule else set())
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -1,4 +1,4 @@
-"""A node that shares: its file, its peers, its port, and what it shows; some with real processes."""
+"""A node that shares state with its peers: configuration, port and metrics, partly with real processes."""
 
 import json
 import os
@@ -37,7 +37,7 @@
     ("room = ", "no TOML"),
     (None, "No such file"),
 ])  # fmt: skip
-def test_a_bad_file_names_its_reason(text, reason, tmp_path):
+def test_an_invalid_file_names_the_reason(text, reason, tmp_path):
     path = tmp_path / "s.toml"
     if text is not None:
         path.write_text(text)
@@ -45,7 +45,7 @@
         load_uses(str(path))
 
 
-def test_the_operators_file_of_the_project_is_whole():
+def test_the_file_under_deploy_is_complete():
     assert load_uses("deploy/sharing.toml") == SharingFeatures(*[True] * len(SharingFeatures._fields))
 
 
@@ -58,13 +58,13 @@
     ([PEERS[0], PEERS[0]], PEERS[0], 0, "twice"),
     (PEERS * 2000, PEERS[0], 0, "over 4096"),
 ])  # fmt: skip
-def test_peers_that_cannot_be_used_have_a_reason(peers, listen, me, reason):
+def test_unusable_peers_have_a_reason(peers, listen, me, reason):
     with pytest.raises(PeersError, match=reason):
         parse_peers(peers, listen, me)
 
 
 class ComparedAddress(Address):
-    """Counts how often an address is compared with another."""
+    """An address that counts comparisons with others."""
 
     comparisons = 0
 
@@ -75,12 +75,12 @@
     __hash__ = Address.__hash__
 
 
-def test_members_with_one_address_are_not_heard_and_the_list_is_not_compared_with_itself():
+def test_members_with_a_shared_address_are_ignored_without_quadratic_comparisons():
     addresses = [ComparedAddress("10.0.0.1", 1000 + i) for i in range(2000)]
     addresses.append(ComparedAddress("10.0.0.1", 1000))
     ComparedAddress.comparisons = 0
     port = PeerPort(None, None, None, addresses)
-    # by hash: some addresses share the upper bits of their hash with others, and are compared with these
+    # Lookups are by hash; some addresses share the upper bits of their hash and are compared.
     assert ComparedAddress.comparisons < 10 * len(addresses)
     assert addresses[0] not in port.members
     assert port.members == {address: i for i, address in enumerate(addresses) if 0 < i < 2000}
@@ -90,15 +90,15 @@
     ({"peers": None}, "reason=unusable"),
     ({"settings": SETUP | {"me": 1}}, "reason=not-allowed"),
 ])  # fmt: skip
-def test_a_node_without_usable_peers_goes_on_alone(changes, line):
+def test_a_node_without_usable_peers_runs_alone(changes, line):
     d = make_handler()
     with logged() as lines:
         assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures()) is None
     assert line in lines[0]
 
 
-class Out:
-    """A datagram socket that keeps what is written."""
+class RecordingTransport:
+    """A datagram transport that records what is written."""
 
     def __init__(self):
         self.sent = []
@@ -109,20 +109,20 @@
         self.sent.append((data, address))
 
 
-class Socket:
+class StubSocket:
     def stopListening(self):
         pass
 
 
-def made_port(uses=SharingFeatures()):  # noqa: B008
+def make_test_port(uses=SharingFeatures()):  # noqa: B008
     d = make_handler()
     port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
-    port.transport, port.port = Out(), object()
+    port.transport, port.port = RecordingTransport(), object()
     return d, port
 
 
-def test_the_port_drops_rubbish_with_counted_reasons_and_a_line_a_second():
-    d, port = made_port()
+def test_invalid_datagrams_are_counted_and_logged_once_per_second():
+    d, port = make_test_port()
     with logged() as lines:
         for _ in range(2000):
             port.datagramReceived(b"x" * 300, ("127.0.0.1", 7001))
@@ -132,8 +132,8 @@
     assert 1 <= len(lines) <= 3 and "too-long=" in lines[-1] and port.transport.sent == []
 
 
-def test_the_port_pings_and_a_peer_that_is_down_costs_nothing():
-    d, port = made_port()
+def test_the_port_pings_peers_and_counts_failed_sends():
+    d, port = make_test_port()
     port._set_timer()
     for _ in range(400):
         d.reactor.advance(0.05)
@@ -141,11 +141,11 @@
     assert port.sharing.swim.dropped["unsent"] > 0
 
 
-def test_another_list_of_peers_opens_the_port_anew(tmp_path):
+def test_a_changed_list_of_peers_reopens_the_port(tmp_path):
     d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
     service.uses, service.takes = SharingFeatures(), True
-    d.reactor.listenUDP = lambda *_, **__: Socket()
+    d.reactor.listenUDP = lambda *_, **__: StubSocket()
     service.join()
     first = service.peers
     assert first.sharing.swim.members == 3
@@ -155,10 +155,10 @@
     assert service.peers is not first and service.peers.sharing.swim.members == 4 and first.port is None
 
 
-# ---- what the decisions tell and take
+# ---- interface to the decisions
 
 
-def shares(cold=False):
+def make_decisions(cold=False):
     d = make_handler()
     if cold:
         d.update_roster(True, [row("s-0"), row("s-1", port=9001, boot=d.clock() - 100)])
@@ -166,23 +166,23 @@
     return d, s, SharedIdDecisions(s, SharingFeatures(*[True] * len(SharingFeatures._fields)), d.report_event)
 
 
-def test_a_node_lends_half_of_the_room_that_it_saves_and_only_once_it_knows_it():
-    d, s, _ = shares()
+def test_a_node_lends_half_of_its_saved_room_once_the_room_is_known():
+    d, s, _ = make_decisions()
     assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 0.0
     s.node.part, s.node.rights.saved[ROOM_BUDGET] = 8.0, 8.0
     assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), ROOM_BUDGET, 1.0) == 1.0
 
 
-def test_a_lot_that_was_won_is_not_lent():
-    d, s, _ = shares(cold=True)
+def test_a_slot_that_was_won_is_not_lent():
+    d, s, _ = make_decisions(cold=True)
     s.node.unit = 1000.0
-    s.node.rights.settle(d.clock(), 2, 500.0)  # far over what is ever saved
+    s.node.rights.settle(d.clock(), 2, 500.0)  # far above the limit of saved quota
     assert s.node.cold == [1] and s.lend(d.clock(), 2, 500.0) == 0.0
     assert s.lend(d.clock(), 1, 500.0) == 0.0  # a warm host has no such budget
 
 
-def test_a_loan_of_a_cold_hosts_budget_stakes_on_the_next_lot_and_ends():
-    d, s, _ = shares(cold=True)
+def test_quota_borrowed_for_a_cold_host_counts_for_the_next_slot_and_expires():
+    d, s, _ = make_decisions(cold=True)
     n, now = s.node, d.clock()
     s.borrow(now, 2, 3.0, now + 500)
     assert n.rights.have(now, 2) == 3.0 and n.rights.have(now + 500, 2) == 0.0
@@ -190,8 +190,8 @@
     assert n.rights.have(now, 1) == 0.0
 
 
-def test_a_node_is_short_only_while_a_session_has_just_found_no_room():
-    d, s, m = shares()
+def test_quota_is_wanted_only_just_after_a_session_found_no_room():
+    d, s, m = make_decisions()
     n, now = s.node, d.clock()
     n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
     assert m.wanted_quota(now) == []
@@ -199,19 +199,19 @@
     assert m.wanted_quota(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wanted_quota(now + 1000) == []
 
 
-def test_a_told_figure_stands_in_for_the_mean_and_ends():
-    d, s, m = shares()
+def test_a_peer_load_replaces_the_mean_and_expires():
+    d, s, m = make_decisions()
     n, now = s.node, d.clock()
-    n.has_figures, n.mean_figure = True, 0.5  # there is a mean only where hosts tell figures
+    n.has_figures, n.mean_figure = True, 0.5  # there is a mean only if hosts report loads
     m.take_peer_load(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
     m.take_peer_load(now, n.stable_id[0], 0.1, now - 500)  # older
-    m.take_peer_load(now, 12345, 0.1, now)  # a host that this node's list does not name
+    m.take_peer_load(now, 12345, 0.1, now)  # a host that is not on this node's list
     assert n._load(now, 0) == 0.9 and n._load(now + 5000, 0) == 0.5
 
 
-def test_a_host_told_lost_is_not_looked_at_for_a_moment_unless_it_has_just_answered():
-    d, s, m = shares()
+def test_probes_of_a_host_reported_lost_are_postponed_unless_it_just_answered():
+    d, s, m = make_decisions()
     n, now = s.node, d.clock()
     n.seen_at = [now - 5000, now]
     for mark in n.stable_id[:2]:
@@ -219,13 +219,13 @@
     assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
 
 
-def test_two_hosts_with_one_mark_are_not_spoken_of():
-    d, s, m = shares()
+def test_two_hosts_with_one_stable_id_are_not_shared():
+    d, s, m = make_decisions()
     s.node.stable_id[:] = [7, 7]
     assert m.lend(d.clock(), 7, 1.0) == 0.0 and m._host(7) is None
 
 
-def test_a_life_grows_with_time_and_is_never_0():
+def test_a_life_increases_with_time_and_is_never_0():
     assert 0 < life_from(0.0) <= life_from(1.8e12) < life_from(1.8e12 + 1000) < 2**31
     assert life_from(float("nan")) == 1
 
@@ -250,7 +250,7 @@
     )  # fmt: skip
 
 
-def shown(capsys, port):
+def shown_metrics(capsys, port):
     assert show_peers(f"127.0.0.1:{port}") == 0
     return dict(line.rsplit(None, 1) for line in capsys.readouterr().out.splitlines())
 
@@ -262,7 +262,7 @@
         time.sleep(0.2)
 
 
-def test_three_nodes_show_who_is_alive_through_a_death_a_sleep_and_a_flood(tmp_path, capsys):
+def test_three_nodes_show_live_members_through_a_crash_a_suspension_and_a_flood(tmp_path, capsys):
     host = serve_lines(lambda line: b"PONG x0=0.2\r\n")
     settings = {"discovery": f"127.0.0.1:{serve_list(row('s-0', port=host))}"}
     numbers = free_ports(9)
@@ -271,27 +271,27 @@
     try:
         for port in ports:
             ping_until_ready(port, time.monotonic() + 20)
-        wait_for(lambda: shown(capsys, admin[0])["members_alive"] == "3")
+        wait_for(lambda: shown_metrics(capsys, admin[0])["members_alive"] == "3")
         nodes[1].kill()
         nodes[2].send_signal(signal.SIGSTOP)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as flood:
             for i in range(3000):
                 flood.sendto(b"rubbish" * (i % 30), ("127.0.0.1", numbers[6]))
         ping_until_ready(ports[0], time.monotonic() + 2)
-        wait_for(lambda: shown(capsys, admin[0])["members_alive"] == "1")
-        figures = shown(capsys, admin[0])
+        wait_for(lambda: shown_metrics(capsys, admin[0])["members_alive"] == "1")
+        figures = shown_metrics(capsys, admin[0])
         assert sum(int(v) for k, v in figures.items() if k.startswith("dropped_total")) >= 100
         nodes[2].send_signal(signal.SIGCONT)
         nodes[1].wait(5)
         nodes[1] = start(tmp_path, 1, ports, admin, peers, settings)
-        wait_for(lambda: shown(capsys, admin[0])["members_alive"] == "3")
-        assert shown(capsys, admin[0])["members_returned"] == "1"
+        wait_for(lambda: shown_metrics(capsys, admin[0])["members_alive"] == "3")
+        assert shown_metrics(capsys, admin[0])["members_returned"] == "1"
     finally:
         for node in nodes:
             node.kill()
             node.wait()
 
 
-def test_an_address_that_is_none_or_answers_nothing_has_its_code(capsys):
+def test_show_peers_returns_an_exit_code_for_a_bad_or_silent_address(capsys):
     assert show_peers("nowhere") == 2 and "nowhere" in capsys.readouterr().err
     assert show_peers(f"127.0.0.1:{free_ports(1)[0]}") == 1
