--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -23,7 +23,7 @@
 JUDGE_INTERVAL_MS = 500.0
 HEARD_WITHIN_MS = 30_000.0  # window of the heard-from counts of `lines`
 MAX_DATAGRAMS_PER_S = 200.0  # further datagrams are dropped unread
-SHARED_ROOM_BUDGET = 0  # id of the budget for the room of all hosts
+SHARED_HEADROOM_BUDGET = 0  # id of the budget for the room of all hosts
 DIALS_STARTED, DIALS_ENDED = 0, 1  # counted subjects of all hosts together
 COUNTER_ROWS, LOAD_ROWS, JUDGEMENT_ROWS, REQUEST_ROWS = 4, 10, 4, 4
 OVERLOAD_VALIDITY_MS = 1500.0  # validity of an observation of a host above full load
@@ -235,7 +235,7 @@
     # ---- quota transfers
 
     def _may_transfer(self, budget: int) -> bool:
-        return self.features.room if budget == SHARED_ROOM_BUDGET else self.features.cold
+        return self.features.room if budget == SHARED_HEADROOM_BUDGET else self.features.cold
 
     def _grant(
         self, now: float, message: Message, requests: list[tuple[int, float]],
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -121,14 +121,14 @@
         return [u for u, state in zip(hosts.uids, hosts.states, strict=True) if state is HostState.RUNNING]
 
     def _words(self) -> list:
-        return self.handler.balancer.fleet_state.words(self.handler.clock())
+        return self.handler.balancer.fleet_state.host_observations(self.handler.clock())
 
     def _ill(self) -> list[str] | None:
-        if self.handler.balancer.fleet_state.ill_everywhere(FAILING_SHARE_LIMIT):
+        if self.handler.balancer.fleet_state.sees_most_failing(FAILING_SHARE_LIMIT):
             return None
-        uids = [self.handler.hosts.uids[w.host] for w in self._words() if not w.well]
+        uids = [self.handler.hosts.uids[w.host] for w in self._words() if not w.reachable]
         return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
 
     def _well(self, uid: str) -> bool:
         h = self.handler.hosts.index_by_uid.get(uid)
-        return any(w.well and w.host == h for w in self._words())
+        return any(w.reachable and w.host == h for w in self._words())
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -289,7 +289,7 @@
 
 
 def is_ejected(d, uid):
-    return d.hosts.index_by_uid[uid] in d.balancer._node.banned
+    return d.hosts.index_by_uid[uid] in d.balancer._node.banned_at
 
 
 def test_a_host_is_ejected_by_the_fleet_or_by_an_operator(tmp_path):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -195,7 +195,7 @@
         and not lo.handler.sessions.by_index
         and lo.handler.metrics.relayed_requests == 0
     )
-    assert not any(lo.handler.balancer._node.held + lo.handler.balancer._node.dialing)
+    assert not any(lo.handler.balancer._node.connections + lo.handler.balancer._node.pending_dials)
 
 
 def test_no_dial_begins_for_a_client_whose_end_lies_there_as_the_timer_runs(loop):
@@ -210,7 +210,7 @@
         lo.reactor.settle()
     lo.reactor.settle()
     assert first == 0 and sum(peer.accept() for peer in lo.hosts) == 0 and not lo.handler.sessions.by_index
-    assert not any(lo.handler.balancer._node.held + lo.handler.balancer._node.dialing)
+    assert not any(lo.handler.balancer._node.connections + lo.handler.balancer._node.pending_dials)
 
 
 def test_a_client_that_does_not_wait_is_turned_away_before_its_request_goes_out(loop):
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -14,10 +14,10 @@
     service_over, write,
 )  # fmt: skip
 
-from caperdeck.core.quotas import ROOM_BUDGET
+from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
 from caperdeck.gossip.shared_decisions import SharedIdDecisions
-from caperdeck.gossip.sharing import SHARED_ROOM_BUDGET, SharingFeatures, life_from
+from caperdeck.gossip.sharing import SHARED_HEADROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
 from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
 from caperdeck.ops.show_peers import show_peers
@@ -168,15 +168,15 @@
 
 def test_a_node_lends_half_of_its_saved_room_once_the_room_is_known():
     d, s, _ = make_decisions()
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 0.0
-    s.node.part, s.node.rights.saved[ROOM_BUDGET] = 8.0, 8.0
-    assert s.lend(d.clock(), ROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), ROOM_BUDGET, 1.0) == 1.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 0.0
+    s.node.headroom_share, s.node.quotas.saved[HEADROOM_BUDGET] = 8.0, 8.0
+    assert s.lend(d.clock(), HEADROOM_BUDGET, 10.0) == 4.0 and s.lend(d.clock(), HEADROOM_BUDGET, 1.0) == 1.0
 
 
 def test_a_slot_that_was_won_is_not_lent():
     d, s, _ = make_decisions(cold=True)
-    s.node.unit = 1000.0
-    s.node.rights.settle(d.clock(), 2, 500.0)  # far above the limit of saved quota
+    s.node.unit_capacity = 1000.0
+    s.node.quotas.set_balance(d.clock(), 2, 500.0)  # far above the limit of saved quota
     assert s.node.cold == [1] and s.lend(d.clock(), 2, 500.0) == 0.0
     assert s.lend(d.clock(), 1, 500.0) == 0.0  # a warm host has no such budget
 
@@ -185,24 +185,24 @@
     d, s, _ = make_decisions(cold=True)
     n, now = s.node, d.clock()
     s.borrow(now, 2, 3.0, now + 500)
-    assert n.rights.have(now, 2) == 3.0 and n.rights.have(now + 500, 2) == 0.0
+    assert n.quotas.available(now, 2) == 3.0 and n.quotas.available(now + 500, 2) == 0.0
     s.borrow(now, 1, 3.0, now + 500)
-    assert n.rights.have(now, 1) == 0.0
+    assert n.quotas.available(now, 1) == 0.0
 
 
 def test_quota_is_wanted_only_just_after_a_session_found_no_room():
     d, s, m = make_decisions()
     n, now = s.node, d.clock()
-    n.part, n.rights.saved[ROOM_BUDGET] = 8.0, 0.0
+    n.headroom_share, n.quotas.saved[HEADROOM_BUDGET] = 8.0, 0.0
     assert m.wanted_quota(now) == []
-    n.short_at = now
-    assert m.wanted_quota(now) == [(SHARED_ROOM_BUDGET, 8.0)] and m.wanted_quota(now + 1000) == []
+    n.no_headroom_at = now
+    assert m.wanted_quota(now) == [(SHARED_HEADROOM_BUDGET, 8.0)] and m.wanted_quota(now + 1000) == []
 
 
 def test_a_peer_load_replaces_the_mean_and_expires():
     d, s, m = make_decisions()
     n, now = s.node, d.clock()
-    n.has_figures, n.mean_figure = True, 0.5  # there is a mean only if hosts report loads
+    n.has_reports, n.mean_reported_load = True, 0.5  # there is a mean only if hosts report loads
     m.take_peer_load(now, n.stable_id[0], 0.9, now - 100)
     assert n._load(now, 0) == 0.9 and n._load(now, 1) == 0.5
     m.take_peer_load(now, n.stable_id[0], 0.1, now - 500)  # older
@@ -213,10 +213,10 @@
 def test_probes_of_a_host_reported_lost_are_postponed_unless_it_just_answered():
     d, s, m = make_decisions()
     n, now = s.node, d.clock()
-    n.seen_at = [now - 5000, now]
+    n.probed_at = [now - 5000, now]
     for mark in n.stable_id[:2]:
         m.take_unreachable_report(now, mark, now + 9000)
-    assert now < n.unseen[0] <= now + 1250 and n.unseen[1] <= now
+    assert now < n.no_probe_until[0] <= now + 1250 and n.no_probe_until[1] <= now
 
 
 def test_two_hosts_with_one_stable_id_are_not_shared():
