--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -142,15 +142,15 @@
                 self.swim.drop(reason)
         if heard is not None:
             self._apply_answer(now, heard, sections)
-        elif message.kind is MessageKind.ASK:
+        elif message.kind is MessageKind.QUOTA_REQUEST:
             sends, grants = self._grant(now, message, sections.requests)
             return self._encode(now, sends, grants)
-        elif message.kind is MessageKind.TELL and self.features.full:
+        elif message.kind is MessageKind.OVERLOAD_REPORT and self.features.full:
             # After a suspension, queued reports of overload would look current without the delay.
             self._receive_overload_report(
                 now, message.sender, [(h, x, age + read_delay) for h, x, age in sections.loads]
             )
-        elif message.kind is MessageKind.GIVE:
+        elif message.kind is MessageKind.QUOTA_GRANT:
             self._accept_grants(now, message, sections.grants)
         return self._encode(now, sends)
 
@@ -168,11 +168,11 @@
     def _encode_sections(self, now: float, kind: MessageKind, grants: list[tuple[int, float]]) -> bytes:
         if kind is MessageKind.GOSSIP:
             return b""
-        if kind is MessageKind.TELL:
+        if kind is MessageKind.OVERLOAD_REPORT:
             return message_sections.encode(MessageSections(loads=self.overload_report), codec.SECTION_BYTES)
-        if kind is MessageKind.GIVE:
+        if kind is MessageKind.QUOTA_GRANT:
             return message_sections.encode(MessageSections(grants=grants), codec.SECTION_BYTES)
-        if kind is MessageKind.ASK:
+        if kind is MessageKind.QUOTA_REQUEST:
             return message_sections.encode(
                 MessageSections(requests=self._rotate(self._wanted_quota(now), REQUEST_ROWS)),
                 codec.SECTION_BYTES,
@@ -254,7 +254,7 @@
         grants = self.transfers.grant(
             message.sender, message.life, message.nonce, requests[:REQUEST_ROWS], lend
         )
-        answer = self.swim.message_without_updates(MessageKind.GIVE, self.swim.me, message.nonce)
+        answer = self.swim.message_without_updates(MessageKind.QUOTA_GRANT, self.swim.me, message.nonce)
         return ([Send(message.sender, answer)] if grants else []), grants
 
     def _accept_grants(self, now: float, message: Message, grants: list[tuple[int, float]]) -> None:
@@ -284,7 +284,7 @@
             Send(
                 member,
                 self.swim.message_without_updates(
-                    MessageKind.ASK, member, self.transfers.request(now, member)
+                    MessageKind.QUOTA_REQUEST, member, self.transfers.request(now, member)
                 ),
             ),
         ]
@@ -301,7 +301,9 @@
         if not new or self.swim.duplicate_name or not self.report_limit.take(now):
             return []
         self.overload_report = new[:LOAD_ROWS]
-        return [Send(EVERYONE, self.swim.message_without_updates(MessageKind.TELL, self.swim.me, 0))]
+        return [
+            Send(EVERYONE, self.swim.message_without_updates(MessageKind.OVERLOAD_REPORT, self.swim.me, 0))
+        ]
 
     def _is_confirmed(self, now: float, host: int) -> bool:
         return len(recent_observations(now, self.overload_witnesses.get(host, {}))) >= OVERLOAD_WITNESSES
--- a/caperdeck/peers/codec.py
+++ b/caperdeck/peers/codec.py
@@ -33,11 +33,11 @@
 
     PING = 1
     ACK = 2
-    PING_FOR = 3  # asks the receiver to ping `subject` and to report its ack
-    ACK_FOR = 4  # reports to the requester that `subject` has answered
-    ASK = 5  # requests a quota transfer; answered with GIVE if there is anything to lend
-    GIVE = 6
-    TELL = 7  # sent to all members: hosts that were just observed above full load
+    INDIRECT_PING = 3  # asks the receiver to ping `subject` and to report its ack
+    INDIRECT_ACK = 4  # reports to the requester that `subject` has answered
+    QUOTA_REQUEST = 5  # answered with QUOTA_GRANT if there is anything to lend
+    QUOTA_GRANT = 6
+    OVERLOAD_REPORT = 7  # sent to all members: hosts that were just observed above full load
     GOSSIP = 8  # membership updates only; never answered
 
 
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -289,7 +289,9 @@
             helper = helpers.pop(int(self._random() * len(helpers)))
             self.last_nonce = (self.last_nonce + 1) & 0xFFFFFFFF
             self.pending_indirect[self.last_nonce] = member, now
-            sends.append(Send(helper, self._message(helper, MessageKind.PING_FOR, member, self.last_nonce)))
+            sends.append(
+                Send(helper, self._message(helper, MessageKind.INDIRECT_PING, member, self.last_nonce))
+            )
         return sends
 
     # ---- messages
@@ -313,7 +315,12 @@
         return self._respond(now, message)
 
     def _respond(self, now: float, message: Message) -> tuple[list[Send], AnswerReceived | None]:
-        if message.kind in (MessageKind.ASK, MessageKind.GIVE, MessageKind.TELL, MessageKind.GOSSIP):
+        if message.kind in (
+            MessageKind.QUOTA_REQUEST,
+            MessageKind.QUOTA_GRANT,
+            MessageKind.OVERLOAD_REPORT,
+            MessageKind.GOSSIP,
+        ):
             return [], None  # handled by gossip.sharing, or fully processed above
         if message.kind is MessageKind.PING:
             if not self.answer_limit.take(now):
@@ -322,7 +329,7 @@
             return [
                 Send(message.sender, self._message(message.sender, MessageKind.ACK, self.me, message.nonce))
             ], None
-        if message.kind is MessageKind.PING_FOR:
+        if message.kind is MessageKind.INDIRECT_PING:
             if (
                 not self.answer_limit.take(now)
                 or len(self.relayed_pings) >= MAX_RELAYED_PINGS
@@ -352,7 +359,7 @@
         sends = []
         if relayed := self.relayed_pings.pop(message.nonce, None):
             requester, nonce, subject, _ = relayed
-            sends.append(Send(requester, self._message(requester, MessageKind.ACK_FOR, subject, nonce)))
+            sends.append(Send(requester, self._message(requester, MessageKind.INDIRECT_ACK, subject, nonce)))
         return sends, AnswerReceived(message.sender, message.life, pending[1])
 
     def record_answer(self, now: float, member: int, asked_at: float) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -331,7 +331,9 @@
     net.run(2000.0)
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
-        told = Message(codec.MessageKind.TELL, sender, net.nodes[sender].swim.life[sender], sender, 0)
+        told = Message(
+            codec.MessageKind.OVERLOAD_REPORT, sender, net.nodes[sender].swim.life[sender], sender, 0
+        )
         sections = message_sections.encode(MessageSections(loads=[(7, 1.5, 0.0)]), 142)
         data = codec.encode(told._replace(sections=sections), node.fleet)
         node.receive_datagram(now, data, sender, read_delay=5000.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -152,7 +152,7 @@
         receive_ping(s, i)
     asked = 0
     for now in range(0, 30_000, 50):
-        asked += sum(x.message.kind is MessageKind.PING_FOR for x in s.tick(float(now)))
+        asked += sum(x.message.kind is MessageKind.INDIRECT_PING for x in s.tick(float(now)))
     assert s._ack_timeout() > 2 * ACK_TIMEOUT_MS and asked > 0
 
 
