--- a/caperdeck/owner/config.py
+++ b/caperdeck/owner/config.py
@@ -11,11 +11,13 @@
 from caperdeck.leases.table import MAX_SPAN_MS
 from caperdeck.leases.target import CENSUS, HOSTS
 from caperdeck.lifecycle.toml import TomlError, check_keys, loopback_address, name_of, read_toml
-from caperdeck.raft.core import ELECTION
+from caperdeck.raft.core import ELECTION_TIMEOUT_MS
 from caperdeck.state.addresses import Address
 
 DEFAULT_SPAN_MS = 1500.0  # duration of a lease
-MIN_SPAN_MS = 2 * ELECTION  # a shorter lease expires before a new leader can be elected to renew it
+MIN_SPAN_MS = (
+    2 * ELECTION_TIMEOUT_MS
+)  # a shorter lease expires before a new leader can be elected to renew it
 MAX_INSTANCES, MAX_INSTANCE_NUMBER = 9, 999
 WORKS = (HOSTS, CENSUS)
 MAX_NAME_LENGTH = 64  # characters
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -27,7 +27,7 @@
 from caperdeck.raft.log import Entry, Members
 from caperdeck.raft.sessions import Sessions
 from caperdeck.raft.storage import Storage, StorageError
-from caperdeck.raft.transport import Net, Then
+from caperdeck.raft.transport import AnswerCallback, Network
 from caperdeck.state.timers import cancel
 
 from .replicated_state import ReplicatedState, wrap_versions_command, is_lease_command
@@ -63,12 +63,12 @@
         self.sessions = Sessions(self.replicated_state)
         log, now = self.storage.log, clock()
         self.sessions.load(log.snapshot.data)
-        raft = Raft(config.me, self.storage.term, self.storage.vote, copy_log(log), self.seed, now)
+        raft = Raft(config.me, self.storage.term, self.storage.voted_for, copy_log(log), self.seed, now)
         self.pool = ThreadPool(1, 1, "disk")
         self.driver = Driver(
             raft, self.sessions, clock, self._write, self._send, self._role_changed, self._applied
         )
-        self.net = Net(
+        self.net = Network(
             reactor, config.cluster, config.me, config.instances, self._receive, self._handle_call,
             self._random,
         )  # fmt: skip
@@ -88,24 +88,26 @@
         self.client_ids = {w: int.from_bytes(os.urandom(6), "big") * 2 + 2 for w in self.runners}
         self.timer: Any = None
         self.pending_calls = 0
-        self.watchers: list[tuple[str, int, float, Then]] = []  # work, known token, deadline, callback
+        self.watchers: list[
+            tuple[str, int, float, AnswerCallback]
+        ] = []  # work, known token, deadline, callback
         self.last_run_at = now
         self.closed = False
         self.event_counts: dict[str, int] = {}
 
     def start(self) -> None:
         self.pool.start()
-        if self.storage.cut_off:
-            logger.warning("owner reason=torn-tail bytes={}", self.storage.cut_off)
+        if self.storage.torn_bytes:
+            logger.warning("owner reason=torn-tail bytes={}", self.storage.torn_bytes)
         self.net.listen(self.config.listen)
         logger.info("owner start cluster={} me=o{} members={} log={}", self.config.cluster, self.config.me,
-                    ",".join(map(str, self.raft.members.all)), self.raft.log.last)  # fmt: skip
+                    ",".join(map(str, self.raft.members.all)), self.raft.log.last_index)  # fmt: skip
         self._run_due()
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.driver.end()
+            self.driver.close()
             self.net.close()
             self.nodes.close()
             self.distribution.close()
@@ -146,7 +148,7 @@
         self.driver.tick()
         self._expire_leases(now)
         self._answer_watchers()
-        self.distribution.turn()
+        self.distribution.run_due()
         for work in self.runners:
             self._run_work(work)
         if self.closed:
@@ -213,16 +215,16 @@
 
     # ---- proposals and reads, here or at the leader
 
-    def _submit(self, command: dict[str, Any], client: int, serial: int, then: Then) -> None:
+    def _submit(self, command: dict[str, Any], client: int, serial: int, then: AnswerCallback) -> None:
         if self.raft.role is Role.LEADER:
             self.driver.propose(orjson.dumps(command), client, serial, then)
         elif self.raft.leader is not None:
             body = {"do": "propose", "command": command, "client": client, "serial": serial}
-            self.net.ask(self.raft.leader, body, then)
+            self.net.call(self.raft.leader, body, then)
         else:
             then(None)
 
-    def _handle_call(self, body: Any, then: Then) -> None:
+    def _handle_call(self, body: Any, then: AnswerCallback) -> None:
         """Handles a call from an instance, a node or an operator; the answer is None if it is unknown."""
         do = body.get("do") if isinstance(body, dict) else None
         handler = {
@@ -250,17 +252,17 @@
         except (KeyError, TypeError, ValueError):
             answer({"no": "bad-call"})
 
-    def _at_leader(self, body: dict[str, Any], then: Then) -> bool:
+    def _at_leader(self, body: dict[str, Any], then: AnswerCallback) -> bool:
         """Tells whether this instance is the leader; otherwise forwards the call to the leader, once."""
         if self.raft.role is Role.LEADER:
             return True
         if body.get("passed") or self.raft.leader is None:
             then(None)
         else:
-            self.net.ask(self.raft.leader, body | {"passed": True}, then)
+            self.net.call(self.raft.leader, body | {"passed": True}, then)
         return False
 
-    def _on_propose(self, body: dict[str, Any], then: Then) -> None:
+    def _on_propose(self, body: dict[str, Any], then: AnswerCallback) -> None:
         client, serial = body["client"], body["serial"]
         if not all(isinstance(x, int) and 0 <= x < 1 << 53 for x in (client, serial)):
             raise ValueError
@@ -273,7 +275,7 @@
         else:
             then(None)
 
-    def _on_token(self, body: dict[str, Any], then: Then) -> None:
+    def _on_token(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Answers with the highest token granted for a work, read linearizably."""
         work = body["work"]
         if not isinstance(work, str):
@@ -283,15 +285,15 @@
                 lambda state: then(None if state is None else {"token": last_token(state.leases, work)})
             )
 
-    def _on_status(self, body: dict[str, Any], then: Then) -> None:
+    def _on_status(self, body: dict[str, Any], then: AnswerCallback) -> None:
         raft, now = self.raft, self.clock()
         # after a suspension a lease may have expired without the runner having noticed it yet
         active = {w: r for w, r in self.runners.items() if r.token and r.holder.may_act(now)}
         then({
             "me": self.config.me, "role": raft.role.name.lower(), "term": raft.term, "leader": raft.leader,
-            "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last,
-            "commit": raft.commit, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
-            "events": self.event_counts, "watches": self.distribution.watches.figures(),
+            "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last_index,
+            "commit": raft.commit_index, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
+            "events": self.event_counts, "watches": self.distribution.watch_server.statistics(),
             # this copy of the table may be older than the answers to the runner
             "holds": {
                 w: {"token": r.token, "left": round(r.holder.expires_at - now)} for w, r in active.items()
@@ -303,7 +305,7 @@
             },
         })  # fmt: skip
 
-    def _on_watch(self, body: dict[str, Any], then: Then) -> None:
+    def _on_watch(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Answers once the holder differs from the known one in the local copy, or after a time limit."""
         work, known = body["work"], body.get("token", 0)
         if not isinstance(work, str) or isinstance(known, bool) or not isinstance(known, int):
@@ -320,7 +322,7 @@
             else:
                 then({"holder": row["holder"], "token": row["token"]})
 
-    def _on_leave(self, body: dict[str, Any], then: Then) -> None:
+    def _on_leave(self, body: dict[str, Any], then: AnswerCallback) -> None:
         runner = self.runners.get(body["work"])
         to = body.get("to")
         if runner is None or not (to is None or isinstance(to, str)):
@@ -328,7 +330,7 @@
         reason = runner.give_up(to)
         then({"no": reason} if reason else {"ok": True})
 
-    def _on_release(self, body: dict[str, Any], then: Then) -> None:
+    def _on_release(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Ends a lease whatever its holder does; actions of the holder are refused once another instance is
         granted it.
         """
@@ -341,7 +343,7 @@
             command = {"do": "release", "work": body["work"], "token": row["token"]}
             self.driver.propose(orjson.dumps(command), 0, 0, then)
 
-    def _on_members(self, body: dict[str, Any], then: Then) -> None:
+    def _on_members(self, body: dict[str, Any], then: AnswerCallback) -> None:
         """Adds an instance as a learner, promotes a learner to a voter, or removes an instance."""
         number, add = body["number"], body["add"]
         if isinstance(number, bool) or not isinstance(number, int) or number not in self.config.instances:
@@ -352,12 +354,12 @@
                 voters = (*voters, number)
             elif add:
                 learners = (*learners, number)
-            reason = self.driver.change(Members(voters, learners))
+            reason = self.driver.change_members(Members(voters, learners))
             then({"no": reason} if reason else {"voters": voters, "learners": learners})
 
-    def _on_transfer(self, body: dict[str, Any], then: Then) -> None:
+    def _on_transfer(self, body: dict[str, Any], then: AnswerCallback) -> None:
         if self._at_leader(body, then):
-            reason = self.raft.transfer(self.clock(), body["number"])
+            reason = self.raft.transfer_leadership(self.clock(), body["number"])
             then({"no": reason} if reason else {"ok": True})
 
     # ---- callbacks of the driver
@@ -373,7 +375,7 @@
 
     def _write_failed(self, failure: Any) -> None:
         # Nothing may be answered or sent that depends on a write which may not be on disk.
-        self.driver.end()
+        self.driver.close()
         known = failure.check(StorageError) is not None
         self.on_failure(str(failure.value) if known else one_line(failure))
 
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -9,7 +9,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 
 from caperdeck.core.seeded_random import chance
-from caperdeck.raft.codec import LONGEST, FrameError, frame, unwrap
+from caperdeck.raft.codec import MAX_FRAME_BYTES, FrameError, decode_frame, encode_frame
 from caperdeck.raft.transport import CALL, REPLY
 from caperdeck.state.addresses import Address
 from caperdeck.state.timers import cancel
@@ -24,7 +24,7 @@
 class TokenRequest(Int32StringReceiver):
     """One call to an instance over a connection of its own; `on_answer` gets None if it fails."""
 
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(
         self, reactor: Any, owners: OwnerEndpoints, address: Address, body: Any, on_answer: Callable
@@ -34,11 +34,11 @@
         self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER_TIMEOUT_S)
 
     def connectionMade(self) -> None:
-        self.sendString(frame(self.cluster, CALL, [1, self.body]))
+        self.sendString(encode_frame(self.cluster, CALL, [1, self.body]))
 
     def stringReceived(self, data: bytes) -> None:
         try:
-            name, fields = unwrap(data, self.cluster)
+            name, fields = decode_frame(data, self.cluster)
         except FrameError:
             name, fields = "", None
         self.finish(fields[1] if name == REPLY and isinstance(fields, list) and len(fields) == 2 else None)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -34,10 +34,10 @@
 from caperdeck.owner.node_links import ANSWER_TIMEOUT_S, NodeLinks, action_line
 from caperdeck.owner.node_links import parse_answer as read_answer
 from caperdeck.ops.admin_server import PATIENCE, Front
-from caperdeck.raft.codec import encode, frame
-from caperdeck.raft.core import TakeOver
+from caperdeck.raft.codec import encode, encode_frame
+from caperdeck.raft.core import TimeoutNow
 from caperdeck.raft.storage import Storage, StorageError
-from caperdeck.raft.transport import Net
+from caperdeck.raft.transport import Network
 
 ROOT = Path(__file__).parents[1]
 FILE = {
@@ -96,7 +96,7 @@
 
 def make_net(received):
     reactor = MemoryReactorClock()
-    return Net(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
+    return Network(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
                lambda body, then: then({"echo": body}), lambda: 0.5)  # fmt: skip
 
 
@@ -115,12 +115,14 @@
 
 @pytest.mark.parametrize("data, reason", [
     (prefixed(b"{"), "no-json"), (prefixed(b"[1]"), "no-frame"),
-    (prefixed(encode(TakeOver(1, 1), "other")), "other-cluster"),
+    (prefixed(encode(TimeoutNow(1, 1), "other")), "other-cluster"),
     (prefixed(orjson.dumps([2, "t", "takeover", [1, 1]])), "other-version"),
-    (prefixed(encode(TakeOver(1, 0), "t")), "own-name"),
-    (prefixed(encode(TakeOver(1, 7), "t")), "unknown-instance"),
-    (prefixed(frame("t", "dance", [])), "unknown-kind"), (prefixed(frame("t", "call", [1])), "wrong-fields"),
-    (prefixed(frame("t", "takeover", [1 << 60, 1])), "impossible-number"), (b"\xff\xff\xff\xff", "too-long"),
+    (prefixed(encode(TimeoutNow(1, 0), "t")), "own-name"),
+    (prefixed(encode(TimeoutNow(1, 7), "t")), "unknown-instance"),
+    (prefixed(encode_frame("t", "dance", [])), "unknown-kind"),
+    (prefixed(encode_frame("t", "call", [1])), "wrong-fields"),
+    (prefixed(encode_frame("t", "takeover", [1 << 60, 1])), "impossible-number"),
+    (b"\xff\xff\xff\xff", "too-long"),
 ])  # fmt: skip
 def test_an_invalid_frame_closes_its_connection_and_is_counted(data, reason):
     received = []
@@ -134,25 +136,27 @@
     received = []
     n = make_net(received)
     conn, wire = open_connection(n)
-    conn.dataReceived(prefixed(encode(TakeOver(3, 1), "t")) + prefixed(frame("t", "call", [9, "x"])))
-    assert received == [TakeOver(3, 1)] and wire.value() == prefixed(frame("t", "reply", [9, {"echo": "x"}]))
+    conn.dataReceived(prefixed(encode(TimeoutNow(3, 1), "t")) + prefixed(encode_frame("t", "call", [9, "x"])))
+    assert received == [TimeoutNow(3, 1)] and wire.value() == prefixed(
+        encode_frame("t", "reply", [9, {"echo": "x"}])
+    )
 
 
 def test_unsendable_messages_are_dropped_and_calls_get_no_answer():
     """Output that is kept for a suspended instance would grow without limit."""
     n, answers = make_net([]), []
-    n.send(1, TakeOver(1, 0))
-    n.ask(1, {}, answers.append)
+    n.send(1, TimeoutNow(1, 0))
+    n.call(1, {}, answers.append)
     assert answers == [None] and n.dropped == {"unsent": 1}
     conn = n.links[1].buildProtocol(None)
     wire = StringTransport()
     wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
     conn.makeConnection(wire)
     conn.pauseProducing()
-    n.send(1, TakeOver(1, 0))
+    n.send(1, TimeoutNow(1, 0))
     assert wire.value() == b"" and n.dropped == {"unsent": 2}
     conn.resumeProducing()
-    n.ask(1, {}, answers.append)
+    n.call(1, {}, answers.append)
     n.reactor.advance(1.1)
     assert wire.value() and answers == [None, None]
 
@@ -245,7 +249,7 @@
     monkeypatch.setattr("caperdeck.raft.storage.os.fsync", raise_no_space)
     now[0] = 10_000.0  # the only instance elects itself and cannot store its vote
     made.driver.tick()
-    assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
+    assert len(ended) == 1 and "No space" in ended[0] and made.driver.closed
     answers = []
     made._handle_call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
     assert answers in ([], [None])
