--- a/caperdeck/gossip/message_sections.py
+++ b/caperdeck/gossip/message_sections.py
@@ -44,7 +44,7 @@
     """Encodes what fits into `max_bytes`: first the sections that move quota, then counters, judgements and
     loads.
     """
-    out = bytearray()
+    encoded = bytearray()
     for tag, rows in (
         (GRANT, sections.grants), (REQUEST, sections.requests), (FAILING, [()] * sections.majority_failing),
         (COUNTER, sections.counters),
@@ -58,12 +58,12 @@
         ]),
     ):  # fmt: skip
         row_format = ROW_FORMATS[tag]
-        fit = min(len(rows), MAX_ROWS, (max_bytes - len(out) - 2) // max(row_format.size, 1))
+        fit = min(len(rows), MAX_ROWS, (max_bytes - len(encoded) - 2) // max(row_format.size, 1))
         if fit > 0:
-            out += bytes((tag, fit))
+            encoded += bytes((tag, fit))
             for row in rows[:fit]:
-                out += row_format.pack(*row)
-    return bytes(out)
+                encoded += row_format.pack(*row)
+    return bytes(encoded)
 
 
 def round_down_to_wire(amount: float) -> float:
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -134,14 +134,14 @@
             self.swim.drop(str(reason))
             return []
         self.received += 1
-        sends, heard = self.swim.receive(now, message)
+        sends, answer = self.swim.receive(now, message)
         if message.sender == self.swim.me or message.life != self.swim.life[message.sender]:
             return self._encode(now, sends)
         for counter in sections.counters:
             if counter.member != self.swim.me and (reason := self.counters.merge(now, counter)):
                 self.swim.drop(reason)
-        if heard is not None:
-            self._apply_answer(now, heard, sections)
+        if answer is not None:
+            self._apply_answer(now, answer, sections)
         elif message.kind is MessageKind.QUOTA_REQUEST:
             sends, grants = self._grant(now, message, sections.requests)
             return self._encode(now, sends, grants)
@@ -155,13 +155,13 @@
         return self._encode(now, sends)
 
     def _encode(self, now: float, sends: list[Send], grants: list | None = None) -> list[tuple[int, bytes]]:
-        out = []
+        encoded = []
         for to, message in sends:
             sections = self._encode_sections(now, message.kind, grants or [])
             data = codec.encode(message._replace(sections=sections), self.fleet)
             self.sent, self.bytes_sent = self.sent + 1, self.bytes_sent + len(data)
-            out.append((to, data))
-        return out
+            encoded.append((to, data))
+        return encoded
 
     # ---- sending
 
@@ -216,19 +216,19 @@
 
     # ---- receiving
 
-    def _apply_answer(self, now: float, heard: AnswerReceived, sections: MessageSections) -> None:
+    def _apply_answer(self, now: float, answer: AnswerReceived, sections: MessageSections) -> None:
         """Uses an answer to a request of this node; its content is dated from the time of the request."""
         if self.features.prior:
             for host, load_ratio, age in sections.loads:
-                if (observed_at := heard.asked_at - age) > now - LOAD_VALIDITY_MS:
+                if (observed_at := answer.asked_at - age) > now - LOAD_VALIDITY_MS:
                     self.decisions.take_peer_load(now, host, load_ratio, observed_at)
         if not self.features.lost:
             return
         if sections.majority_failing:
-            self.judgements.mark_unsound(now, heard.member)
+            self.judgements.mark_unsound(now, answer.member)
         for judgement in sections.judgements:
             if judgement.member != self.swim.me:
-                reason = self.judgements.record(now, judgement, heard.asked_at, heard.member)
+                reason = self.judgements.record(now, judgement, answer.asked_at, answer.member)
                 if reason is not None:
                     self.swim.drop(reason)
 
--- a/caperdeck/leases/table.py
+++ b/caperdeck/leases/table.py
@@ -25,15 +25,15 @@
     def apply(self, command: Any) -> dict[str, Any]:
         if not isinstance(command, dict) or not isinstance(command.get("work"), str):
             return {"no": "no-work-named"}
-        do = {
+        handler = {
             "acquire": self._acquire, "renew": self._renew, "give": self._give, "hand": self._hand,
             "expire": self._expire, "release": self._release, "save": self._save,
         }.get(command.get("do"))  # fmt: skip
-        if do is None:
+        if handler is None:
             return {"no": "unknown-command"}
         if not 0 < len(command["work"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
-        return do(command["work"], command)
+        return handler(command["work"], command)
 
     def dump(self) -> Any:
         return {"token": self.token, "works": self.works}
@@ -48,8 +48,8 @@
 
     # ---- commands
 
-    def _acquire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        holder, span = c.get("holder"), c.get("span")
+    def _acquire(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
+        holder, span = command.get("holder"), command.get("span")
         if not isinstance(holder, str) or not 0 < len(holder) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
         if (
@@ -74,56 +74,56 @@
         row.update(holder=holder, token=self.token, span=span, renewed=0, heir=None)
         return {"ok": True, "token": self.token, "span": span, "state": row["state"]}
 
-    def _held(self, work: str, c: dict[str, Any]) -> dict[str, Any] | None:
+    def _held(self, work: str, command: dict[str, Any]) -> dict[str, Any] | None:
         """Returns the row if the command has the current token."""
         row = self.works.get(work)
-        held = row is not None and row["holder"] is not None and row["token"] == c.get("token")
+        held = row is not None and row["holder"] is not None and row["token"] == command.get("token")
         return row if held else None
 
-    def _renew(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        if (row := self._held(work, c)) is None:
+    def _renew(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
+        if (row := self._held(work, command)) is None:
             return {"no": "not-held"}
         row["renewed"] += 1
         return {"ok": True, "token": row["token"], "span": row["span"]}
 
-    def _give(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
-        if (row := self._held(work, c)) is None:
+    def _give(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
+        if (row := self._held(work, command)) is None:
             return {"no": "not-held"}
         row.update(holder=None)
         return {"ok": True}
 
-    def _hand(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
+    def _hand(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
         """Releases the lease to an heir; others may acquire it once the heir did not come for a span."""
-        if (row := self._held(work, c)) is None:
+        if (row := self._held(work, command)) is None:
             return {"no": "not-held"}
-        if not isinstance(c.get("to"), str) or not 0 < len(c["to"]) <= MAX_NAME_LENGTH:
+        if not isinstance(command.get("to"), str) or not 0 < len(command["to"]) <= MAX_NAME_LENGTH:
             return {"no": "bad-name"}
-        row.update(holder=None, heir=c["to"], renewed=row["renewed"] + 1)
+        row.update(holder=None, heir=command["to"], renewed=row["renewed"] + 1)
         return {"ok": True}
 
-    def _expire(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
+    def _expire(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
         row = self.works.get(work)
         # A command proposed before a renewal and committed after it must not expire the renewed lease.
-        if row is None or row["token"] != c.get("token") or row["renewed"] != c.get("renewed"):
+        if row is None or row["token"] != command.get("token") or row["renewed"] != command.get("renewed"):
             return {"no": "renewed-since"}
         row.update(holder=None, heir=None)
         return {"ok": True}
 
-    def _release(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
+    def _release(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
         """Ends a lease although it is renewed; for operators. The old owner may still send actions, which are
         refused.
         """
         row = self.works.get(work)
-        if row is None or row["token"] != c.get("token"):
+        if row is None or row["token"] != command.get("token"):
             return {"no": "not-held"}
         row.update(holder=None, heir=None)
         return {"ok": True}
 
-    def _save(self, work: str, c: dict[str, Any]) -> dict[str, Any]:
+    def _save(self, work: str, command: dict[str, Any]) -> dict[str, Any]:
         """Stores the state that the next owner resumes from; only the current owner may."""
-        if (row := self._held(work, c)) is None:
+        if (row := self._held(work, command)) is None:
             return {"no": "older-token"}
-        state = c.get("state")
+        state = command.get("state")
         if not isinstance(state, str) or len(state) > MAX_STATE_LENGTH:
             return {"no": "bad-state"}
         row["state"] = state
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -128,8 +128,8 @@
     def event(self, ev: str, level: str = "INFO", **values: Any) -> None:
         """Logs an event as one line, and as structured data for collectors of histories."""
         self.event_counts[ev] = self.event_counts.get(ev, 0) + 1
-        words = " ".join(f"{key}={value}" for key, value in values.items())
-        logger.bind(event={"ev": ev, **values}).log(level, "owner {} {}", ev, words)
+        fields = " ".join(f"{key}={value}" for key, value in values.items())
+        logger.bind(event={"ev": ev, **values}).log(level, "owner {} {}", ev, fields)
 
     # ---- main loop
 
@@ -215,36 +215,36 @@
 
     # ---- proposals and reads, here or at the leader
 
-    def _submit(self, command: dict[str, Any], client: int, serial: int, then: AnswerCallback) -> None:
+    def _submit(self, command: dict[str, Any], client: int, serial: int, on_answer: AnswerCallback) -> None:
         if self.raft.role is Role.LEADER:
-            self.driver.propose(orjson.dumps(command), client, serial, then)
+            self.driver.propose(orjson.dumps(command), client, serial, on_answer)
         elif self.raft.leader is not None:
             body = {"do": "propose", "command": command, "client": client, "serial": serial}
-            self.net.call(self.raft.leader, body, then)
+            self.net.call(self.raft.leader, body, on_answer)
         else:
-            then(None)
+            on_answer(None)
 
-    def _handle_call(self, body: Any, then: AnswerCallback) -> None:
+    def _handle_call(self, body: Any, on_answer: AnswerCallback) -> None:
         """Handles a call from an instance, a node or an operator; the answer is None if it is unknown."""
-        do = body.get("do") if isinstance(body, dict) else None
+        call_name = body.get("do") if isinstance(body, dict) else None
         handler = {
             "propose": self._on_propose, "token": self._on_token, "status": self._on_status,
             "leave": self._on_leave, "release": self._on_release, "members": self._on_members,
             "transfer": self._on_transfer, "watch": self._on_watch, **self.distribution.calls,
-        }.get(do) if isinstance(do, str) else None  # fmt: skip
+        }.get(call_name) if isinstance(call_name, str) else None  # fmt: skip
         if handler is None or self.closed:
-            then({"no": "unknown-call"})
+            on_answer({"no": "unknown-call"})
             return
         if self.pending_calls >= MAX_PENDING_CALLS:
-            then({"no": "too-many-calls"})
+            on_answer({"no": "too-many-calls"})
             return
         self.pending_calls += 1
-        handlers = [then]
+        waiting = [on_answer]
 
         def answer(value: Any) -> None:
-            if handlers:
+            if waiting:
                 self.pending_calls -= 1
-                handlers.pop()(value)
+                waiting.pop()(value)
                 self._wake()
 
         try:
@@ -252,17 +252,17 @@
         except (KeyError, TypeError, ValueError):
             answer({"no": "bad-call"})
 
-    def _at_leader(self, body: dict[str, Any], then: AnswerCallback) -> bool:
+    def _at_leader(self, body: dict[str, Any], on_answer: AnswerCallback) -> bool:
         """Tells whether this instance is the leader; otherwise forwards the call to the leader, once."""
         if self.raft.role is Role.LEADER:
             return True
         if body.get("passed") or self.raft.leader is None:
-            then(None)
+            on_answer(None)
         else:
-            self.net.call(self.raft.leader, body | {"passed": True}, then)
+            self.net.call(self.raft.leader, body | {"passed": True}, on_answer)
         return False
 
-    def _on_propose(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_propose(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         client, serial = body["client"], body["serial"]
         if not all(isinstance(x, int) and 0 <= x < 1 << 53 for x in (client, serial)):
             raise ValueError
@@ -271,25 +271,25 @@
         if len(data) > MAX_COMMAND_BYTES or not is_lease_command(body["command"]):
             raise ValueError
         if self.raft.role is Role.LEADER:
-            self.driver.propose(data, client, serial, then)
+            self.driver.propose(data, client, serial, on_answer)
         else:
-            then(None)
+            on_answer(None)
 
-    def _on_token(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_token(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         """Answers with the highest token granted for a work, read linearizably."""
         work = body["work"]
         if not isinstance(work, str):
             raise ValueError
-        if self._at_leader(body, then):
+        if self._at_leader(body, on_answer):
             self.driver.read(
-                lambda state: then(None if state is None else {"token": last_token(state.leases, work)})
+                lambda state: on_answer(None if state is None else {"token": last_token(state.leases, work)})
             )
 
-    def _on_status(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_status(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         raft, now = self.raft, self.clock()
         # after a suspension a lease may have expired without the runner having noticed it yet
         active = {w: r for w, r in self.runners.items() if r.token and r.holder.may_act(now)}
-        then({
+        on_answer({
             "me": self.config.me, "role": raft.role.name.lower(), "term": raft.term, "leader": raft.leader,
             "voters": raft.members.voters, "learners": raft.members.learners, "log": raft.log.last_index,
             "commit": raft.commit_index, "snapshot": raft.log.snapshot.index, "dropped": self.net.dropped,
@@ -305,62 +305,62 @@
             },
         })  # fmt: skip
 
-    def _on_watch(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_watch(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         """Answers once the holder differs from the known one in the local copy, or after a time limit."""
         work, known = body["work"], body.get("token", 0)
         if not isinstance(work, str) or isinstance(known, bool) or not isinstance(known, int):
             raise ValueError
-        self.watchers.append((work, known, self.clock() + MAX_WATCH_MS, then))
+        self.watchers.append((work, known, self.clock() + MAX_WATCH_MS, on_answer))
         self._answer_watchers()
 
     def _answer_watchers(self) -> None:
         now, waiting, self.watchers = self.clock(), self.watchers, []
-        for work, known, until, then in waiting:
+        for work, known, until, on_answer in waiting:
             row = self.table.row(work) or {"holder": None, "token": 0}
             if row["token"] == known and row["holder"] is not None and now < until:
-                self.watchers.append((work, known, until, then))
+                self.watchers.append((work, known, until, on_answer))
             else:
-                then({"holder": row["holder"], "token": row["token"]})
+                on_answer({"holder": row["holder"], "token": row["token"]})
 
-    def _on_leave(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_leave(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         runner = self.runners.get(body["work"])
         to = body.get("to")
         if runner is None or not (to is None or isinstance(to, str)):
             raise ValueError
         reason = runner.give_up(to)
-        then({"no": reason} if reason else {"ok": True})
+        on_answer({"no": reason} if reason else {"ok": True})
 
-    def _on_release(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_release(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         """Ends a lease whatever its holder does; actions of the holder are refused once another instance is
         granted it.
         """
         row = self.table.row(body["work"])
         if row is None:
-            then({"no": "unknown-work"})
-        elif self._at_leader(body, then):
+            on_answer({"no": "unknown-work"})
+        elif self._at_leader(body, on_answer):
             # An expire command names the count of renewals, so it could not end a lease that is still
             # renewed.
             command = {"do": "release", "work": body["work"], "token": row["token"]}
-            self.driver.propose(orjson.dumps(command), 0, 0, then)
+            self.driver.propose(orjson.dumps(command), 0, 0, on_answer)
 
-    def _on_members(self, body: dict[str, Any], then: AnswerCallback) -> None:
+    def _on_members(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
         """Adds an instance as a learner, promotes a learner to a voter, or removes an instance."""
         number, add = body["number"], body["add"]
         if isinstance(number, bool) or not isinstance(number, int) or number not in self.config.instances:
-            then({"no": "unknown-instance"})
-        elif self._at_leader(body, then):
+            on_answer({"no": "unknown-instance"})
+        elif self._at_leader(body, on_answer):
             voters, learners = (tuple(i for i in ids if i != number) for ids in self.raft.members)
             if add and number in self.raft.members.all:
                 voters = (*voters, number)
             elif add:
                 learners = (*learners, number)
             reason = self.driver.change_members(Members(voters, learners))
-            then({"no": reason} if reason else {"voters": voters, "learners": learners})
+            on_answer({"no": reason} if reason else {"voters": voters, "learners": learners})
 
-    def _on_transfer(self, body: dict[str, Any], then: AnswerCallback) -> None:
-        if self._at_leader(body, then):
+    def _on_transfer(self, body: dict[str, Any], on_answer: AnswerCallback) -> None:
+        if self._at_leader(body, on_answer):
             reason = self.raft.transfer_leadership(self.clock(), body["number"])
-            then({"no": reason} if reason else {"ok": True})
+            on_answer({"no": reason} if reason else {"ok": True})
 
     # ---- callbacks of the driver
 
