--- a/caperdeck/gossip/message_sections.py
+++ b/caperdeck/gossip/message_sections.py
@@ -11,7 +11,7 @@
 from caperdeck.peers.codec import DatagramError
 
 from .counters import CounterValue
-from .judgements import Judgement, HostCondition
+from .judgements import HostCondition, Judgement
 
 AGE_STEP_MS = 16.0  # resolution of ages on the wire
 MAX_AGE_MS = 255 * AGE_STEP_MS
--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from caperdeck.core.facade import Event, HostOverloaded
-from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
+from caperdeck.core.quotas import HEADROOM_BUDGET
 
 from .judgements import FAILING_SHARE_LIMIT, HostCondition
-from .sharing import DIALS_STARTED, DIALS_ENDED, SHARED_HEADROOM_BUDGET, LocalObservations, SharingFeatures
+from .sharing import DIALS_ENDED, DIALS_STARTED, SHARED_HEADROOM_BUDGET, LocalObservations, SharingFeatures
 
 
 def cold_host_budget(stable_id: int, started_at: float) -> int:
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple, Protocol
 
 import caperdeck.peers.codec as codec
-from caperdeck.peers.codec import DatagramError, MessageKind, Message
-from caperdeck.peers.swim import EVERYONE, TokenBucket, AnswerReceived, Send, Swim
+from caperdeck.peers.codec import DatagramError, Message, MessageKind
+from caperdeck.peers.swim import EVERYONE, AnswerReceived, Send, Swim, TokenBucket
 
 from . import message_sections
-from .counters import MAX_VALUE, CounterValue, CounterStore
+from .counters import MAX_VALUE, CounterStore, CounterValue
 from .judgements import VALIDITY_MS, HostCondition, Judgement, Judgements
-from .quota_transfers import QuotaTransfers
 from .message_sections import MessageSections
+from .quota_transfers import QuotaTransfers
 
 SHORTAGE_CHECK_MS = 100.0  # interval of checks for missing quota; a session waits this long for a host
 JUDGE_INTERVAL_MS = 500.0
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -17,10 +17,10 @@
 from caperdeck.distribution.server import Distribution
 from caperdeck.leases.census import Census
 from caperdeck.leases.expiry import LeaseExpiryMonitor
-from caperdeck.leases.runner import Action, RunnerEvent, Proposal, Runner
+from caperdeck.leases.outlier_ejection import OutlierEjection
+from caperdeck.leases.runner import Action, Proposal, Runner, RunnerEvent
 from caperdeck.leases.table import LeaseTable
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.leases.outlier_ejection import OutlierEjection
 from caperdeck.lifecycle.logs import one_line
 from caperdeck.raft.core import Raft, Role, Save
 from caperdeck.raft.driver import Driver
@@ -30,9 +30,9 @@
 from caperdeck.raft.transport import AnswerCallback, Network
 from caperdeck.state.timers import cancel
 
-from .replicated_state import ReplicatedState, wrap_versions_command, is_lease_command
 from .config import OwnerConfig
 from .node_links import NodeLinks, action_line
+from .replicated_state import ReplicatedState, is_lease_command, wrap_versions_command
 
 WORKS = {HOSTS: OutlierEjection, CENSUS: Census}
 MIN_WAIT_MS = 2.0  # between two runs of the main loop while nothing arrives
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -20,7 +20,7 @@
 import operator
 from typing import NamedTuple
 
-from .codec import MAX_GOSSIP_UPDATES, MAX_UPDATES, Heartbeat, MessageKind, Message, MemberState, MemberUpdate
+from .codec import MAX_GOSSIP_UPDATES, MAX_UPDATES, Heartbeat, MemberState, MemberUpdate, Message, MessageKind
 from .member_random import MemberRandom
 
 PING_PERIOD_MS = 2000.0  # mean time between pings
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 
 from caperdeck.core.quotas import Quotas
-from caperdeck.lab import sharing_network
-from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
 from caperdeck.gossip import message_sections
-from caperdeck.gossip.counters import EXPIRY_MS, MAX_COUNTERS, MAX_INCREASE, CounterValue, CounterStore
-from caperdeck.gossip.judgements import VALIDITY_MS, Judgement, Judgements, HostCondition
-from caperdeck.gossip.quota_transfers import QuotaTransfers
+from caperdeck.gossip.counters import EXPIRY_MS, MAX_COUNTERS, MAX_INCREASE, CounterStore, CounterValue
+from caperdeck.gossip.judgements import VALIDITY_MS, HostCondition, Judgement, Judgements
 from caperdeck.gossip.message_sections import MessageSections
+from caperdeck.gossip.quota_transfers import QuotaTransfers
 from caperdeck.gossip.sharing import SharingFeatures
+from caperdeck.lab import sharing_network
+from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
 from caperdeck.peers import codec
 from caperdeck.peers.codec import DatagramError, Message
 
--- a/tests/test_gossip_bound.py
+++ b/tests/test_gossip_bound.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.rights_model import NodeModel, RightsModel
-from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
 
 
 class DividesByLiveNodes(NodeModel):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -6,8 +6,8 @@
 
 from caperdeck.lab.exploration import BrokenError, explore
 from caperdeck.lab.lease_model import LeaseModel
+from caperdeck.leases.expiry import MAX_CLOCK_DRIFT, LeaseExpiryMonitor, LeaseHolder
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.expiry import MAX_CLOCK_DRIFT, LeaseHolder, LeaseExpiryMonitor
 from caperdeck.leases.table import MAX_WORKS, LeaseTable
 
 SPAN = 1000.0
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -9,26 +9,26 @@
 from caperdeck.lab.exploration import BrokenError
 from caperdeck.leases.census import Census
 from caperdeck.leases.census_state import MAX_NODES, CensusState, StateError, _encode_rows, decode, encode
+from caperdeck.leases.outlier_ejection import (
+    EJECTION_LEASE_MS,
+    FIRST_EJECTION_MS,
+    MAX_EJECTIONS_PER_MINUTE,
+    MINUTE_MS,
+    REPORT_VALIDITY_MS,
+    OutlierEjection,
+)
+from caperdeck.leases.rounds import REVIEWS_PER_ROUND, RoundScheduler
 from caperdeck.leases.runner import (
     LEASE_SESSION,
     STATE_SESSION,
     Action,
-    SaveState,
-    RunnerEvent,
     Proposal,
     Runner,
+    RunnerEvent,
+    SaveState,
 )
-from caperdeck.leases.rounds import REVIEWS_PER_ROUND, RoundScheduler
 from caperdeck.leases.table import MAX_STATE_LENGTH, LeaseTable
 from caperdeck.leases.target import CENSUS, FLOOR_SHARE, HOSTS, MAX_EJECTED_SHARE, Target
-from caperdeck.leases.outlier_ejection import (
-    REPORT_VALIDITY_MS,
-    EJECTION_LEASE_MS,
-    MINUTE_MS,
-    FIRST_EJECTION_MS,
-    MAX_EJECTIONS_PER_MINUTE,
-    OutlierEjection,
-)
 
 SPAN = 1000.0
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -13,27 +13,27 @@
 import orjson
 import pytest
 import tomli_w
-from helpers import CONFIG, Wire, make_handler, free_ports, service_over, write
+from helpers import CONFIG, Wire, free_ports, make_handler, service_over, write
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
 from caperdeck.lab.cli import verdict
-from caperdeck.lab.owned_work import CHECKS, again, took
 from caperdeck.lab.oracle import judge
+from caperdeck.lab.owned_work import CHECKS, again, took
 from caperdeck.lab.real import RealFleet
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
+from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import Owned
 from caperdeck.lifecycle.owners import load as load_for_node
+from caperdeck.ops.admin_server import PATIENCE, Front
 from caperdeck.owner.commands import call_instance
-from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
 from caperdeck.owner.node_links import ANSWER_TIMEOUT_S, NodeLinks, action_line
 from caperdeck.owner.node_links import parse_answer as read_answer
-from caperdeck.ops.admin_server import PATIENCE, Front
 from caperdeck.raft.codec import encode, encode_frame
 from caperdeck.raft.core import TimeoutNow
 from caperdeck.raft.storage import Storage, StorageError
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab.sharing_network import Net
 from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
-from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.peers import codec
-from caperdeck.peers.codec import Heartbeat, DatagramError, MessageKind, Message, MemberState, MemberUpdate
+from caperdeck.peers.codec import DatagramError, Heartbeat, MemberState, MemberUpdate, Message, MessageKind
 from caperdeck.peers.swim import ACK_TIMEOUT_MS, MAX_PENDING_UPDATES, PING_PERIOD_MS, SUSPICION_PERIODS, Swim
 
 FLEET = codec.fleet_id(5, ["a"])
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -10,12 +10,21 @@
 
 import pytest
 from helpers import (
-    CONFIG, SETUP, free_ports, logged, make_handler, ping_until_ready, row, serve_lines, serve_list,
-    service_over, write,
+    CONFIG,
+    SETUP,
+    free_ports,
+    logged,
+    make_handler,
+    ping_until_ready,
+    row,
+    serve_lines,
+    serve_list,
+    service_over,
+    write,
 )  # fmt: skip
 
-from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
+from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.gossip.shared_decisions import SharedIdDecisions
 from caperdeck.gossip.sharing import SHARED_HEADROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
