--- a/caperdeck/gossip/counters.py
+++ b/caperdeck/gossip/counters.py
@@ -84,6 +84,7 @@
             del self.retired[next(iter(self.retired))]
 
     def total(self, subject: int) -> int:
+        """Returns the sum of the subject's counters over all members and lives."""
         return sum(
             counter.value for (key_subject, _, _), counter in self.stored.items() if key_subject == subject
         )
@@ -100,6 +101,7 @@
         return sum(rates), len(rates)
 
     def own_rate(self, subject: int, member: int, life: int) -> float:
+        """Returns the increase per millisecond of one member's counter."""
         counter = self.stored.get((subject, member, life))
         return 0.0 if counter is None else counter.rate
 
--- a/caperdeck/gossip/judgements.py
+++ b/caperdeck/gossip/judgements.py
@@ -72,9 +72,11 @@
         return None
 
     def mark_unsound(self, now: float, member: int) -> None:
+        """Ignores the judgements of a member that sees most hosts failing, for VALIDITY_MS."""
         self.unsound[member] = now + VALIDITY_MS
 
     def expire(self, now: float) -> None:
+        """Drops judgements that are no longer valid."""
         self.rows = {k: row for k, row in self.rows.items() if now - row[1] <= VALIDITY_MS}
         self.unsound = {m: until for m, until in self.unsound.items() if until > now}
 
--- a/caperdeck/gossip/sharing.py
+++ b/caperdeck/gossip/sharing.py
@@ -38,12 +38,12 @@
 class SharingFeatures(NamedTuple):
     """Uses of the shared state, each switched on by the operator; with all off there is membership alone."""
 
-    room: bool = False
-    cold: bool = False
-    prior: bool = False
-    lost: bool = False
-    weight: bool = False
-    full: bool = False
+    room: bool = False  # lends and borrows quota for the room of all hosts
+    cold: bool = False  # lends and borrows quota for hosts in slow start
+    prior: bool = False  # uses loads that peers have observed
+    lost: bool = False  # postpones probes of hosts that peers find lost
+    weight: bool = False  # uses the number of effective senders in the fleet
+    full: bool = False  # moves sessions off hosts that peers find overloaded
 
 
 class LocalObservations(NamedTuple):
@@ -59,23 +59,41 @@
 class Decisions(Protocol):
     """Interface to the decisions of this node."""
 
-    def observations(self, now: float) -> LocalObservations: ...
+    def observations(self, now: float) -> LocalObservations:
+        """Returns what this node has observed itself."""
+        ...
 
-    def wanted_quota(self, now: float) -> list[tuple[int, float]]: ...
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]:
+        """Returns the budgets that lack quota, and the amounts."""
+        ...
 
-    def lend(self, now: float, budget: int, limit: float) -> float: ...
+    def lend(self, now: float, budget: int, limit: float) -> float:
+        """Deducts up to `limit` from a budget and returns the amount."""
+        ...
 
-    def borrow(self, now: float, budget: int, amount: float, until: float) -> None: ...
+    def borrow(self, now: float, budget: int, amount: float, until: float) -> None:
+        """Adds an amount to a budget that expires at `until`."""
+        ...
 
-    def take_peer_load(self, now: float, host: int, load_ratio: float, observed_at: float) -> None: ...
+    def take_peer_load(self, now: float, host: int, load_ratio: float, observed_at: float) -> None:
+        """Uses the load of a host that a peer has observed."""
+        ...
 
-    def take_unreachable_report(self, now: float, host: int, until: float) -> None: ...
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None:
+        """Postpones probes of a host that peers find lost."""
+        ...
 
-    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]: ...
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
+        """Returns overloads observed since that time: host, load ratio, time."""
+        ...
 
-    def relieve_overloaded_host(self, now: float, host: int, load_ratio: float) -> None: ...
+    def relieve_overloaded_host(self, now: float, host: int, load_ratio: float) -> None:
+        """Moves sessions off a host whose overload is confirmed."""
+        ...
 
-    def set_sender_count(self, senders: float | None) -> None: ...
+    def set_sender_count(self, senders: float | None) -> None:
+        """Sets the number of effective senders, None if it is unknown."""
+        ...
 
 
 class Sharing:
@@ -106,9 +124,11 @@
 
     @property
     def due(self) -> float:
+        """Time of the next call of `tick` if nothing arrives before."""
         return min(self.swim.due, self.next_check_at)
 
     def tick(self, now: float) -> list[tuple[int, bytes]]:
+        """Runs what is due; returns datagrams by member."""
         sends = self.swim.tick(now)
         if now >= self.next_check_at:
             self.next_check_at = now + SHORTAGE_CHECK_MS * (0.75 + self.swim._random() / 2)
--- a/caperdeck/leases/census_state.py
+++ b/caperdeck/leases/census_state.py
@@ -48,6 +48,7 @@
 
 
 def digest(name: str) -> bytes:
+    """Returns the digest that identifies a node in a row."""
     return hashlib.blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
 
 
@@ -62,6 +63,7 @@
 
 
 def encode(state: CensusState) -> str:
+    """Encodes the state, by names if they fit and as rows otherwise."""
     text = orjson.dumps({
         "epoch": state.epoch, "want": dict(state.wanted_shares), "living": state.living,
         "held": dict(state.held_shares),
--- a/caperdeck/leases/expiry.py
+++ b/caperdeck/leases/expiry.py
@@ -36,6 +36,7 @@
 
     @property
     def renew_at(self) -> float:
+        """Time of the next renewal."""
         return self.expires_at - self.span * (1 - MAX_CLOCK_DRIFT) * (1 - RENEW_AT_SHARE)
 
     def next_command(self, now: float) -> dict[str, Any] | None:
--- a/caperdeck/leases/outlier_ejection.py
+++ b/caperdeck/leases/outlier_ejection.py
@@ -47,6 +47,7 @@
         self.begin(0.0, None)
 
     def begin(self, now: float, state: str | None) -> None:
+        """Restores the state of the previous owner."""
         saved = orjson.loads(state) if state else {}
         self.sequence: int = saved.get("number", 0)
         # There is no common clock with the previous owner, so its ejections count as made just now.
--- a/caperdeck/leases/rounds.py
+++ b/caperdeck/leases/rounds.py
@@ -40,6 +40,7 @@
 
     @property
     def due(self) -> float:
+        """Time of the next request."""
         while self.queue and not self._is_waiting(*self.queue[0]):
             heapq.heappop(self.queue)
         return self.queue[0][0] if self.queue else math.inf
@@ -63,6 +64,7 @@
             heapq.heappush(self.queue, (now, target))
 
     def record_sent(self, now: float, target: str, body: Any) -> None:
+        """Records that the request was sent and draws the target's time in the next round."""
         self.in_flight[target], self.sent_at[target] = body, now
         self.next_at[target] = now + self.interval * (0.75 + self._chance() / 2)
 
--- a/caperdeck/leases/runner.py
+++ b/caperdeck/leases/runner.py
@@ -63,15 +63,25 @@
     name: str
 
     @property
-    def due(self) -> float: ...
+    def due(self) -> float:
+        """Time of the next step if nothing arrives before."""
+        ...
 
-    def begin(self, now: float, state: str | None) -> None: ...
+    def begin(self, now: float, state: str | None) -> None:
+        """Restores the state that the previous owner saved; raises StateError if it cannot."""
+        ...
 
-    def next_step(self, now: float) -> SaveState | list[Action]: ...
+    def next_step(self, now: float) -> SaveState | list[Action]:
+        """Returns a state to commit, or the actions to send now."""
+        ...
 
-    def state_committed(self, now: float) -> None: ...
+    def state_committed(self, now: float) -> None:
+        """Called once the returned state is committed."""
+        ...
 
-    def handle_reply(self, now: float, target: str, reply: Any) -> None: ...
+    def handle_reply(self, now: float, target: str, reply: Any) -> None:
+        """Handles the reply of a target, None if there was none."""
+        ...
 
 
 class PendingProposal:
@@ -112,6 +122,7 @@
         return min(times)
 
     def tick(self, now: float) -> list[Proposal | Action | RunnerEvent]:
+        """Returns the proposals, actions and events that are due."""
         self._maintain_lease(now)
         for session in (LEASE_SESSION, STATE_SESSION):
             proposal = self.pending[session]
--- a/caperdeck/leases/table.py
+++ b/caperdeck/leases/table.py
@@ -23,6 +23,7 @@
         self.works: dict[str, dict[str, Any]] = {}
 
     def apply(self, command: Any) -> dict[str, Any]:
+        """Applies a replicated command and returns its answer."""
         if not isinstance(command, dict) or not isinstance(command.get("work"), str):
             return {"no": "no-work-named"}
         handler = {
@@ -44,6 +45,7 @@
         self.works = {name: dict(row) for name, row in state["works"].items()} if state else {}
 
     def row(self, work: str) -> dict[str, Any] | None:
+        """Returns the lease row of a work, or None if it was never acquired."""
         return self.works.get(work)
 
     # ---- commands
--- a/caperdeck/leases/target.py
+++ b/caperdeck/leases/target.py
@@ -97,10 +97,12 @@
         return apply
 
     def is_out(self, now: float, uid: str) -> bool:
+        """Tells whether the fleet has ejected the host."""
         return self.ejected_until.get(uid, -math.inf) > now
 
     @property
     def due(self) -> float:
+        """Time at which the next ejection expires."""
         return min(self.ejected_until.values(), default=math.inf)
 
     def tick(self, now: float) -> list[str]:
@@ -143,6 +145,7 @@
     # ---- metrics
 
     def lines(self, now: float) -> list[str]:
+        """Returns the metrics as lines."""
         rows = {
             "epoch": self.epoch, "share": round(self.share, 6), "living": self.living,
             "hosts_out": sum(until > now for until in self.ejected_until.values()),
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -96,6 +96,7 @@
         self.event_counts: dict[str, int] = {}
 
     def start(self) -> None:
+        """Listens for other instances and starts the main loop."""
         self.pool.start()
         if self.storage.torn_bytes:
             logger.warning("owner reason=torn-tail bytes={}", self.storage.torn_bytes)
@@ -105,6 +106,7 @@
         self._run_due()
 
     def close(self) -> None:
+        """Stops the instance; a write in progress is completed."""
         if not self.closed:
             self.closed = True
             self.driver.close()
--- a/caperdeck/owner/node_links.py
+++ b/caperdeck/owner/node_links.py
@@ -49,6 +49,7 @@
         self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), ANSWER_TIMEOUT_S)
 
     def send(self, line: bytes, on_reply: ReplyHandler) -> None:
+        """Sends an action, as soon as the connection is open."""
         self.pending.append(
             PendingAction(on_reply, self.reactor.callLater(ANSWER_TIMEOUT_S, self._timed_out))
         )
@@ -108,6 +109,7 @@
         self.links: dict[str, NodeLink] = {}
 
     def send(self, node: str, line: bytes, on_reply: ReplyHandler) -> None:
+        """Sends an action to a node, over its open connection or a new one."""
         link = self.links.get(node)
         if link is None or link.closed:
             link = self.links[node] = NodeLink(self.reactor, self.addresses[node])
--- a/caperdeck/owner/replicated_state.py
+++ b/caperdeck/owner/replicated_state.py
@@ -11,10 +11,12 @@
 
 
 def wrap_versions_command(command: dict[str, Any]) -> dict[str, Any]:
+    """Wraps a command for the configuration versions."""
     return {VERSIONS: command}
 
 
 def is_lease_command(command: Any) -> bool:
+    """Tells whether a command is for the lease table."""
     return not isinstance(command, dict) or VERSIONS not in command
 
 
--- a/caperdeck/owner/token_recovery.py
+++ b/caperdeck/owner/token_recovery.py
@@ -67,6 +67,7 @@
         self.stopped = False
 
     def recover(self, work: str) -> None:
+        """Starts looking up the token of a work unless this is in progress."""
         if work not in self.pending and not self.stopped:
             self._send_request(work)
 
--- a/caperdeck/peers/codec.py
+++ b/caperdeck/peers/codec.py
@@ -91,6 +91,7 @@
 
 
 def max_updates(kind: int) -> int:
+    """Returns the limit on updates in a message of that kind."""
     return MAX_GOSSIP_UPDATES if kind == MessageKind.GOSSIP else MAX_UPDATES
 
 
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -69,6 +69,7 @@
         self.rate, self.left, self.at = rate, rate, now
 
     def take(self, now: float) -> bool:
+        """Takes a token if there is one."""
         self.left = min(self.left + max(now - self.at, 0.0) * self.rate / 1000.0, self.rate)
         self.at = now
         if self.left < 1:
@@ -128,6 +129,7 @@
         return len(self.state)
 
     def drop(self, reason: str) -> None:
+        """Counts a datagram or event that was dropped for that reason."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # ---- queries
@@ -150,6 +152,7 @@
 
     @property
     def due(self) -> float:
+        """Time of the next call of `tick` if nothing arrives before."""
         due = (
             self.next_round_at
             if len(self.pending_updates) <= MAX_UPDATES
