--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import (
-    START, dials, entry, establish_sessions, make_node, report_loads, session_request, settings,
+    START, dials, establish_sessions, make_node, make_settings, report_loads, roster_entry, session_request,
 )  # fmt: skip
 
 from caperdeck.core.decide import ADMISSION_LIMIT
@@ -48,7 +48,7 @@
 
 
 def test_scarce_headroom_is_kept_for_sessions_of_higher_utility():
-    high = settings().listeners[0]
+    high = make_settings().listeners[0]
     node = make_node(4, listeners=(high, replace(high, utility=0.2)))
     report_loads(node, [0.8, 0.8, 0.8, ADMISSION_LIMIT - 0.15])
     assert not dials(node.open_session(START, session_request(1)._replace(listener=1, time_left=50.0)))
@@ -73,7 +73,7 @@
     node = make_node(6)
     report_loads(node, [0.2] * 6)
     node.preferred = [4, 5]
-    node.update_roster(START, RosterScope.CHANGES, [entry(h, state=HostState.GONE) for h in (4, 5)])
+    node.update_roster(START, RosterScope.CHANGES, [roster_entry(h, state=HostState.GONE) for h in (4, 5)])
     assert set(place_sessions(node, 6)) <= {0, 1, 2, 3}
 
 
@@ -147,7 +147,9 @@
 
 
 def test_the_nodes_zone_comes_first_until_it_has_no_headroom():
-    node = make_node(entries=[entry(0), entry(1, zone=1), entry(2, zone=1)], cross_zone_price=0.1)
+    node = make_node(
+        entries=[roster_entry(0), roster_entry(1, zone=1), roster_entry(2, zone=1)], cross_zone_price=0.1
+    )
     report_loads(node, [0.5, 0.1, 0.1])
     assert place_sessions(node) == [0]
     report_loads(node, [0.85, 0.1, 0.1])
@@ -385,7 +387,7 @@
     node = make_node(2)
     establish_sessions(node, 0, [10.0] * 5)
     report_loads(node, [0.5, 0.5])
-    node.update_roster(START, RosterScope.FULL, [entry(h, HostState.DRAINING) for h in range(2)])
+    node.update_roster(START, RosterScope.FULL, [roster_entry(h, HostState.DRAINING) for h in range(2)])
     assert Wake(500.0, -1) in node.timer_fired(START, -1)
 
 
@@ -394,7 +396,7 @@
     establish_sessions(node, 1, [10.0] * 20)
     report_loads(node, [0.0, 0.6, 0.6])
     before = node.headroom_share
-    node.update_roster(START, RosterScope.CHANGES, [entry(0, HostState.DRAINING)])
+    node.update_roster(START, RosterScope.CHANGES, [roster_entry(0, HostState.DRAINING)])
     node.timer_fired(START, -1)
     assert 0 < node.headroom_share < before / 2
 
@@ -453,7 +455,7 @@
 
 def test_a_host_whose_probe_failed_is_not_probed_again_at_once():
     # A draining host answers no probe, and all waiting sessions would probe it again, by the hundred.
-    node = make_node(2, entries=[entry(0)])
+    node = make_node(2, entries=[roster_entry(0)])
     node.probed_at = [-1e9]
     actions = node.open_session(START, session_request(1))
     assert Probe(0) in actions
--- a/tests/test_core_parts.py
+++ b/tests/test_core_parts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import START, entry, make_node, session_request, settings
+from helpers import START, make_node, make_settings, roster_entry, session_request
 
 from caperdeck.core.forecast import FORECAST_TAU_MS, forecast, take_load_note
 from caperdeck.core.host_table import HostTable
@@ -73,7 +73,7 @@
 
 
 def make_table(*entries) -> HostTable:
-    hosts = HostTable(settings())
+    hosts = HostTable(make_settings())
     for row in entries:
         hosts._apply_entry(START, row)
     hosts._refresh_subsets(START)
@@ -82,24 +82,24 @@
 
 def test_the_table_knows_running_hosts_those_in_the_zone_and_cold_ones():
     hosts = make_table(
-        entry(0), entry(1, zone=1), entry(2, HostState.DRAINING),
-        entry(3, started_at=START - 4000.0, size=2.0),
+        roster_entry(0), roster_entry(1, zone=1), roster_entry(2, HostState.DRAINING),
+        roster_entry(3, started_at=START - 4000.0, size=2.0),
     )  # fmt: skip
     assert (hosts.running, hosts.running_in_zone, hosts.cold) == ([0, 1, 3], [0, 3], [3])
     assert hosts.total_size == 4.0 and hosts._warm_share(START, 3) == pytest.approx(0.65)
 
 
 def test_a_restarted_host_loses_what_was_learned_and_keeps_its_sessions():
-    hosts = make_table(entry(0))
+    hosts = make_table(roster_entry(0))
     hosts.reported_load[0], hosts.failure_score[0], hosts.connections[0] = 0.5, 3.0, 2
-    hosts._apply_entry(START, entry(0, started_at=0.0))
+    hosts._apply_entry(START, roster_entry(0, started_at=0.0))
     assert (hosts.reported_load[0], hosts.failure_score[0]) == (0.5, 3.0)
-    hosts._apply_entry(START, entry(0, started_at=START - 10.0))
+    hosts._apply_entry(START, roster_entry(0, started_at=START - 10.0))
     assert (hosts.reported_load[0], hosts.failure_score[0], hosts.connections[0]) == (None, 0.0, 2)
 
 
 def test_a_banned_host_counts_as_draining_and_as_cold_after_its_ban():
-    hosts = make_table(entry(0), entry(1))
+    hosts = make_table(roster_entry(0), roster_entry(1))
     hosts._apply_ban(START, 0, True)
     hosts._refresh_subsets(START)
     assert (hosts.state[0], hosts.running) == (HostState.DRAINING, [1])
@@ -110,7 +110,7 @@
 
 def test_a_host_missing_from_a_complete_roster_is_gone():
     node = make_node(3)
-    node.update_roster(START, RosterScope.FULL, [entry(1)])
+    node.update_roster(START, RosterScope.FULL, [roster_entry(1)])
     assert node.listed_state == [HostState.GONE, HostState.RUNNING, HostState.GONE]
 
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -8,11 +8,12 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, at_host, entry, free_ports, make_handler, make_node, opening, opening_at,
-    ping_until_ready, row, serve_lines, serve_list, session_request, write,
+    CONFIG, RESUME_WITHIN_S, START, RecordingTransport, answer_as_host, free_ports, host_row, make_handler,
+    make_node, open_line, ping_until_ready, resume_line, roster_entry, serve_host_list, serve_lines,
+    session_request, write_config,
 )  # fmt: skip
 from node_processes import connected
-from test_race_conditions import HEADERS, Agent
+from test_race_conditions import HEADERS, FakeDiscovery
 from twisted.internet.testing import MemoryReactorClock
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -29,19 +30,21 @@
     """A node as a process; all hosts of its list are one simulated host."""
 
     def __init__(self, folder, servers):
-        port = serve_lines(at_host)
-        rows = [row(f"s-{i:08x}", port=port) for i in range(servers)]
+        port = serve_lines(answer_as_host)
+        rows = [host_row(f"s-{i:08x}", port=port) for i in range(servers)]
         self.port = free_ports(1)[0]
         config = CONFIG | {
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{serve_list(*rows)}",
+            "discovery": f"127.0.0.1:{serve_host_list(*rows)}",
             "limits": {"sockets": SPARE_DESCRIPTORS + 2 * ESTABLISHED},
             "known": {"rev": 41, "all": True, "targets": rows},
         }
         self.sockets = []
         with open(folder / "log", "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "caperdeck", "serve"], env=write(folder / "c", config), stderr=log
+                [sys.executable, "-m", "caperdeck", "serve"],
+                env=write_config(folder / "c", config),
+                stderr=log,
             )
 
     def client(self, line):
@@ -78,10 +81,10 @@
 # Guards against losing the connections established before a node's start in a fleet of thousands of hosts.
 @pytest.mark.parametrize("fleet", [1200, 3200], indirect=True)
 def test_earlier_connections_are_resumed_in_a_fleet_of_thousands_of_hosts(fleet):
-    until = time.monotonic() + UP_WITHIN
+    until = time.monotonic() + RESUME_WITHIN_S
     ping_until_ready(fleet.port, until)
     for i in range(ESTABLISHED):
-        fleet.client(opening_at(i, f"s-{7 * i:08x}"))
+        fleet.client(resume_line(i, f"s-{7 * i:08x}"))
     assert fleet.answers(until) == [b"UP r1\r\n"] * ESTABLISHED
 
 
@@ -90,7 +93,7 @@
 def test_new_clients_are_served_in_a_fleet_of_thousands_of_hosts(fleet):
     ping_until_ready(fleet.port, time.monotonic() + READY_WITHIN)
     for i in range(ESTABLISHED):
-        fleet.client(opening(i))
+        fleet.client(open_line(i))
     assert fleet.answers(time.monotonic() + 5.0) == [b"UP r1\r\n"] * ESTABLISHED
 
 
@@ -99,7 +102,7 @@
     d.probes.probe(host, d.hosts.addresses[host])
     if answers:
         conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
-        conn.makeConnection(Wire())
+        conn.makeConnection(RecordingTransport())
         conn.dataReceived(b"PONG x0=0.2\r\n")
 
 
@@ -149,7 +152,7 @@
     """A node of a fleet of 200 during a release; with more hosts each is smaller, at the same total load."""
     started_at = [START - 2000.0] * cold + [0.0] * (servers - cold)
     node = make_node(
-        nodes=200, entries=[entry(h, zone=h % 3, started_at=started_at[h]) for h in range(servers)]
+        nodes=200, entries=[roster_entry(h, zone=h % 3, started_at=started_at[h]) for h in range(servers)]
     )
     for h in range(0, servers, servers // 60):
         node.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
@@ -184,7 +187,7 @@
 
 
 def large_list(servers):
-    rows = [row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
+    rows = [host_row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
     return orjson.dumps({"rev": 9, "all": True, "targets": rows}) + b"\n"
 
 
@@ -199,7 +202,7 @@
     """Processor seconds to read a list of this many hosts in pieces of this size."""
     heard, text = [], large_list(servers)
     body = WatchBody(make_watch(MemoryReactorClock(), heard))
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     began = time.process_time()
     for at in range(0, len(text), size):
         body.dataReceived(text[at : at + size])
@@ -213,41 +216,43 @@
     assert many < 2 * 8 * few
 
 
-def send_list_over(seconds, agent):
+def send_list_over(seconds, discovery):
     """Sends the answer to the last call, with the list of a large fleet, evenly over this time."""
-    sock, text, watch = agent.accepted[-1], large_list(3200), agent.watch
+    sock, text, watch = discovery.accepted[-1], large_list(3200), discovery.watch
     sock.send(HEADERS + b"%x\r\n" % len(text))
-    agent.reactor.until(lambda: watch.body)
+    discovery.reactor.run_until(lambda: watch.body)
     steps = round(seconds / 0.1)
     for i in range(steps):
         end = len(text) * (i + 1) // steps
         sock.send(text[len(text) * i // steps : end])
         # the kernel takes real time, which the reactor's clock does not show
-        agent.reactor.until(lambda end=end: not watch.body or agent.told or watch.body.length >= end)
-        agent.step("hangs", 0.1)
+        discovery.reactor.run_until(
+            lambda end=end: not watch.body or discovery.received_at or watch.body.length >= end
+        )
+        discovery.run("hangs", 0.1)
 
 
 # Guards against never reading a list that takes longer to arrive than a node waits for the end of a line.
 @pytest.mark.parametrize("seconds", [2.8, 5.0])
 def test_a_list_that_arrives_slowly_is_read(seconds):
-    agent = Agent()
-    agent.watch.start()
-    agent.step("hangs", 0.1)
+    discovery = FakeDiscovery()
+    discovery.watch.start()
+    discovery.run("hangs", 0.1)
     for _ in range(4):
         with suppress(OSError):
-            send_list_over(seconds, agent)
-        agent.step("hangs", 1.5)
-        if agent.told:
+            send_list_over(seconds, discovery)
+        discovery.run("hangs", 1.5)
+        if discovery.received_at:
             break
-    agent.close()
-    assert len(agent.told) == 1
+    discovery.close()
+    assert len(discovery.received_at) == 1
 
 
 # Guards against counting the time that a line may take from the beginning of an earlier one.
 def test_each_line_of_a_watch_has_its_own_time_limit():
     line = LineInProgress()
-    line.heard(0.0, ended=False, unfinished=True)
-    line.heard(5.0, ended=True, unfinished=True)
-    assert line.comes(5.4) and not line.comes(5.6)
-    line.heard(5.5, ended=True, unfinished=False)
-    assert not line.comes(5.5)
+    line.bytes_received(0.0, ended=False, unfinished=True)
+    line.bytes_received(5.0, ended=True, unfinished=True)
+    assert line.is_arriving(5.4) and not line.is_arriving(5.6)
+    line.bytes_received(5.5, ended=True, unfinished=False)
+    assert not line.is_arriving(5.5)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -5,7 +5,7 @@
 import zlib
 
 import pytest
-from helpers import START, dials, entry, make_node, report_loads, session_request
+from helpers import START, dials, make_node, report_loads, roster_entry, session_request
 
 from caperdeck.core.model import (
     Dial, Effect, HostState, Outcome, Refuse, RosterScope, Scope, TearDown, Withdraw,
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("scope, attribute", [(Scope.ZONE, "zone"), (Scope.CELL, "cell")])
 def test_a_referenced_session_that_may_have_run_stays_in_its_dedup_group(scope, attribute):
-    node = make_node(entries=[entry(h, zone=h % 2, cell=h % 2) for h in range(6)],
+    node = make_node(entries=[roster_entry(h, zone=h % 2, cell=h % 2) for h in range(6)],
              effect=Effect.REFERENCED, scope=scope)  # fmt: skip
     first = dials(node.open_session(START, session_request(1)))[0].host
     second = dials(fail_dial(node, 1, 0, Outcome.LATE))[0].host
@@ -71,15 +71,19 @@
     # Only the host's group knew of the first dial, and a restarted process remembers nothing.
     node = make_node(1, effect=Effect.REFERENCED)
     node.open_session(START, session_request(1))
-    node.update_roster(START + 10, RosterScope.CHANGES, [entry(0, started_at=START + 5)])
+    node.update_roster(START + 10, RosterScope.CHANGES, [roster_entry(0, started_at=START + 5)])
     assert not dials(fail_dial(node, 1, 0, Outcome.RESET, START + 20))
 
 
 def test_a_repeat_goes_to_the_dedup_group_that_the_first_host_had_at_its_dial():
     # A changed roster entry moves the host to a group that does not know of the first dial.
-    node = make_node(entries=[entry(0, cell=1)], effect=Effect.REFERENCED, scope=Scope.CELL)
+    node = make_node(entries=[roster_entry(0, cell=1)], effect=Effect.REFERENCED, scope=Scope.CELL)
     node.open_session(START, session_request(1))
-    node.update_roster(START, RosterScope.CHANGES, [entry(0, cell=2), entry(1, cell=2), entry(2, cell=1)])
+    node.update_roster(
+        START,
+        RosterScope.CHANGES,
+        [roster_entry(0, cell=2), roster_entry(1, cell=2), roster_entry(2, cell=1)],
+    )
     node.probed_at = [START] * 3
     assert dials(fail_dial(node, 1, 0, Outcome.ERROR))[0].host == 2
 
@@ -105,7 +109,7 @@
 
 
 def test_a_session_that_finds_no_host_waits_briefly_and_is_refused():
-    node = make_node(entries=[entry(0, HostState.DRAINING), entry(1, HostState.GONE)])
+    node = make_node(entries=[roster_entry(0, HostState.DRAINING), roster_entry(1, HostState.GONE)])
     now, actions = START, node.open_session(START, session_request(1))
     while not isinstance(actions[0], Refuse):
         now += actions[0].after
@@ -122,9 +126,9 @@
 
 
 @pytest.mark.parametrize("scope, entries", [
-    (RosterScope.CHANGES, [entry(0, HostState.DRAINING)]),
-    (RosterScope.CHANGES, [entry(0, HostState.GONE)]),
-    (RosterScope.FULL, [entry(1)]),
+    (RosterScope.CHANGES, [roster_entry(0, HostState.DRAINING)]),
+    (RosterScope.CHANGES, [roster_entry(0, HostState.GONE)]),
+    (RosterScope.FULL, [roster_entry(1)]),
 ])  # fmt: skip
 def test_no_session_goes_to_a_host_that_drains_or_is_gone(scope, entries):
     node = make_node(2)
@@ -149,7 +153,7 @@
     rng = random.Random(seed)
 
     def start_node(i, life, at):
-        entries = [entry(0, started_at=START), entry(1)]
+        entries = [roster_entry(0, started_at=START), roster_entry(1)]
         node = make_node(
             entries=entries,
             nodes=nodes,
@@ -233,7 +237,9 @@
     sent = {10.0: 0, 100.0: 0}
     for seed in range(400):
         for load in sent:
-            node = make_node(entries=[entry(0, started_at=START), entry(1)], nodes=40, seed=seed * 0x9E3779B1)
+            node = make_node(
+                entries=[roster_entry(0, started_at=START), roster_entry(1)], nodes=40, seed=seed * 0x9E3779B1
+            )
             node.unit_capacity, node.mean_hint = 1600.0, 10.0
             report_loads(node, [0.0, 0.5])
             node.probed_at = [START + 900.0] * 2
@@ -244,7 +250,7 @@
 def test_unused_capacity_of_cold_hosts_is_no_headroom_for_warm_ones():
     shares = []
     for started_at in (0.0, START):
-        node = make_node(entries=[entry(h, started_at=started_at * (h < 5)) for h in range(10)])
+        node = make_node(entries=[roster_entry(h, started_at=started_at * (h < 5)) for h in range(10)])
         node.unit_capacity = 1000.0
         report_loads(node, [0.0] * 5 + [0.65] * 5)
         shares.append(node.headroom_share)
@@ -255,7 +261,7 @@
     node = make_node(2)
     node._record_load(START, 0, 0.99)
     node.failure_score[0] = 5.0
-    node.update_roster(START, RosterScope.CHANGES, [entry(0, started_at=START)])
+    node.update_roster(START, RosterScope.CHANGES, [roster_entry(0, started_at=START)])
     assert (
         node.reported_load[0] is None
         and node.failure_score[0] == 0
