--- a/caperdeck/lab/faults.py
+++ b/caperdeck/lab/faults.py
@@ -294,7 +294,7 @@
                 self.driver.hold(a, b, on)
         else:
             for a, b in pairs:
-                trouble = self.driver.links.trouble(a, b)
+                trouble = self.driver.links.link_faults(a, b)
                 if fault.do == "delay":
                     trouble.delay = fault.spread if on else (0.0, 0.0)
                 else:
--- a/caperdeck/lab/real.py
+++ b/caperdeck/lab/real.py
@@ -266,7 +266,7 @@
         self.workers["relay"].tell("hold", a=a, b=b, on=on)
 
     def changed(self, a: str, b: str) -> None:
-        trouble = self.links.trouble(a, b)
+        trouble = self.links.link_faults(a, b)
         values = {key: getattr(trouble, key) for key in ("loss", "double", "reorder", "delay", "cut")}
         self.workers["relay"].tell("trouble", a=a, b=b, values=values)
 
--- a/caperdeck/lab/relay.py
+++ b/caperdeck/lab/relay.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Protocol, ServerFactory
 from zope.interface import implementer
 
-from .links import Edge, Links, Pipe
+from .links import ConnectionRecorder, Links, Pipe
 from .ports import Ports
 
 FIN, RST = object(), object()
@@ -71,7 +71,7 @@
         a, b, reactor = way.a, way.b, relay.reactor
         self.near, self.far = Side(self, True), Side(self, False)
         kind = {"h": "host", "d": "list"}.get(b[0]) if a[0] == "n" else None
-        self.edge = Edge(kind, a, b, relay.emit) if kind else None
+        self.recorder = ConnectionRecorder(kind, a, b, relay.emit) if kind else None
         self.forth = Pipe(relay.links, reactor.seconds, reactor.callLater, a, b, self.deliver_far)
         self.back = Pipe(relay.links, reactor.seconds, reactor.callLater, b, a, self.deliver_near)
         self.early: list[Any] = []
@@ -111,12 +111,12 @@
             return
         if item is FIN or item is RST:
             self.shut.add(side.near)
-            if side.near and self.edge is not None:
-                self.edge.ended("node")
+            if side.near and self.recorder is not None:
+                self.recorder.connection_ended("node")
             if len(self.shut) == 2:
                 self.way.joints.pop(self, None)
-        elif side.near and self.edge is not None:
-            self.edge.wrote(item)
+        elif side.near and self.recorder is not None:
+            self.recorder.data_sent(item)
         (self.forth if side.near else self.back).put(item)
 
     def deliver_far(self, item: Any) -> None:
@@ -137,16 +137,16 @@
             self.way.relay.emit("withheld", who=self.way.a, to=self.way.b, work=work, token=token)
 
     def deliver_near(self, item: Any) -> None:
-        if self.edge is not None:
+        if self.recorder is not None:
             if isinstance(item, bytes):
-                self.edge.arrived(item)
+                self.recorder.data_received(item)
             else:
-                self.edge.ended("far")
+                self.recorder.connection_ended("far")
         self.near.put(item)
 
     def reset(self) -> None:
-        if self.edge is not None:
-            self.edge.ended("far")
+        if self.recorder is not None:
+            self.recorder.connection_ended("far")
         for side in (self.near, self.far):
             if side.transport is not None and not side.over:
                 side.transport.abortConnection()
@@ -248,7 +248,7 @@
 
     def datagram(self, a: str, b: str, data: bytes) -> None:
         for to in (n for n in self.peers if n != a) if b == "*" else (b,):
-            late = self.links.datagram(a, to)
+            late = self.links.datagram_delays(a, to)
             self.emit("datagram", who=a, to=to, size=len(data), ok=len(data) <= 256)
             for wait in late:
                 self.reactor.callLater(wait / 1000.0, self._send, a, to, data)
@@ -265,7 +265,7 @@
                 way.mind()
 
     def trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
-        trouble = self.links.trouble(a, b)
+        trouble = self.links.link_faults(a, b)
         cut = values.pop("cut")
         for key, value in values.items():
             setattr(trouble, key, tuple(value) if isinstance(value, list) else value)
--- a/caperdeck/lab/simulated/__init__.py
+++ b/caperdeck/lab/simulated/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated processes with reactors, connections and datagrams in memory, on one virtual clock."""
+"""Simulated processes whose reactors, connections and datagrams are in memory, on one virtual clock."""
--- a/caperdeck/lab/simulated/clock.py
+++ b/caperdeck/lab/simulated/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: Twisted's clock with a heap under it, for tens of thousands of calls."""
+"""Virtual time: a Twisted clock that keeps its calls in a heap, for tens of thousands of pending calls."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from twisted.internet.task import Clock
 
 
-class Soon:
-    """A call that is never put off: all that the links need."""
+class FixedCall:
+    """A call that can be cancelled but not rescheduled, which is all that links need."""
 
     __slots__ = ("cancelled", "func", "args")
 
@@ -25,8 +25,8 @@
         self.cancelled = True
 
 
-class Heap(Clock):
-    """Twisted's clock with a heap under it, for tens of thousands of calls; places hold their own back."""
+class HeapClock(Clock):
+    """A Twisted clock on a heap. A suspended process holds its own due calls back."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,8 +38,8 @@
         self.push(call)
         return call
 
-    def soon(self, delay: float, f: Callable, *args: Any) -> Soon:
-        call = Soon(f, args)
+    def schedule(self, delay: float, f: Callable, *args: Any) -> FixedCall:
+        call = FixedCall(f, args)
         self.count += 1
         heapq.heappush(self.heap, (self.rightNow + delay, self.count, call))
         return call
@@ -49,11 +49,11 @@
         heapq.heappush(self.heap, (call.time, self.count, call))
 
     def run(self, until: float) -> None:
-        """Plays all that is due up to that second."""
+        """Runs all calls that are due until this time, in seconds."""
         heap, pop = self.heap, heapq.heappop
         while heap and heap[0][0] <= until:
             at, _, call = pop(heap)
-            if type(call) is Soon:
+            if type(call) is FixedCall:
                 if not call.cancelled:
                     self.rightNow = at
                     call.func(*call.args)
@@ -66,8 +66,8 @@
                 self.push(call)
                 continue
             self.rightNow = max(at, self.rightNow)
-            place = getattr(call, "place", None)
-            if place is not None and place.holds(call):
+            process = getattr(call, "process", None)
+            if process is not None and process.holds_back(call):
                 continue
             call.called = 1
             call.func(*call.args, **call.kw)
--- a/caperdeck/lab/simulated/connector.py
+++ b/caperdeck/lab/simulated/connector.py
@@ -1,4 +1,4 @@
-"""The side that asks for a connection in memory; it comes up, is refused, or times out."""
+"""The connecting side of an in-memory connection, which is established, refused, or times out."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError, UserError
 from twisted.python.failure import Failure
 
-from .process import Process
+from .process import SimulatedProcess
 from .transport import Transport
 from .world import Address, World
 
 
 class Connector:
-    def __init__(self, place: Process, address: Address, factory: Any, timeout: float) -> None:
-        self.place, self.address, self.factory, self.timeout = place, address, factory, timeout
+    """Connects once to an address, with the interface of a Twisted connector."""
+
+    def __init__(self, process: SimulatedProcess, address: Address, factory: Any, timeout: float) -> None:
+        self.process, self.address, self.factory, self.timeout = process, address, factory, timeout
         self.end: Transport | None = None
         self.state = "connecting"
         self.timer: Any = None
@@ -26,33 +28,33 @@
     def connect(self) -> None:
         self.factory.doStart()
         self.factory.startedConnecting(self)
-        world = self.place.world
-        self.timer = self.place.callLater(self.timeout, self.fail, TimeoutError())
-        # as the real one, no connection comes up or fails within the call itself
-        self.place.callLater(0, self._knock, world)
+        world = self.process.world
+        self.timer = self.process.callLater(self.timeout, self.fail, TimeoutError())
+        # As with the real reactor, a connection is neither established nor refused within this call.
+        self.process.callLater(0, self._send_connect_request, world)
 
-    def _knock(self, world: World) -> None:
+    def _send_connect_request(self, world: World) -> None:
         if self.state != "connecting":
             return
-        far = world.listening.get(self.address)
-        name = far.place.name if far is not None else world.names.get(self.address, "")
-        here = self.place.name
+        far = world.listening_ports.get(self.address)
+        name = far.process.name if far is not None else world.process_names.get(self.address, "")
+        here = self.process.name
         if not world.links.reachable(here, name):
-            return  # nothing comes back; the time-out tells
+            return  # no answer can come back, so the attempt ends by its timeout
         there = world.links.delay(here, name) / 1000.0
-        world.clock.soon(there, self._reach, world, name)
+        world.clock.schedule(there, self._deliver_connect_request, world, name)
 
-    def _reach(self, world: World, name: str) -> None:
-        far, here = world.listening.get(self.address), self.place.name
+    def _deliver_connect_request(self, world: World, name: str) -> None:
+        far, here = world.listening_ports.get(self.address), self.process.name
         back = world.links.delay(name, here) / 1000.0
         if far is None:
-            world.clock.soon(back, self.place.act, self.fail, ConnectionRefusedError())
+            world.clock.schedule(back, self.process.act, self.fail, ConnectionRefusedError())
             return
-        near, end = Transport.pair(self.place, far.place, self.address)
-        far.place.act(far.accept, end)
-        world.clock.soon(back, self.place.act, self._up, near)
+        near, end = Transport.pair(self.process, far.process, self.address)
+        far.process.act(far.accept, end)
+        world.clock.schedule(back, self.process.act, self._connection_established, near)
 
-    def _up(self, near: Transport) -> None:
+    def _connection_established(self, near: Transport) -> None:
         if self.state != "connecting" or near.lost:
             near.reset("node")
             if self.state == "connecting":
@@ -63,7 +65,7 @@
         self.end = near
         near.connector = self
         protocol = self.factory.buildProtocol(near.getPeer())
-        near.join(protocol)
+        near.attach_protocol(protocol)
 
     def fail(self, error: Exception) -> None:
         if self.state != "connecting":
--- a/caperdeck/lab/simulated/port.py
+++ b/caperdeck/lab/simulated/port.py
@@ -1,4 +1,4 @@
-"""The listening side of connections in memory."""
+"""The listening side of in-memory connections."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from twisted.internet.address import IPv4Address
 
-from .process import Process
+from .process import SimulatedProcess
 from .transport import Transport
 from .world import Address
 
 
 class Port:
-    """A listening side."""
+    """A listening port, with the interface of a Twisted port."""
 
-    def __init__(self, place: Process, address: Address, factory: Any) -> None:
-        self.place, self.address, self.factory = place, address, factory
-        self.reads = True
+    def __init__(self, process: SimulatedProcess, address: Address, factory: Any) -> None:
+        self.process, self.address, self.factory = process, address, factory
+        self.reading = True
         self.queue: list[Transport] = []
 
     def getHost(self) -> IPv4Address:
@@ -24,29 +24,29 @@
 
     def startListening(self) -> None:
         self.factory.doStart()
-        self.place.world.listening[self.address] = self
-        self.place.world.names[self.address] = self.place.name
-        self.place.ports[self] = None
+        self.process.world.listening_ports[self.address] = self
+        self.process.world.process_names[self.address] = self.process.name
+        self.process.ports[self] = None
 
     def stopListening(self) -> None:
-        if self.place.world.listening.get(self.address) is self:
-            del self.place.world.listening[self.address]
-        self.place.ports.pop(self, None)
+        if self.process.world.listening_ports.get(self.address) is self:
+            del self.process.world.listening_ports[self.address]
+        self.process.ports.pop(self, None)
         queue, self.queue = self.queue, []
         for end in queue:
             end.reset("far")
 
     def startReading(self) -> None:
-        self.reads = True
+        self.reading = True
         queue, self.queue = self.queue, []
         for end in queue:
-            self.place.callLater(0, self.accept, end)
+            self.process.callLater(0, self.accept, end)
 
     def stopReading(self) -> None:
-        self.reads = False
+        self.reading = False
 
     def accept_pending(self) -> bool:
-        """Takes in those who wait; whether nobody waits any more."""
+        """Accepts all pending connections; returns whether none is left."""
         queue, self.queue = self.queue, []
         for end in queue:
             self._take(end)
@@ -56,7 +56,7 @@
         return -1
 
     def accept(self, end: Transport) -> None:
-        if not self.reads:
+        if not self.reading:
             self.queue.append(end)
             return
         self._take(end)
@@ -66,4 +66,4 @@
         if protocol is None:
             end.abortConnection()
             return
-        end.join(protocol)
+        end.attach_protocol(protocol)
--- a/caperdeck/lab/simulated/process.py
+++ b/caperdeck/lab/simulated/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: its clock, its timers, and what becomes of them when it is suspended or dies."""
+"""A simulated process: its clock and its timers, and what happens to them when it is suspended or dies."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from .world import World
 
-LEAST = 1e-6  # seconds: the shortest wait that is one
+MIN_DELAY_S = 1e-6  # the shortest delay that is not rounded to none
 
 
-class Process(Suspendable):
-    """Its timers and what arrives for it wait while it is suspended, and are lost when it dies.
+class SimulatedProcess(Suspendable):
+    """A process whose timers and input wait while it is suspended, and are lost when it dies.
 
-    Once it is resumed, timers that ran out come before what lies in the sockets.
+    When it is resumed, overdue timers run before unread input is delivered.
     """
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__()
         self.world, self.name = world, name
         self.overdue: list[DelayedCall] = []
-        self.ends: dict[Any, None] = {}  # Transport
-        self.ports: dict[Any, None] = {}  # Port and Socket
-        self.rate, self.offset = 1.0, 0.0  # of its clock
-        self.exited: Callable[[], None] = lambda: None
+        self.connections: dict[Any, None] = {}  # Transport objects
+        self.ports: dict[Any, None] = {}  # Port and Socket objects
+        self.rate, self.offset = 1.0, 0.0  # of the local clock; offset in seconds
+        self.on_exit: Callable[[], None] = lambda: None
 
-    # ---- the process
+    # ---- lifecycle
 
-    def holds(self, call: DelayedCall) -> bool:
-        """Whether a timer that is due does not run now."""
+    def holds_back(self, call: DelayedCall) -> bool:
+        """Whether a due timer must not run now; one of a suspended process is kept until it is resumed."""
         if self.suspended and self.up:
             self.overdue.append(call)
         return self.suspended or not self.up
@@ -47,19 +47,19 @@
         super().resume()
 
     def die(self) -> None:
-        """The process is gone: its connections are reset, its ports refuse."""
+        """Kills the process: its connections are reset and its ports refuse connections."""
         if not self.up:
             return
         self.up = False
         for port in list(self.ports):
             port.stopListening()
-        for end in list(self.ends):
+        for end in list(self.connections):
             end.reset("killed")
 
     def stop(self) -> None:
-        """The process ends by itself."""
+        """Ends the process by its own decision."""
         self.die()
-        self.exited()
+        self.on_exit()
 
     # ---- time
 
@@ -67,11 +67,11 @@
         return self.world.clock.rightNow * self.rate + self.offset
 
     def callLater(self, delay: float, f: Callable, *args: Any, **kw: Any) -> DelayedCall:
-        # Danger: on a clock that drifts a wait can round to nothing, and a loop that comes early by a
-        # rounding asks for it again and again in one instant.
-        wait = max(delay / self.rate, LEAST) if delay > 0 else 0.0
+        # On a clock that drifts, a short delay can round to zero. A loop that wakes early by a rounding
+        # error would then schedule itself again and again at the same instant.
+        wait = max(delay / self.rate, MIN_DELAY_S) if delay > 0 else 0.0
         call = self.world.clock.callLater(wait, f, *args, **kw)
-        call.place = self
+        call.process = self
         return call
 
     def callFromThread(self, f: Callable, *args: Any, **kw: Any) -> None:
--- a/caperdeck/lab/simulated/reactor.py
+++ b/caperdeck/lab/simulated/reactor.py
@@ -6,12 +6,12 @@
 
 from .connector import Connector
 from .port import Port
-from .process import Process
+from .process import SimulatedProcess
 from .socket import Socket
 
 
-class Place(Process):
-    """A reactor as far as the program uses one."""
+class SimulatedReactor(SimulatedProcess):
+    """Implements the reactor methods that the program uses."""
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None,
@@ -21,9 +21,9 @@
         return connector
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
-        listening = Port(self, (interface, port or self.world.number()), factory)
+        listening = Port(self, (interface, port or self.world.next_port()), factory)
         listening.startListening()
         return listening
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Socket:
-        return Socket(self, (interface, port or self.world.number()), protocol)
+        return Socket(self, (interface, port or self.world.next_port()), protocol)
--- a/caperdeck/lab/simulated/socket.py
+++ b/caperdeck/lab/simulated/socket.py
@@ -1,4 +1,4 @@
-"""A datagram socket in memory."""
+"""An in-memory datagram socket."""
 
 from __future__ import annotations
 
@@ -6,40 +6,42 @@
 
 from twisted.internet.address import IPv4Address
 
-from caperdeck.lab.links import DATAGRAM
+from caperdeck.lab.links import MAX_DATAGRAM_BYTES
 
-from .process import Process
+from .process import SimulatedProcess
 from .world import Address
 
 
 class Socket:
-    """A datagram socket."""
+    """A datagram socket, with the interface of a Twisted UDP port."""
 
-    def __init__(self, place: Process, address: Address, protocol: Any) -> None:
-        self.place, self.address, self.protocol = place, address, protocol
-        place.world.datagrams[address] = self
-        place.ports[self] = None
+    def __init__(self, process: SimulatedProcess, address: Address, protocol: Any) -> None:
+        self.process, self.address, self.protocol = process, address, protocol
+        process.world.datagram_sockets[address] = self
+        process.ports[self] = None
         protocol.makeConnection(self)
 
     def getHost(self) -> IPv4Address:
         return IPv4Address("UDP", *self.address)
 
     def stopListening(self) -> None:
-        self.place.world.datagrams.pop(self.address, None)
-        self.place.ports.pop(self, None)
+        self.process.world.datagram_sockets.pop(self.address, None)
+        self.process.ports.pop(self, None)
 
     def write(self, data: bytes, address: Address) -> None:
-        world = self.place.world
-        for to in world.everyone.get(address, [address]):
+        world = self.process.world
+        for to in world.broadcast_members.get(address, [address]):
             if to == self.address:
                 continue
-            far = world.datagrams.get(to)
-            name = far.place.name if far is not None else ""
-            world.emit("datagram", who=self.place.name, to=name, size=len(data), ok=len(data) <= DATAGRAM)
-            for late in world.links.datagram(self.place.name, name) if far is not None else ():
-                world.clock.soon(late / 1000.0, self._arrive, to, bytes(data))
+            far = world.datagram_sockets.get(to)
+            name = far.process.name if far is not None else ""
+            world.emit(
+                "datagram", who=self.process.name, to=name, size=len(data), ok=len(data) <= MAX_DATAGRAM_BYTES
+            )
+            for late in world.links.datagram_delays(self.process.name, name) if far is not None else ():
+                world.clock.schedule(late / 1000.0, self._arrive, to, bytes(data))
 
     def _arrive(self, to: Address, data: bytes) -> None:
-        far = self.place.world.datagrams.get(to)
+        far = self.process.world.datagram_sockets.get(to)
         if far is not None:
-            far.place.act(far.protocol.datagramReceived, data, self.address)
+            far.process.act(far.protocol.datagramReceived, data, self.address)
--- a/caperdeck/lab/simulated/transport.py
+++ b/caperdeck/lab/simulated/transport.py
@@ -1,4 +1,4 @@
-"""One end of a connection in memory, as Twisted has it."""
+"""One end of an in-memory connection, with the interface of a Twisted transport."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.python.failure import Failure
 
-from caperdeck.lab.links import Edge, Pipe
+from caperdeck.lab.links import ConnectionRecorder, Pipe
 
-from .process import Process
+from .process import SimulatedProcess
 from .world import Address
 
 FIN, RST = object(), object()
 
 
 class Transport:
-    """One end of a connection."""
+    """One end of a connection; `peer` is the other end."""
 
     disconnecting = False
     disconnected = False
@@ -26,33 +26,37 @@
     producer: Any = None
 
     @classmethod
-    def pair(cls, near: Process, far: Process, address: Address) -> tuple[Transport, Transport]:
+    def pair(
+        cls, near: SimulatedProcess, far: SimulatedProcess, address: Address
+    ) -> tuple[Transport, Transport]:
         a, b = cls(near, far, address), cls(far, near, address)
         a.peer, b.peer = b, a
         kind = {"h": "host", "d": "list"}.get(far.name[0]) if near.name[0] == "n" else None
-        a.edge = Edge(kind, near.name, far.name, near.world.emit) if kind else None
+        a.recorder = ConnectionRecorder(kind, near.name, far.name, near.world.emit) if kind else None
         return a, b
 
-    def __init__(self, place: Process, far: Process, address: Address) -> None:
-        self.place, self.far, self.address = place, far, address
+    def __init__(self, process: SimulatedProcess, far: SimulatedProcess, address: Address) -> None:
+        self.process, self.peer_process, self.address = process, far, address
         self.peer: Transport = self
-        self.edge: Edge | None = None
-        clock = place.world.clock
-        self.pipe = Pipe(place.world.links, clock.seconds, clock.soon, place.name, far.name, self._over)
+        self.recorder: ConnectionRecorder | None = None
+        clock = process.world.clock
+        self.pipe = Pipe(
+            process.world.links, clock.seconds, clock.schedule, process.name, far.name, self._arrive
+        )
         self.protocol: Any = None
         self.connector: Any = None
-        self.shut = self.closed = self.lost = self.far_shut = self.paused = False
-        self.broken = False  # a reset lies there, read or not: nothing can be written any more
-        self.early: list[Any] = []  # arrived before anybody reads
-        place.ends[self] = None
+        self.write_closed = self.closed = self.lost = self.peer_write_closed = self.paused = False
+        self.reset_received = False  # even before the process has read the reset, writes fail
+        self.unread: list[Any] = []  # items that arrived before a protocol was attached, or while paused
+        process.connections[self] = None
 
-    # ---- what goes out
+    # ---- output
 
     def write(self, data: bytes) -> None:
-        if self.shut or self.closed or self.lost or self.broken or not data:
+        if self.write_closed or self.closed or self.lost or self.reset_received or not data:
             return
-        if self.edge is not None:
-            self.edge.wrote(data)
+        if self.recorder is not None:
+            self.recorder.data_sent(data)
         self.pipe.put(bytes(data))
 
     def writeSequence(self, parts: Any) -> None:
@@ -62,79 +66,79 @@
         return self
 
     def sendmsg(self, pieces: Any) -> int:
-        if self.lost or self.broken:
+        if self.lost or self.reset_received:
             raise ConnectionResetError
         data = b"".join(pieces)
         self.write(data)
         return len(data)
 
     def recv(self, size: int, flags: int) -> bytes:
-        """What has arrived has been read at once."""
+        """Always blocks, because data is given to the protocol as soon as it arrives."""
         raise BlockingIOError
 
     def doWrite(self) -> None:
         pass
 
     def loseWriteConnection(self) -> None:
-        if not self.shut and not self.lost:
-            self.shut = True
+        if not self.write_closed and not self.lost:
+            self.write_closed = True
             self.pipe.put(FIN)
-            if self.far_shut:
+            if self.peer_write_closed:
                 self.loseConnection()
 
     def loseConnection(self, *unused: Any) -> None:
         if self.closed or self.lost:
             return
         self.closed = self.disconnecting = True
-        if not self.shut:
+        if not self.write_closed:
             self.pipe.put(FIN)
-        if self.edge is not None:
-            self.edge.ended("node")
-        self.place.callLater(0, self._lose, ConnectionDone())
+        if self.recorder is not None:
+            self.recorder.connection_ended("node")
+        self.process.callLater(0, self._lose, ConnectionDone())
 
     def abortConnection(self) -> None:
         if self.lost:
             return
         self.closed = self.disconnecting = True
-        if self.edge is not None:
-            self.edge.ended("node")
+        if self.recorder is not None:
+            self.recorder.connection_ended("node")
         self.pipe.queue.clear()
         self.pipe.put(RST)
-        self.place.callLater(0, self._lose, ConnectionAborted())
+        self.process.callLater(0, self._lose, ConnectionAborted())
 
     def reset(self, by: str) -> None:
-        """The end breaks without its process: it died, or nobody ever took the connection."""
-        if self.edge is not None:
-            self.edge.ended(by)
+        """Breaks this end without its protocol: the process died or the connection was never accepted."""
+        if self.recorder is not None:
+            self.recorder.connection_ended(by)
         self.pipe.queue.clear()
         self.pipe.put(RST)
         self._lose(None)
 
-    # ---- what comes in
+    # ---- input
 
-    def join(self, protocol: Any) -> None:
+    def attach_protocol(self, protocol: Any) -> None:
         self.protocol = protocol
         protocol.makeConnection(self)
-        early, self.early = self.early, []
-        for item in early:
+        unread, self.unread = self.unread, []
+        for item in unread:
             self._read(item)
 
-    def _over(self, item: Any) -> None:
-        """An item has crossed the link and lies at the far end."""
+    def _arrive(self, item: Any) -> None:
+        """Takes an item that has crossed the link to the other end."""
         peer = self.peer
         if peer.lost:
             if item is not RST and not self.lost and item is not FIN:
-                # written to what has gone: a reset comes back
+                # Data for a closed end is answered with a reset.
                 peer.pipe.queue.clear()
                 peer.pipe.links.pipes.setdefault(peer.pipe.ends, {})[peer.pipe] = None
                 peer.pipe.put(RST)
             return
-        peer.broken = peer.broken or item is RST
-        if peer.edge is not None and not isinstance(item, bytes):
-            peer.edge.ended("far")
-        elif peer.edge is not None:
-            peer.edge.arrived(item)
-        peer.place.act(peer._read, item)
+        peer.reset_received = peer.reset_received or item is RST
+        if peer.recorder is not None and not isinstance(item, bytes):
+            peer.recorder.connection_ended("far")
+        elif peer.recorder is not None:
+            peer.recorder.data_received(item)
+        peer.process.act(peer._read, item)
         if self.lost and not self.pipe.queue:
             self.pipe.close()
 
@@ -144,20 +148,20 @@
         if item is RST:
             self._lose(ConnectionLost())
         elif self.protocol is None or self.paused:
-            self.early.append(item)
+            self.unread.append(item)
         elif item is FIN:
             self._read_end()
         elif not self.closed:
             self.protocol.dataReceived(item)
 
     def _read_end(self) -> None:
-        self.far_shut = True
+        self.peer_write_closed = True
         if self.closed:
             return
-        if IHalfCloseableProtocol.providedBy(self.protocol) and not self.shut:
+        if IHalfCloseableProtocol.providedBy(self.protocol) and not self.write_closed:
             self.protocol.readConnectionLost()
         else:
-            if not self.shut:
+            if not self.write_closed:
                 self.pipe.put(FIN)
             self._lose(ConnectionDone())
 
@@ -165,13 +169,13 @@
         if self.lost:
             return
         self.lost, self.connected, self.disconnected = True, 0, True
-        self.place.ends.pop(self, None)
+        self.process.connections.pop(self, None)
         if not self.pipe.queue:
             self.pipe.close()
         if self.protocol is not None and error is not None:
             self.protocol.connectionLost(Failure(error))
 
-    # ---- what else the program asks of a transport
+    # ---- other methods of a Twisted transport
 
     def setTcpNoDelay(self, on: bool) -> None:
         pass
@@ -188,9 +192,9 @@
     def resumeProducing(self) -> None:
         if self.paused:
             self.paused = False
-            early, self.early = self.early, []
-            for item in early:
-                self.place.callLater(0, self._read, item)
+            unread, self.unread = self.unread, []
+            for item in unread:
+                self.process.callLater(0, self._read, item)
 
     def stopProducing(self) -> None:
         self.loseConnection()
--- a/caperdeck/lab/simulated/world.py
+++ b/caperdeck/lab/simulated/world.py
@@ -1,4 +1,4 @@
-"""What all simulated processes of a run have in common."""
+"""The state that all simulated processes of a run share."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 from caperdeck.lab.links import Links
 
-from .clock import Heap
+from .clock import HeapClock
 
 Address = tuple[str, int]
 
 
 class World:
-    """The clock, the links, and who listens at which address."""
+    """The clock, the links, and the ports and sockets by address."""
 
     links: Links
     emit: Callable[..., None]
 
     def __init__(self) -> None:
-        self.clock = Heap()
-        self.listening: dict[Address, Any] = {}  # Port by address
-        self.datagrams: dict[Address, Any] = {}  # Socket by address
-        self.names: dict[Address, str] = {}  # of the place that an address belongs to, also while it is down
-        self.everyone: dict[Address, list[Address]] = {}  # by the address for all peers
-        self.numbers = 20000
-
-    def number(self) -> int:
-        self.numbers += 1
-        return self.numbers
+        self.clock = HeapClock()
+        self.listening_ports: dict[Address, Any] = {}  # Port objects
+        self.datagram_sockets: dict[Address, Any] = {}  # Socket objects
+        self.process_names: dict[Address, str] = {}  # owner of each address, also while it is down
+        self.broadcast_members: dict[Address, list[Address]] = {}  # members by their broadcast address
+        self.last_port = 20000
+
+    def next_port(self) -> int:
+        self.last_port += 1
+        return self.last_port
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -22,7 +22,7 @@
 from .hosts import Host, HostPort
 from .scenario import Scenario, ScenarioError
 from .setup import node_config
-from .simulated.reactor import Place
+from .simulated.reactor import SimulatedReactor
 from .simulated.world import World
 
 EPOCH = 1_800_000_000_000.0  # Unix milliseconds at which every run begins
@@ -61,7 +61,7 @@
         self.world.links, self.world.emit = self.links, self.history.emit
         self.decides, self.settings = decides, settings
         self.services: dict[str, Copy] = {}
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, SimulatedReactor] = {}
         self.took = 0.0  # seconds of real time
         self._build()
 
@@ -72,23 +72,25 @@
 
     def _build(self) -> None:
         s, world, emit = self.scenario, self.world, self.history.emit
-        hub = Place(world, "discovery")
+        hub = SimulatedReactor(world, "discovery")
         self.discovery = Discovery(hub, lambda: self.links.between(s.net.list_late), emit)
         self.hosts: dict[str, HostPort] = {}
         for i, name in enumerate(s.host_names()):
             host = Host(s, name, self.seed * 1000 + i, emit)
-            port = self.hosts[name] = HostPort(Place(world, name), host, self.now)
+            port = self.hosts[name] = HostPort(SimulatedReactor(world, name), host, self.now)
             port.listen(f"127.1.0.{i + 1}", 9000)
         self.discovery.list_hosts(s)
         ends = {name: f"{port.address[0]}:{port.address[1]}" for name, port in self.hosts.items()}
         for i, name in enumerate(s.node_names()):
-            agent = self.discovery.add(name, ends, Place(world, f"d{i}"))
+            agent = self.discovery.add(name, ends, SimulatedReactor(world, f"d{i}"))
             agent.listen(self._ip(3, i), 8500)
         addresses = {n: (self._ip(2, i), 9000) for i, n in enumerate(s.node_names())}
         self.peers = [f"{self._ip(4, i)}:7946" for i in range(s.nodes)]
         for i in range(s.nodes):
-            world.everyone[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(s.nodes)]
-        self.clients = Clients(Place(world, "clients"), s, self.seed + 77, addresses, self.now, emit)
+            world.broadcast_members[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(s.nodes)]
+        self.clients = Clients(
+            SimulatedReactor(world, "clients"), s, self.seed + 77, addresses, self.now, emit
+        )
 
     def _ip(self, net: int, i: int) -> str:
         return f"127.{net}.{i // 250}.{i % 250 + 1}"
@@ -97,7 +99,7 @@
         if self.alive(node):
             return
         life = self.lives[node] = self.lives.get(node, 0) + 1
-        i, place = int(node[1:]), Place(self.world, node)
+        i, place = int(node[1:]), SimulatedReactor(self.world, node)
         offset, drift = self.skews.get(node, (0.0, 0.0))
         place.rate, place.offset = 1 + drift / 1000.0, offset / 1000.0
         raw = node_config(
@@ -114,7 +116,7 @@
             subsets=self.scenario.subsets,
         )  # fmt: skip
         copy.handler.balancer = Balancer(config.settings, copy.clock(), self.decides)
-        place.exited = lambda: self.gone(node, "exit")
+        place.on_exit = lambda: self.gone(node, "exit")
         self.places[node], self.services[node] = place, copy
         copy.start()
         self.history.emit("life", who=node, state="up", life=life)
@@ -154,8 +156,8 @@
 
     def reset(self, a: str, b: str) -> None:
         for place in list(self.places.values()):
-            for end in list(place.ends):
-                if {place.name, end.far.name} == {a, b}:
+            for end in list(place.connections):
+                if {place.name, end.peer_process.name} == {a, b}:
                     end.peer.reset("far")
                     end.reset("far")
 
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -1,4 +1,4 @@
-"""Links, pipes and the in-memory reactor: what a fault does to what is under way."""
+"""Links, pipes and the in-memory reactor: the effect of faults on data and connections in transit."""
 
 import socket
 import subprocess
@@ -9,212 +9,216 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Protocol, ServerFactory
 from twisted.internet.task import Clock
 
-from caperdeck.lab.links import Edge, Links, Pipe
+from caperdeck.lab.links import ConnectionRecorder, Links, Pipe
 from caperdeck.lab.ports import Ports
 from caperdeck.lab.relay import Relay
-from caperdeck.lab.simulated.reactor import Place
+from caperdeck.lab.simulated.reactor import SimulatedReactor
 from caperdeck.lab.simulated.world import World
 
 
-def links():
+def make_links():
     return Links(1, lambda a, b: (1.0, 2.0))
 
 
-def pipe(made, came):
+def make_pipe(links, delivered):
     clock = Clock()
-    return clock, Pipe(made, clock.seconds, clock.callLater, "a", "b", lambda x: came.append(x))
+    return clock, Pipe(links, clock.seconds, clock.callLater, "a", "b", lambda x: delivered.append(x))
 
 
-def test_what_is_put_in_comes_out_in_order_and_later():
-    made, came = links(), []
-    made.trouble("a", "b").delay = (0.0, 50.0)
-    clock, p = pipe(made, came)
+def test_a_pipe_delivers_in_order_and_after_the_delay():
+    links, delivered = make_links(), []
+    links.link_faults("a", "b").delay = (0.0, 50.0)
+    clock, p = make_pipe(links, delivered)
     for i in range(20):
         p.put(i)
-    assert came == []
+    assert delivered == []
     clock.advance(0.06)
-    assert came == list(range(20))
+    assert delivered == list(range(20))
 
 
-@pytest.mark.parametrize("way, holds", [(("a", "b"), True), (("b", "a"), False)])
-def test_a_cut_is_one_way_and_what_it_held_up_comes_once_it_heals(way, holds):
-    made, came = links(), []
-    clock, p = pipe(made, came)
+@pytest.mark.parametrize("direction, is_held", [(("a", "b"), True), (("b", "a"), False)])
+def test_a_cut_is_one_way_and_items_held_by_it_arrive_after_it_ends(direction, is_held):
+    links, delivered = make_links(), []
+    clock, p = make_pipe(links, delivered)
     p.put("before")
-    made.cut(*way, True)
+    links.cut(*direction, True)
     p.put("within")
     clock.advance(5.0)
-    assert (came == []) is holds and not made.reachable("a", "b")
-    made.cut(*way, False)
+    assert (delivered == []) is is_held and not links.reachable("a", "b")
+    links.cut(*direction, False)
     clock.advance(0.05)
-    assert came == ["before", "within"]
+    assert delivered == ["before", "within"]
 
 
-def test_two_cuts_of_one_link_are_healed_by_the_second_end():
-    made = links()
-    made.cut("a", "b", True)
-    made.cut("a", "b", True)
-    made.cut("a", "b", False)
-    assert made.is_cut("a", "b")
+def test_a_link_that_is_cut_twice_stays_cut_until_both_cuts_end():
+    links = make_links()
+    links.cut("a", "b", True)
+    links.cut("a", "b", True)
+    links.cut("a", "b", False)
+    assert links.is_cut("a", "b")
 
 
 @pytest.mark.parametrize(
-    "trouble, copies", [({}, 1), ({"loss": 1.0}, 0), ({"double": 1.0}, 2), ({"cut": 1}, 0)],
+    "fault, copies", [({}, 1), ({"loss": 1.0}, 0), ({"double": 1.0}, 2), ({"cut": 1}, 0)],
 )  # fmt: skip
-def test_datagrams_are_lost_and_doubled(trouble, copies):
-    made = links()
-    for key, value in trouble.items():
-        setattr(made.trouble("a", "b"), key, value)
-    assert len(made.datagram("a", "b")) == copies
-
-
-def test_a_datagram_that_is_reordered_comes_after_a_later_one():
-    made = links()
-    made.trouble("a", "b").reorder = 1.0
-    late = made.datagram("a", "b")[0]
-    made.trouble("a", "b").reorder = 0.0
-    assert late > made.datagram("a", "b")[0] + 2.0
-
-
-def test_the_edge_tells_heads_answers_and_lists():
-    seen = []
-    edge = Edge("host", "n0", "h1", lambda ev, **v: seen.append((ev, v.get("id"), v.get("what"))))
-    edge.wrote(b"OPEN 7f k c=l")
-    edge.wrote(b",d=3\r\n")
-    edge.arrived(b"UP r")
-    edge.arrived(b"\r\nmore\r\n")
-    edge.ended("node")
-    edge.ended("far")
-    assert seen == [("dial", "7f", None), ("back", "7f", "UP"), ("undial", "7f", None)]
-    told = []
-    listing = Edge("list", "n0", "d0", lambda ev, **v: told.append(v["rev"]))
-    listing.arrived(b'5c\r\n{"rev":12,"all"')
-    listing.arrived(b":true}\n\r\n1\r\n\n\r\n")
-    assert told == [12]
-
-
-class Says(Protocol):
+def test_datagrams_are_lost_and_duplicated(fault, copies):
+    links = make_links()
+    for key, value in fault.items():
+        setattr(links.link_faults("a", "b"), key, value)
+    assert len(links.datagram_delays("a", "b")) == copies
+
+
+def test_a_reordered_datagram_arrives_after_a_later_one():
+    links = make_links()
+    links.link_faults("a", "b").reorder = 1.0
+    late = links.datagram_delays("a", "b")[0]
+    links.link_faults("a", "b").reorder = 0.0
+    assert late > links.datagram_delays("a", "b")[0] + 2.0
+
+
+def test_the_recorder_emits_dials_replies_and_list_revisions():
+    events = []
+    recorder = ConnectionRecorder(
+        "host", "n0", "h1", lambda ev, **v: events.append((ev, v.get("id"), v.get("what")))
+    )
+    recorder.data_sent(b"OPEN 7f k c=l")
+    recorder.data_sent(b",d=3\r\n")
+    recorder.data_received(b"UP r")
+    recorder.data_received(b"\r\nmore\r\n")
+    recorder.connection_ended("node")
+    recorder.connection_ended("far")
+    assert events == [("dial", "7f", None), ("back", "7f", "UP"), ("undial", "7f", None)]
+    revisions = []
+    list_recorder = ConnectionRecorder("list", "n0", "d0", lambda ev, **v: revisions.append(v["rev"]))
+    list_recorder.data_received(b'5c\r\n{"rev":12,"all"')
+    list_recorder.data_received(b":true}\n\r\n1\r\n\n\r\n")
+    assert revisions == [12]
+
+
+class RecordingProtocol(Protocol):
     def __init__(self):
-        self.came, self.gone = [], None
+        self.received, self.lost_reason = [], None
 
     def dataReceived(self, data):
-        self.came.append(data)
+        self.received.append(data)
 
     def connectionLost(self, reason):
-        self.gone = reason.type.__name__
+        self.lost_reason = reason.type.__name__
 
 
-class One(ClientFactory, ServerFactory):
+class RecordingFactory(ClientFactory, ServerFactory):
     def __init__(self):
-        self.made, self.failed = [], None
+        self.built, self.failed = [], None
 
     def buildProtocol(self, addr):
-        self.made.append(Says())
-        return self.made[-1]
+        self.built.append(RecordingProtocol())
+        return self.built[-1]
 
     def clientConnectionFailed(self, connector, reason):
         self.failed = reason.type.__name__
 
 
-def world():
+def make_world():
     w = World()
-    w.links, w.emit = links(), lambda *a, **v: None
-    return w, Place(w, "n0"), Place(w, "h0")
+    w.links, w.emit = make_links(), lambda *a, **v: None
+    return w, SimulatedReactor(w, "n0"), SimulatedReactor(w, "h0")
 
 
-def joined():
-    w, a, b = world()
-    near, far = One(), One()
+def connect_processes():
+    w, a, b = make_world()
+    near, far = RecordingFactory(), RecordingFactory()
     b.listenTCP(9000, far, 0, "127.0.0.2")
     a.connectTCP("127.0.0.2", 9000, near, 0.25)
     w.clock.run(0.1)
-    return w, a, b, near.made[0], far.made[0]
+    return w, a, b, near.built[0], far.built[0]
 
 
-def test_a_process_that_sleeps_reads_all_as_it_wakes_and_its_timers_come_first():
-    w, a, b, near, far = joined()
+def test_a_resumed_process_runs_overdue_timers_and_then_reads_its_input():
+    w, a, b, near, far = connect_processes()
     b.suspend()
-    b.callLater(1.0, lambda: far.came.append("timer"))
+    b.callLater(1.0, lambda: far.received.append("timer"))
     near.transport.write(b"one")
     w.clock.run(3.0)
-    assert far.came == []
+    assert far.received == []
     b.resume()
-    assert far.came == ["timer", b"one"]
+    assert far.received == ["timer", b"one"]
 
 
-def test_a_timer_cancelled_by_one_before_it_does_not_run_after_a_sleep():
-    w, a, b, near, far = joined()
-    second = b.callLater(0.2, lambda: far.came.append("second"))
+def test_an_overdue_timer_cancelled_by_an_earlier_one_does_not_run_after_resuming():
+    w, a, b, near, far = connect_processes()
+    second = b.callLater(0.2, lambda: far.received.append("second"))
     b.callLater(0.1, second.cancel)
     b.suspend()
     w.clock.run(1.0)
     b.resume()
-    assert far.came == []
+    assert far.received == []
 
 
-def test_nothing_can_be_written_once_a_reset_lies_there_unread():
-    # Danger: a head counted as sent on such a connection, and the next dial as a second one beside it.
-    w, a, b, near, far = joined()
+def test_writing_fails_once_a_reset_has_arrived_even_if_unread():
+    """Otherwise a request would count as sent on that connection, and the next dial as a second one."""
+    w, a, b, near, far = connect_processes()
     a.suspend()
     b.die()
     w.clock.run(0.2)
     with pytest.raises(ConnectionResetError):
         near.transport.sendmsg([b"OPEN 1 k c=l"])
-    assert near.gone is None
+    assert near.lost_reason is None
 
 
-def test_a_process_that_dies_resets_and_then_refuses():
-    w, a, b, near, far = joined()
+def test_a_killed_process_resets_its_connections_and_refuses_new_ones():
+    w, a, b, near, far = connect_processes()
     b.die()
     w.clock.run(0.2)
-    assert near.gone == "ConnectionLost" and far.gone is None
-    again = One()
-    a.connectTCP("127.0.0.2", 9000, again, 0.25)
+    assert near.lost_reason == "ConnectionLost" and far.lost_reason is None
+    second = RecordingFactory()
+    a.connectTCP("127.0.0.2", 9000, second, 0.25)
     w.clock.run(0.3)
-    assert again.failed == "ConnectionRefusedError"
+    assert second.failed == "ConnectionRefusedError"
 
 
-def test_across_a_cut_nothing_is_refused_and_nothing_comes_up():
-    w, a, b, near, far = joined()
+def test_across_a_cut_a_connection_is_neither_refused_nor_established():
+    w, a, b, near, far = connect_processes()
     w.links.cut("h0", "n0", True)
-    again = One()
-    a.connectTCP("127.0.0.2", 9000, again, 0.25)
+    second = RecordingFactory()
+    a.connectTCP("127.0.0.2", 9000, second, 0.25)
     near.transport.write(b"one")
     w.clock.run(0.3)
-    assert far.came == [b"one"] and again.failed is None
+    assert far.received == [b"one"] and second.failed is None
     w.clock.run(0.5)
-    assert again.failed == "TimeoutError" and near.gone is None
+    assert second.failed == "TimeoutError" and near.lost_reason is None
 
 
 def test_a_clock_that_drifts_runs_its_timers_early():
-    w, a, b = world()
-    a.rate, rang = 2.0, []
-    a.callLater(1.0, lambda: rang.append(w.clock.seconds()))
+    w, a, b = make_world()
+    a.rate, fired = 2.0, []
+    a.callLater(1.0, lambda: fired.append(w.clock.seconds()))
     w.clock.run(2.0)
-    assert rang == [0.5] and a.seconds() == 4.0
+    assert fired == [0.5] and a.seconds() == 4.0
 
 
-def test_datagrams_to_all_reach_all_but_the_sender():
-    w, a, b = world()
-    c, came = Place(w, "n1"), []
+def test_a_broadcast_datagram_reaches_all_members_but_the_sender():
+    w, a, b = make_world()
+    c, delivered = SimulatedReactor(w, "n1"), []
 
-    class Keeps(DatagramProtocol):
+    class RecordingDatagrams(DatagramProtocol):
         def datagramReceived(self, data, addr):
-            came.append((data, addr))
+            delivered.append((data, addr))
 
     places = [("127.4.0.1", 7946), ("127.4.0.2", 7946), ("127.4.0.3", 7946)]
-    sockets = [p.listenUDP(7946, Keeps(), ip) for p, (ip, _) in zip((a, b, c), places, strict=True)]
-    w.everyone["127.5.0.1", 7946] = places
+    sockets = [
+        p.listenUDP(7946, RecordingDatagrams(), ip) for p, (ip, _) in zip((a, b, c), places, strict=True)
+    ]
+    w.broadcast_members["127.5.0.1", 7946] = places
     sockets[0].write(b"all", ("127.5.0.1", 7946))
     w.clock.run(0.1)
-    assert came == [(b"all", places[0])] * 2
+    assert delivered == [(b"all", places[0])] * 2
 
 
 # ---- the relay
 
 
-class Ends(Clock):
-    """A reactor as far as the relay's datagrams use one."""
+class DatagramReactor(Clock):
+    """Implements the reactor methods that the relay uses for datagrams."""
 
     def __init__(self):
         super().__init__()
@@ -229,9 +233,9 @@
 
 
 @pytest.mark.parametrize("to, reached", [("n1", ["n1"]), ("*", ["n1", "n2"])])
-def test_a_datagram_comes_from_the_address_by_which_its_receiver_knows_the_sender(to, reached):
-    reactor = Ends()
-    relay = Relay(reactor, links(), lambda *a, **v: None)
+def test_a_relayed_datagram_has_the_source_address_by_which_its_receiver_knows_the_sender(to, reached):
+    reactor = DatagramReactor()
+    relay = Relay(reactor, make_links(), lambda *a, **v: None)
     relay.peers = {n: ("127.0.0.1", 9000 + i) for i, n in enumerate(("n0", "n1", "n2"))}
     for a, b in (("n0", to), ("n1", "n0"), ("n2", "n0")):
         relay.wire(a, b)
@@ -241,60 +245,63 @@
     assert sent == {n: [(b"hello", relay.peers[n])] * (n in reached) for n in sent}
 
 
-KNOCKS = """
+CONNECTION_ATTEMPTS = """
 import socket, threading, time
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 from caperdeck.lab.links import Links
 from caperdeck.lab.ports import Ports
 from caperdeck.lab.relay import Relay
-from caperdeck.lab.simulated.reactor import Place
+from caperdeck.lab.simulated.reactor import SimulatedReactor
 from caperdeck.lab.simulated.world import World
 class Echo(Protocol):
     def dataReceived(self, data): self.transport.write(data)
 port = reactor.listenTCP(0, Factory.forProtocol(Echo), 50, "127.0.0.1").getHost().port
 relay = Relay(reactor, Links(1, lambda a, b: (0.0, 1.0)), lambda *a, **v: None)
-way = relay.way("n0", "h0", ("127.0.0.1", port))
-def knock(wait=10.0):
+address = relay.way("n0", "h0", ("127.0.0.1", port))
+def attempt(timeout=10.0):
     try:
-        with socket.create_connection(way, wait) as sock:
+        with socket.create_connection(address, timeout) as sock:
             sock.sendall(b"x")
             return sock.recv(1).decode()
     except OSError as error:
         return type(error).__name__
-def in_reactor(do, *args):
+def run_in_reactor(call, *args):
     done = threading.Event()
-    reactor.callFromThread(lambda: (do(*args), done.set()))
+    reactor.callFromThread(lambda: (call(*args), done.set()))
     done.wait()
     time.sleep(0.1)
 def cut(on): relay.trouble("h0", "n0", {"cut": int(on)})
-def play():
-    said = [knock()]
-    for do, arg in ((cut, True), (cut, False), (lambda d: relay.down("h0", d), True), (lambda d: relay.down("h0", d), False)):
-        in_reactor(do, arg)
-        said.append(knock(0.3 if (do, arg) == (cut, True) else 10.0))
-    print(*said, flush=True)
+def run():
+    results = [attempt()]
+    for call, arg in ((cut, True), (cut, False), (lambda d: relay.down("h0", d), True), (lambda d: relay.down("h0", d), False)):
+        run_in_reactor(call, arg)
+        results.append(attempt(0.3 if (call, arg) == (cut, True) else 10.0))
+    print(*results, flush=True)
     reactor.callFromThread(reactor.stop)
-threading.Thread(target=play, daemon=True).start()
+threading.Thread(target=run, daemon=True).start()
 reactor.callLater(50, reactor.stop)
 reactor.run()
 """  # noqa: E501
 
 
-def test_a_cut_link_is_silent_and_a_dead_far_end_refuses():
-    run = [sys.executable, "-c", KNOCKS]
+def test_connecting_over_a_cut_link_times_out_and_to_a_dead_process_is_refused():
+    run = [sys.executable, "-c", CONNECTION_ATTEMPTS]
     done = subprocess.run(run, capture_output=True, text=True, timeout=60, check=False)
     assert done.stdout.split() == ["x", "TimeoutError", "x", "ConnectionRefusedError", "x"], done.stderr
 
 
-def test_a_port_that_is_dealt_out_is_kept_for_its_owner(monkeypatch):
-    """Two rigs at once drew the same port, and a node of one was taken for ready by the other's PONG."""
+def test_a_port_that_was_handed_out_stays_reserved_for_its_owner(monkeypatch):
+    """Guards against two test rigs that draw the same port.
+
+    A node of one rig would be taken for ready because a node of the other answers with PONG.
+    """
     one, other = Ports(), Ports()
     port = one.take(socket.SOCK_STREAM)
     draws = iter([port, port, port + 1])
     monkeypatch.setattr("caperdeck.lab.ports.random.randrange", lambda *_: next(draws, port + 2))
     assert other.take(socket.SOCK_DGRAM) > port
-    for _ in range(2):  # also once its owner has come back
+    for _ in range(2):  # the owner can bind it again after closing it
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(("127.0.0.1", port))
