--- a/caperdeck/lab/distribution/instance.py
+++ b/caperdeck/lab/distribution/instance.py
@@ -46,8 +46,10 @@
         if self.runs:
             self.send(self.publisher.tick(self.world.now))
             if self.world.leader is not None and self.world.is_current(self.number):
-                self.world.at(self.world.latency(), self.act, self.learn, self.world.now, len(self.world.log))
-        self.world.at(LEARN, self.ask_leader)
+                self.world.call_later(
+                    self.world.latency(), self.act, self.learn, self.world.now, len(self.world.log)
+                )
+        self.world.call_later(LEARN, self.ask_leader)
 
     def learn(self, asked: float, index: int) -> None:
         for entry in self.world.log[self.applied : index]:
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -55,11 +55,13 @@
                 self.world.to_publisher(self, action.publisher, action.message)
             elif isinstance(action, Apply):
                 wait = self.world.random.uniform(*APPLY)
-                self.world.at(wait, self.act, self.put_in_force, self.life, action.version)
+                self.world.call_later(wait, self.act, self.put_in_force, self.life, action.version)
             elif isinstance(action, Leave):
                 self.world.left(self, action.publisher)
         self.timers += 1
-        self.world.at(max(self.subscriber.due - self.world.now, 1.0), self.act, self.tick, self.timers)
+        self.world.call_later(
+            max(self.subscriber.due - self.world.now, 1.0), self.act, self.tick, self.timers
+        )
 
     def put_in_force(self, life: int, version: HeldVersion) -> None:
         if life != self.life:
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -13,7 +13,7 @@
 from caperdeck.distribution.publisher import Publisher
 from caperdeck.distribution.subscriber import HeldVersion, Subscriber
 from caperdeck.distribution.table import VersionTable, publish_command
-from caperdeck.lab.events import Events
+from caperdeck.lab.events import EventQueue
 from caperdeck.raft.log import Entry, Kind
 
 from .instance import LEARN, Instance
@@ -34,7 +34,7 @@
 ]  # fmt: skip
 
 
-class Simulation(Events):
+class Simulation(EventQueue):
     """Instances and nodes, the agreed log, the network between them, and faults; checks are in `World`."""
 
     def __init__(
@@ -60,7 +60,7 @@
         self.node_of = {node.place.name: node for node in self.nodes}
         self.instance_of = {instance.place.name: instance for instance in self.instances}
         for i, instance in enumerate(self.instances):
-            self.at(i * LEARN / len(self.instances), instance.ask_leader)
+            self.call_later(i * LEARN / len(self.instances), instance.ask_leader)
 
     # ---- agreement
 
@@ -77,7 +77,7 @@
     def check_leader(self) -> None:
         if self.leader is not None and not self.is_current(self.leader):
             self.leader = None
-            self.at(ELECTION, self.elect)
+            self.call_later(ELECTION, self.elect)
 
     def elect(self) -> None:
         able = [i for i in range(len(self.instances)) if self.is_current(i)]
@@ -86,7 +86,7 @@
             # a leader has all that is committed
             self.instances[self.leader].learn(self.now, len(self.log))
         elif self.leader is None:
-            self.at(ELECTION, self.elect)
+            self.call_later(ELECTION, self.elect)
 
     def publish(self, change: Publish) -> None:
         """An operator's new version: proposed where somebody leads or thinks so, committed a little later."""
@@ -99,7 +99,7 @@
                 entry = Entry(self.term, Kind.COMMAND, orjson.dumps(command))
                 instance.proposed(entry)
                 if number == self.leader:
-                    self.at(self.latency(), self.commit, number, self.term, entry)
+                    self.call_later(self.latency(), self.commit, number, self.term, entry)
 
     def next(self, change: Publish) -> dict[str, Any]:
         document = orjson.loads(orjson.dumps(self.agreed.document))
@@ -135,10 +135,10 @@
         if not self.torment:
             arrival = max(self.now + self.latency(), self.arrivals.get((a, b), 0.0))
             self.arrivals[a, b] = arrival
-            self.at(arrival - self.now, do, *args)
+            self.call_later(arrival - self.now, do, *args)
         elif self.random.random() >= TORMENT_LOSS:
             for _ in range(1 + (self.random.random() < TORMENT_DOUBLE)):
-                self.at(self.random.uniform(*TORMENT_LATENCY), do, *args)
+                self.call_later(self.random.uniform(*TORMENT_LATENCY), do, *args)
 
     def to_publisher(self, node: Node, name: str, message: NodeMessage) -> None:
         in_force = node.file.revision, node.file.digest, node.refusal
@@ -149,7 +149,7 @@
         if not self.linked(node, instance):
             return
         if not instance.up:
-            self.at(self.latency(), node.act, node.lost, node.life, name)
+            self.call_later(self.latency(), node.act, node.lost, node.life, name)
             return
         self.deliver(node.place.name, name, instance.act, instance.receive, message)
 
@@ -173,26 +173,26 @@
         match fault.do:
             case "kill" if instance.up:
                 instance.up, instance.suspended = False, False
-                self.at(fault.span, instance.start)
+                self.call_later(fault.span, instance.start)
             case "sleep" if instance.runs:
                 instance.suspend()
-                self.at(fault.span, instance.resume)
+                self.call_later(fault.span, instance.resume)
             case "isolate" if not instance.isolated:
                 instance.isolated = True
-                self.at(fault.span, setattr, instance, "isolated", False)
+                self.call_later(fault.span, setattr, instance, "isolated", False)
             case "cut" | "torment":
                 setattr(self, fault.do, getattr(self, fault.do) + 1)
-                self.at(fault.span, self.heal, fault.do)
+                self.call_later(fault.span, self.heal, fault.do)
             case "restart" | "replace":
                 for node in self.random.sample(self.nodes, round(0.7 * len(self.nodes))):
                     if node.up:
                         node.die(fault.do == "replace")
-                        self.at(fault.span, node.start)
+                        self.call_later(fault.span, node.start)
             case "doze":
                 for node in self.random.sample(self.nodes, len(self.nodes) // 2):
                     if node.runs:
                         node.suspend()
-                        self.at(fault.span, node.resume)
+                        self.call_later(fault.span, node.resume)
 
     def heal(self, do: str) -> None:
         setattr(self, do, getattr(self, do) - 1)
--- a/caperdeck/lab/distribution/surroundings.py
+++ b/caperdeck/lab/distribution/surroundings.py
@@ -22,7 +22,7 @@
     log: list[Entry]  # committed
     leader: int | None
 
-    def at(self, wait: float, do: Callable, *args: Any) -> None:
+    def call_later(self, wait: float, do: Callable, *args: Any) -> None:
         """Calls it after so many milliseconds."""
 
     def latency(self) -> float:
--- a/caperdeck/lab/distribution/world.py
+++ b/caperdeck/lab/distribution/world.py
@@ -57,7 +57,7 @@
             self.check_current(node)
         if round(self.now / CHECK) % 5 == 0:
             self.check_status()
-        self.at(CHECK, self.check)
+        self.call_later(CHECK, self.check)
 
     def check_in_force(self, node: Node, current: list[Instance]) -> None:
         for instance in self.instances:
@@ -109,8 +109,8 @@
     """The world after so many ms, with the breaches that were found."""
     world = World(**kinds)
     for change in changes:
-        world.at(change.at, world.publish, change)
+        world.call_later(change.at, world.publish, change)
     for fault in faults:
-        world.at(fault.at, world.begin, fault)
+        world.call_later(fault.at, world.begin, fault)
     world.run(span)
     return world
--- a/caperdeck/lab/events.py
+++ b/caperdeck/lab/events.py
@@ -1,4 +1,4 @@
-"""Virtual time for parts without a reactor: calls in the order of their moments."""
+"""Virtual time for simulations without a reactor."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 from collections.abc import Callable
 
 
-class Events:
+class EventQueue:
+    """Runs scheduled calls in the order of their times; calls of equal time run as they were scheduled."""
+
     def __init__(self) -> None:
         self.now = 0.0  # milliseconds
         self.heap: list[tuple[float, int, Callable, tuple]] = []
-        self.count = 0
+        self.sequence = 0
 
-    def at(self, wait: float, do: Callable, *args: object) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + wait, self.count, do, args))
+    def call_later(self, delay_ms: float, function: Callable, *args: object) -> None:
+        self.sequence += 1
+        heapq.heappush(self.heap, (self.now + delay_ms, self.sequence, function, args))
 
-    def run(self, span: float) -> None:
-        until = self.now + span
+    def run(self, duration_ms: float) -> None:
+        until = self.now + duration_ms
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, do, args = heapq.heappop(self.heap)
-            do(*args)
+            self.now, _, function, args = heapq.heappop(self.heap)
+            function(*args)
         self.now = until
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -1,8 +1,9 @@
-"""Every order of steps of two would-be owners, the table agreed on, its warden, and one target of acts.
+"""Model of two lease holders, the replicated lease table, its expiry monitor, and one target of actions.
 
-Whoever takes no step is asleep; what is not delivered is late or lost. Checked: no two owners may
-act at one time while clocks keep to their drift; no token is given twice; and, always, no act is taken
-after one with a higher token.
+A process that takes no step is suspended; a message that is not delivered is delayed or lost. Three
+properties are checked: two holders may not act at the same time as long as clocks keep to the allowed drift;
+no token is granted twice; and the target never takes an action after one with a higher token, whatever the
+clocks do.
 """
 
 from __future__ import annotations
@@ -14,14 +15,18 @@
 from caperdeck.leases.expiry import LeaseHolder, LeaseExpiryMonitor
 from caperdeck.leases.table import MIN_SPAN_MS, LeaseTable
 
-from .exploration import BrokenError
+from .exploration import PropertyViolationError
 
-TICK = MIN_SPAN_MS / 2
+TICK_MS = MIN_SPAN_MS / 2
 WORK = "w"
 
 
 class LeaseModel:
-    """`rates` are the owners' clocks and the warden's; `disk` whether the target remembers over a death."""
+    """A state of the model; the numbers of steps of each kind that remain bound its size.
+
+    `rates` are the clock rates of the two holders and of the expiry monitor. `disk` says whether the target
+    remembers the highest token over a restart.
+    """
 
     def __init__(
         self, ticks: int = 4, asks: int = 3, acts: int = 2, deaths: int = 1, snapshots: int = 0,
@@ -30,24 +35,27 @@
         table: type[LeaseTable] = LeaseTable,
     ) -> None:  # fmt: skip
         self.time, self.rates, self.disk = 0.0, rates, disk
-        self.left = {"tick": ticks, "ask": asks, "check": acts, "die": deaths, "snapshot": snapshots}
+        self.remaining = {"tick": ticks, "ask": asks, "check": acts, "die": deaths, "snapshot": snapshots}
         self.holders = [holder(WORK, name, MIN_SPAN_MS) for name in "ab"]
-        self.ready = [0, 0]  # the token that an owner has just checked, before its act leaves
+        self.checked_tokens = [
+            0,
+            0,
+        ]  # by holder, the token checked for an action that was not sent yet; 0 for none
         self.table = table()
         self.expiry_monitor = LeaseExpiryMonitor(self.table, 0.0)
         self.target = fence({})
-        self.flying: list[tuple] = []
-        self.highest = 0  # among the acts taken
-        self.given: list[int] = []
+        self.messages: list[tuple] = []
+        self.highest_taken = 0  # highest token among the actions that the target took
+        self.granted_tokens: list[int] = []
 
     def key(self) -> Any:
-        holders = tuple((h.token, h.expires_at, h.requested_at) for h in self.holders)
+        holders = tuple((holder.token, holder.expires_at, holder.requested_at) for holder in self.holders)
         row = self.table.works.get(WORK)
         return (
-            self.time, tuple(self.left.values()), holders, tuple(self.ready), self.table.token,
+            self.time, tuple(self.remaining.values()), holders, tuple(self.checked_tokens), self.table.token,
             tuple(row.items()) if row else None, tuple(self.expiry_monitor.observed.items()),
-            self.target.remembers, tuple(self.target.highest.items()), tuple(sorted(map(repr, self.flying))),
-            self.highest,
+            self.target.remembers, tuple(self.target.highest.items()),
+            tuple(sorted(map(repr, self.messages))), self.highest_taken,
         )  # fmt: skip
 
     def clone(self) -> LeaseModel:
@@ -57,73 +65,80 @@
         return self.time * self.rates[i]
 
     def choices(self) -> list[tuple]:
-        out: list[tuple] = [(name,) for name in ("tick", "die", "snapshot") if self.left[name]]
-        out.append(("watch",))
-        for i, h in enumerate(self.holders):
-            if self.left["ask"]:
-                out.append(("ask", i))
-            if self.ready[i]:
-                out.append(("act", i))
-            elif self.left["check"] and h.may_act(self.now(i)):
-                out.append(("check", i))
-        out += [("deliver", k) for k in range(len(self.flying))]
+        steps: list[tuple] = [(name,) for name in ("tick", "die", "snapshot") if self.remaining[name]]
+        steps.append(("watch",))
+        for i, holder in enumerate(self.holders):
+            if self.remaining["ask"]:
+                steps.append(("ask", i))
+            if self.checked_tokens[i]:
+                steps.append(("act", i))
+            elif self.remaining["check"] and holder.may_act(self.now(i)):
+                steps.append(("check", i))
+        steps += [("deliver", k) for k in range(len(self.messages))]
         if not self.target.remembers and WORK not in self.target.highest:
-            out.append(("learn",))
-        return out
+            steps.append(("learn",))
+        return steps
 
-    def do(self, what: str, *args: Any) -> None:
-        if what in self.left:
-            self.left[what] -= 1
-        getattr(self, what)(*args)
-        both = all(h.may_act(self.now(i)) for i, h in enumerate(self.holders))
-        if both and max(self.rates) <= 1.05 and min(self.rates) >= 0.95:
-            raise BrokenError("two owners at one time")
+    def take_step(self, name: str, *args: Any) -> None:
+        if name in self.remaining:
+            self.remaining[name] -= 1
+        getattr(self, name)(*args)
+        both_may_act = all(holder.may_act(self.now(i)) for i, holder in enumerate(self.holders))
+        if both_may_act and max(self.rates) <= 1.05 and min(self.rates) >= 0.95:
+            raise PropertyViolationError("two owners at the same time")
 
     def tick(self) -> None:
-        self.time += TICK
+        self.time += TICK_MS
 
     def ask(self, i: int) -> None:
+        """Sends a request of a holder to the table."""
         command = self.holders[i].next_command(self.now(i))
         if command is not None:
-            self.flying.append(("ask", i, command, self.now(i)))
+            self.messages.append(("ask", i, command, self.now(i)))
 
     def check(self, i: int) -> None:
-        self.ready[i] = self.holders[i].token
+        """Lets a holder check its lease; its action is sent in a later step."""
+        self.checked_tokens[i] = self.holders[i].token
 
     def act(self, i: int) -> None:
-        self.flying.append(("act", i, self.ready[i], 0.0))
-        self.ready[i] = 0
-
-    def deliver(self, k: int) -> None:
-        what, i, value, asked = self.flying.pop(k)
-        if what == "ask":
-            answer = self.table.apply(value)
-            if value["do"] == "acquire" and "token" in answer:
-                self.given.append(answer["token"])
-                if len(set(self.given)) < len(self.given):
-                    raise BrokenError(f"token {answer['token']} is given twice")
+        self.messages.append(("act", i, self.checked_tokens[i], 0.0))
+        self.checked_tokens[i] = 0
+
+    def deliver(self, position: int) -> None:
+        kind, i, payload, requested_at = self.messages.pop(position)
+        if kind == "ask":
+            answer = self.table.apply(payload)
+            if payload["do"] == "acquire" and "token" in answer:
+                self.granted_tokens.append(answer["token"])
+                if len(set(self.granted_tokens)) < len(self.granted_tokens):
+                    raise PropertyViolationError(f"token {answer['token']} is given twice")
             self.watch()
-            self.flying.append(("answer", i, answer, asked))
-        elif what == "answer":
-            self.holders[i].handle_answer(self.now(i), asked, value)
-        elif self.target.check(WORK, value) is None:
-            if value < self.highest:
-                raise BrokenError(f"an act with token {value} is taken after one with {self.highest}")
-            self.highest = value
+            self.messages.append(("answer", i, answer, requested_at))
+        elif kind == "answer":
+            self.holders[i].handle_answer(self.now(i), requested_at, payload)
+        elif self.target.check(WORK, payload) is None:
+            if payload < self.highest_taken:
+                raise PropertyViolationError(
+                    f"an action with token {payload} is taken after one with {self.highest_taken}"
+                )
+            self.highest_taken = payload
 
     def watch(self) -> None:
+        """Lets the expiry monitor check the table, and starts to observe what that changed."""
         for command in self.expiry_monitor.check(self.now(2)):
             self.table.apply(command)
         self.expiry_monitor.check(self.now(2))
 
     def die(self) -> None:
-        """The target starts again."""
+        """Restarts the target."""
         self.target = type(self.target)(self.target.highest if self.disk else None)
 
     def learn(self) -> None:
+        """Tells a restarted target the newest token."""
         self.target.record_token(WORK, self.table.token)
 
     def snapshot(self) -> None:
+        """Restarts the table and the expiry monitor from a snapshot."""
         state = copy.deepcopy(self.table.dump())
         self.table = type(self.table)()
         self.table.load(state)
--- a/caperdeck/lab/linearizability.py
+++ b/caperdeck/lab/linearizability.py
@@ -1,33 +1,46 @@
-"""Whether what clients of a replicated list saw is an order that real time allows."""
+"""Checks that what the clients of a replicated list observed is linearizable."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from .exploration import BrokenError
+from .exploration import PropertyViolationError
 
 
-def check_history(ops: list[dict[str, Any]], line: list[str]) -> None:
-    """Linearizable: each value once, in an order that real time allows; reads see a state of their time."""
-    if len(set(line)) < len(line):
-        raise BrokenError("a value stands twice")
-    place = {value: i + 1 for i, value in enumerate(line)}
-    writes = [op for op in ops if not op["read"]]
-    for op in writes:
-        if op["to"] is not None and place.get(op["value"]) != op["got"]:
-            raise BrokenError(f"{op['value']} was told place {op['got']}, stands at {place.get(op['value'])}")
-    done = sorted((op["to"], op["got"]) for op in writes if op["to"] is not None)
-    for op in ops:
-        if not op["read"] or op["to"] is None:
+def check_history(operations: list[dict[str, Any]], values: list[str]) -> None:
+    """Checks the completed operations of all clients against the final list.
+
+    Each value must be in the list once, in an order that real time allows, and each read must have returned
+    a state that the list had while the read ran. Raises PropertyViolationError.
+    """
+    if len(set(values)) < len(values):
+        raise PropertyViolationError("a value is in the list twice")
+    positions = {value: i + 1 for i, value in enumerate(values)}
+    writes = [operation for operation in operations if not operation["read"]]
+    for operation in writes:
+        if operation["ended_at"] is not None and positions.get(operation["value"]) != operation["result"]:
+            raise PropertyViolationError(
+                f"{operation['value']} was acknowledged at position {operation['result']}, "
+                f"but is at {positions.get(operation['value'])}"
+            )
+    completed = sorted(
+        (write["ended_at"], write["result"]) for write in writes if write["ended_at"] is not None
+    )
+    for operation in operations:
+        if not operation["read"] or operation["ended_at"] is None:
             continue
-        begun, ended, length, seen = op["from"], op["to"], len(op["got"]), op["got"]
-        if seen != line[:length]:
-            raise BrokenError("a read saw what never stood")
-        if any(to < begun and got > length for to, got in done):
-            raise BrokenError(f"a read begun at {begun:.0f} missed what was told before")
-        for value in seen:
-            if next(o for o in writes if o["value"] == value)["from"] > ended:
-                raise BrokenError("a read saw what was put later")
-    for op in writes:
-        if op["to"] is not None and any(to < op["from"] and got > op["got"] for to, got in done):
-            raise BrokenError(f"{op['value']} stands before what was told earlier")
+        started, ended, length, result = (
+            operation["started_at"], operation["ended_at"], len(operation["result"]), operation["result"],
+        )  # fmt: skip
+        if result != values[:length]:
+            raise PropertyViolationError("a read returned a state that the list never had")
+        if any(end < started and position > length for end, position in completed):
+            raise PropertyViolationError(f"a read begun at {started:.0f} missed a write acknowledged before")
+        for value in result:
+            if next(write for write in writes if write["value"] == value)["started_at"] > ended:
+                raise PropertyViolationError("a read returned a value that was written later")
+    for operation in writes:
+        if operation["ended_at"] is not None and any(
+            end < operation["started_at"] and position > operation["result"] for end, position in completed
+        ):
+            raise PropertyViolationError(f"{operation['value']} is before a value acknowledged earlier")
--- a/caperdeck/lab/raft_simulation.py
+++ b/caperdeck/lab/raft_simulation.py
@@ -1,5 +1,7 @@
-"""A cluster of Raft instances in virtual time: messages lost, late and doubled, links cut, processes that die
-at any write, are suspended, and have clocks of their own rate. The paper's properties are checked as it runs.
+"""Simulates a cluster of Raft instances in virtual time and checks the safety properties of the Raft paper.
+
+Messages are lost, delayed and duplicated, links are cut, and processes crash at any write, are suspended, and
+have clocks that run at different rates.
 """
 
 from __future__ import annotations
@@ -15,17 +17,17 @@
 from caperdeck.raft.log import Entry, Log, Members, Snapshot
 from caperdeck.raft.sessions import Sessions
 
-from .events import Events
-from .exploration import BrokenError
+from .events import EventQueue
+from .exploration import PropertyViolationError
 from .linearizability import check_history
 from .suspension import Suspendable
 
-WRITE = (0.2, 8.0)  # milliseconds until a write is on disk
-COMPACT_AT = 40  # entries
+WRITE_DELAY_MS = (0.2, 8.0)  # shortest and longest time until a write is on disk
+COMPACTION_ENTRIES = 40  # log length at which an instance takes a snapshot
 
 
-class Line:
-    """The state machine: a list of values, each of which is put at its end."""
+class ListStateMachine:
+    """The replicated state machine: a list to which each command appends its value."""
 
     def __init__(self) -> None:
         self.values: list[Any] = []
@@ -41,8 +43,8 @@
         self.values = list(state or [])
 
 
-class Disk:
-    """What one instance finds when it starts again."""
+class SimulatedDisk:
+    """The persistent state that an instance finds when it restarts."""
 
     def __init__(self, members: Members) -> None:
         self.term, self.voted_for = 0, None
@@ -56,7 +58,7 @@
 
 
 class Instance(Suspendable):
-    """One process: the program's driver on a slow disk, a network with faults, a clock of its own rate."""
+    """A process that runs the program's Raft driver with a simulated disk, network and clock."""
 
     def __init__(self, world: World, me: int) -> None:
         super().__init__()
@@ -80,18 +82,18 @@
         disk, self.life = self.world.disks[self.me], self.life + 1
         log = Log(disk.log.snapshot, disk.log.entries)
         seed = self.world.seed * 101 + self.me * 13 + self.life
-        raft = self.world.kind(self.me, disk.term, disk.voted_for, log, seed, self.now())
-        machine = Sessions(Line())
+        raft = self.world.raft_class(self.me, disk.term, disk.voted_for, log, seed, self.now())
+        machine = Sessions(ListStateMachine())
         machine.load(log.snapshot.data)
         self.driver = Driver(
             raft, machine, self.now, self.write, lambda to, m: self.world.send(self.me, to, m),
-            lambda role, term, _: self.world.became(self.me, role, term, raft.log),
-            lambda index, entry, _: self.world.applied(self.me, index, entry), COMPACT_AT,
+            lambda role, term, _: self.world.role_changed(self.me, role, term, raft.log),
+            lambda index, entry, _: self.world.entry_applied(self.me, index, entry), COMPACTION_ENTRIES,
         )  # fmt: skip
         self.up, self.suspended, self.inbox = True, False, []
         self.tick(self.life)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         self.up = False
         self.driver.close()
 
@@ -101,190 +103,219 @@
 
     def _tick(self, life: int) -> None:
         self.driver.tick()
-        wait = max((self.raft.due - self.now()) / self.rate, 1.0)
-        self.world.at(wait, self.tick, life)
+        delay_ms = max((self.raft.due - self.now()) / self.rate, 1.0)
+        self.world.call_later(delay_ms, self.tick, life)
 
-    def write(self, save: Save, done: Callable[[], None]) -> None:
-        self.world.at(self.world.draw.uniform(*WRITE), self.written, save, done, self.life)
+    def write(self, save: Save, on_done: Callable[[], None]) -> None:
+        self.world.call_later(
+            self.world.rng.uniform(*WRITE_DELAY_MS), self.write_completed, save, on_done, self.life
+        )
 
-    def written(self, save: Save, done: Callable[[], None], life: int) -> None:
-        """The write is on disk, suspended or not; a process that died before never knows."""
+    def write_completed(self, save: Save, on_done: Callable[[], None], life: int) -> None:
+        """Completes a write, also while the process is suspended, but not if it crashed in the meantime."""
         if life != self.life or not self.up:
             return
         self.world.disks[self.me].write(save)
-        if self.world.dies_at_write():
-            self.world.die(self.me)
+        if self.world.crashes_at_write():
+            self.world.crash(self.me)
         else:
-            self.act(done)
+            self.act(on_done)
+
 
+class World(EventQueue):
+    """The instances, their disks and the network between them.
 
-class World(Events):
-    """`die_rate` is the chance to die at each write."""
+    `crash_rate` is the probability of a crash at each write.
+    """
 
     def __init__(
-        self, size: int, seed: int, kind: type[Raft] = Raft, loss: float = 0.05, double: float = 0.05,
-        late: tuple[float, float] = (0.3, 30.0), die_rate: float = 0.0,
+        self, size: int, seed: int, raft_class: type[Raft] = Raft, loss: float = 0.05,
+        duplication: float = 0.05, delay_ms: tuple[float, float] = (0.3, 30.0), crash_rate: float = 0.0,
     ) -> None:  # fmt: skip
         super().__init__()
-        self.seed, self.kind, self.draw = seed, kind, random.Random(seed)
-        self.loss, self.double, self.late, self.die_rate = loss, double, late, die_rate
+        self.seed, self.raft_class, self.rng = seed, raft_class, random.Random(seed)
+        self.loss, self.duplication, self.delay_ms, self.crash_rate = loss, duplication, delay_ms, crash_rate
         members = Members(tuple(range(size)))
-        self.disks = [Disk(members) for _ in range(size)]
-        self.cut: set[tuple[int, int]] = set()
-        self.leaders: dict[int, int] = {}  # by term
-        self.entries: dict[int, Entry] = {}  # by index, as first applied
-        self.committed: dict[int, int] = {}  # and the term of whoever applied it first
-        self.took: list[float] = []  # commit times
-        self.elected: list[float] = []
+        self.disks = [SimulatedDisk(members) for _ in range(size)]
+        self.cut_links: set[tuple[int, int]] = set()
+        self.leader_by_term: dict[int, int] = {}
+        self.first_applied: dict[int, Entry] = {}  # by index, as the first instance applied it
+        self.applied_terms: dict[int, int] = {}  # by index, the term of the first instance that applied it
+        self.commit_times_ms: list[float] = []  # from a client's proposal to its result
+        self.election_times_ms: list[float] = []
         self.instances = [Instance(self, i) for i in range(size)]
         for instance in self.instances:
             instance.start()
 
-    # ---- the network and the processes
+    # ---- network and processes
 
-    def send(self, a: int, b: int, message: Any) -> None:
-        if (a, b) in self.cut or self.draw.random() < self.loss:
+    def send(self, source: int, target: int, message: Any) -> None:
+        if (source, target) in self.cut_links or self.rng.random() < self.loss:
             return
-        for _ in range(1 + (self.draw.random() < self.double)):
-            self.at(self.draw.uniform(*self.late), self.arrive, b, message)
+        for _ in range(1 + (self.rng.random() < self.duplication)):
+            self.call_later(self.rng.uniform(*self.delay_ms), self.deliver, target, message)
 
-    def arrive(self, b: int, message: Any) -> None:
-        if b < len(self.instances) and self.instances[b].up:
-            self.instances[b].act(self.instances[b].driver.receive, message)
+    def deliver(self, target: int, message: Any) -> None:
+        if target < len(self.instances) and self.instances[target].up:
+            self.instances[target].act(self.instances[target].driver.receive, message)
 
-    def dies_at_write(self) -> bool:
-        return self.draw.random() < self.die_rate
+    def crashes_at_write(self) -> bool:
+        return self.rng.random() < self.crash_rate
 
-    def die(self, i: int) -> None:
+    def crash(self, i: int) -> None:
         if self.instances[i].up:
-            self.instances[i].die()
-            self.at(self.draw.uniform(50, 900), self.start, i)
+            self.instances[i].crash()
+            self.call_later(self.rng.uniform(50, 900), self.start, i)
 
     def start(self, i: int) -> None:
         if not self.instances[i].up:
             self.instances[i].start()
 
-    def suspend(self, i: int, span: float) -> None:
+    def suspend(self, i: int, duration_ms: float) -> None:
         if self.instances[i].runs:
             self.instances[i].suspend()
-            self.at(span, self.instances[i].resume)
+            self.call_later(duration_ms, self.instances[i].resume)
 
-    # ---- what must hold
+    # ---- safety properties
 
-    def became(self, me: int, role: Role, term: int, log: Log) -> None:
+    def role_changed(self, me: int, role: Role, term: int, log: Log) -> None:
         if role is not Role.LEADER:
             return
-        self.elected.append(self.now)
-        if self.leaders.setdefault(term, me) != me:
-            raise BrokenError(f"election safety: {self.leaders[term]} and {me} lead term {term}")
-        for index, entry in self.entries.items():
-            if term <= self.committed[index]:
+        self.election_times_ms.append(self.now)
+        if self.leader_by_term.setdefault(term, me) != me:
+            raise PropertyViolationError(
+                f"election safety: {self.leader_by_term[term]} and {me} lead term {term}"
+            )
+        for index, entry in self.first_applied.items():
+            if term <= self.applied_terms[index]:
                 continue
             if index > log.snapshot.index and (index > log.last_index or log.entry_at(index) != entry):
-                raise BrokenError(f"leader completeness: {me} leads term {term} without entry {index}")
+                raise PropertyViolationError(
+                    f"leader completeness: {me} leads term {term} without entry {index}"
+                )
 
-    def applied(self, me: int, index: int, entry: Entry) -> None:
-        self.committed.setdefault(index, self.instances[me].raft.term)
-        if self.entries.setdefault(index, entry) != entry:
-            raise BrokenError(f"state machine safety: {me} applies another entry at {index}")
+    def entry_applied(self, me: int, index: int, entry: Entry) -> None:
+        self.applied_terms.setdefault(index, self.instances[me].raft.term)
+        if self.first_applied.setdefault(index, entry) != entry:
+            raise PropertyViolationError(f"state machine safety: {me} applies another entry at {index}")
 
     def check_logs(self) -> None:
-        """Log matching: logs with an entry of one index and term are alike up to it."""
+        """Log matching: if two logs have an entry of the same index and term, they agree up to it."""
         logs = [(i.me, i.raft.log) for i in self.instances if i.up]
-        for k, (a, one) in enumerate(logs):
-            for b, other in logs[k + 1 :]:
-                same = min(one.last_index, other.last_index)
-                first = max(one.snapshot.index, other.snapshot.index)
-                while same > first and one.term_at(same) != other.term_at(same):
-                    same -= 1
-                for index in range(first + 1, same + 1):
-                    if one.entry_at(index) != other.entry_at(index):
-                        raise BrokenError(f"log matching: {a} and {b} differ at {index} before {same}")
+        for i, (first_name, first_log) in enumerate(logs):
+            for second_name, second_log in logs[i + 1 :]:
+                common = min(first_log.last_index, second_log.last_index)
+                first = max(first_log.snapshot.index, second_log.snapshot.index)
+                while common > first and first_log.term_at(common) != second_log.term_at(common):
+                    common -= 1
+                for index in range(first + 1, common + 1):
+                    if first_log.entry_at(index) != second_log.entry_at(index):
+                        raise PropertyViolationError(
+                            f"log matching: {first_name} and {second_name} differ at {index} before {common}"
+                        )
 
     def leader(self) -> Instance | None:
-        led = [i for i in self.instances if i.runs and i.raft.role is Role.LEADER]
-        return max(led, key=lambda i: i.raft.term, default=None)
+        leaders = [i for i in self.instances if i.runs and i.raft.role is Role.LEADER]
+        return max(leaders, key=lambda i: i.raft.term, default=None)
 
 
 class Client:
-    """Puts one value after another, again until it is told that it stands; reads in between."""
+    """Appends one value after another, retries each until it is committed, and reads now and then."""
 
-    def __init__(self, world: World, number: int, ops: list[dict[str, Any]]) -> None:
-        self.world, self.number, self.ops = world, number, ops
+    def __init__(self, world: World, number: int, operations: list[dict[str, Any]]) -> None:
+        self.world, self.number, self.operations = world, number, operations
         self.serial = 0
-        self.world.at(200.0 + 10 * number, self.begin)
+        self.world.call_later(200.0 + 10 * number, self.start_operation)
 
-    def begin(self) -> None:
+    def start_operation(self) -> None:
         self.serial += 1
-        read = self.world.draw.random() < 0.3
+        read = self.world.rng.random() < 0.3
         value = f"{self.number}.{self.serial}"
-        op = {"read": read, "value": value, "from": self.world.now, "to": None, "got": None}
-        self.ops.append(op)
-        self.attempt(op, self.serial)
-
-    def attempt(self, op: dict[str, Any], serial: int) -> None:
-        if op["to"] is not None or serial != self.serial:
+        operation = {
+            "read": read,
+            "value": value,
+            "started_at": self.world.now,
+            "ended_at": None,
+            "result": None,
+        }
+        self.operations.append(operation)
+        self.attempt(operation, self.serial)
+
+    def attempt(self, operation: dict[str, Any], serial: int) -> None:
+        if operation["ended_at"] is not None or serial != self.serial:
             return
-        draw = self.world.draw
-        self.world.at(draw.uniform(60, 200), self.attempt, op, serial)
-        to = draw.choice(self.world.instances)
-        if not to.runs:
+        rng = self.world.rng
+        self.world.call_later(rng.uniform(60, 200), self.attempt, operation, serial)
+        instance = rng.choice(self.world.instances)
+        if not instance.runs:
             return
-        if op["read"]:
-            to.driver.read(lambda line: self.answered(op, None if line is None else list(line.values)))
+        if operation["read"]:
+            instance.driver.read(
+                lambda machine: self.complete(operation, None if machine is None else list(machine.values))
+            )
         else:
-            data = orjson.dumps(op["value"])
-            to.driver.propose(data, self.number + 1, serial, lambda got: self.answered(op, got))
+            data = orjson.dumps(operation["value"])
+            instance.driver.propose(
+                data, self.number + 1, serial, lambda result: self.complete(operation, result)
+            )
 
-    def answered(self, op: dict[str, Any], got: Any) -> None:
-        if got is None or op["to"] is not None:
+    def complete(self, operation: dict[str, Any], result: Any) -> None:
+        if result is None or operation["ended_at"] is not None:
             return
-        op["to"], op["got"] = self.world.now, got
-        if not op["read"]:
-            self.world.took.append(op["to"] - op["from"])
-        self.world.at(self.world.draw.uniform(5, 60), self.begin)
+        operation["ended_at"], operation["result"] = self.world.now, result
+        if not operation["read"]:
+            self.world.commit_times_ms.append(operation["ended_at"] - operation["started_at"])
+        self.world.call_later(self.world.rng.uniform(5, 60), self.start_operation)
 
 
-def torment(world: World, span: float) -> None:
-    """Deaths, suspensions, cuts both ways and one way, moments of loss, and quiet, at random moments."""
-    draw, until = world.draw, world.now + span
+def inject_faults(world: World, duration_ms: float) -> None:
+    """Injects crashes, suspensions, two-way and one-way cuts, and leadership transfers at random times."""
+    rng, until = world.rng, world.now + duration_ms
     size = len(world.instances)
     while world.now < until:
-        what = draw.choice(("die", "sleep", "cut", "one-way", "heal", "heal", "transfer"))
-        i = draw.randrange(size)
-        if what == "die":
-            world.die(i)
-        elif what == "sleep":
-            world.suspend(i, draw.uniform(20, 1500))
-        elif what == "cut":
-            world.cut = {(a, b) for a in range(size) for b in range(size) if (a == i) != (b == i)}
-        elif what == "one-way":
-            world.cut = {(i, b) for b in range(size)}
-        elif what == "transfer" and (leader := world.leader()) is not None:
+        action = rng.choice(("crash", "suspend", "cut", "one-way", "heal", "heal", "transfer"))
+        i = rng.randrange(size)
+        if action == "crash":
+            world.crash(i)
+        elif action == "suspend":
+            world.suspend(i, rng.uniform(20, 1500))
+        elif action == "cut":
+            world.cut_links = {
+                (source, target)
+                for source in range(size)
+                for target in range(size)
+                if (source == i) != (target == i)
+            }
+        elif action == "one-way":
+            world.cut_links = {(i, target) for target in range(size)}
+        elif action == "transfer" and (leader := world.leader()) is not None:
             leader.raft.transfer_leadership(leader.now(), i)
         else:
-            world.cut = set()
-        world.run(draw.uniform(20, 600))
+            world.cut_links = set()
+        world.run(rng.uniform(20, 600))
         world.check_logs()
 
 
-def play(
-    size: int, seed: int, span: float, kind: type[Raft] = Raft, clients: int = 3, **faults: Any,
+def simulate(
+    size: int, seed: int, duration_ms: float, raft_class: type[Raft] = Raft, clients: int = 3, **faults: Any,
 ) -> World:  # fmt: skip
-    """One run under torment, then quiet; raises BrokenError."""
-    world = World(size, seed, kind, **faults)
+    """Runs a cluster under faults and then without; raises PropertyViolationError."""
+    world = World(size, seed, raft_class, **faults)
     for i, instance in enumerate(world.instances):
         instance.rate = 1 + (i - size // 2) * 0.02
-    ops: list[dict[str, Any]] = []
+    operations: list[dict[str, Any]] = []
     for number in range(clients):
-        Client(world, number, ops)
-    torment(world, span)
-    world.cut, world.loss, world.die_rate = set(), 0.0, 0.0
+        Client(world, number, operations)
+    inject_faults(world, duration_ms)
+    world.cut_links, world.loss, world.crash_rate = set(), 0.0, 0.0
     world.run(6000.0)
     world.check_logs()
     if (leader := world.leader()) is None:
-        raise BrokenError("no leader in quiet")
-    check_history(ops, leader.values)
-    if not any(op["to"] is not None and op["to"] > world.now - 4500 for op in ops):
-        raise BrokenError("nothing goes on in quiet")
+        raise PropertyViolationError("no leader after the faults ended")
+    check_history(operations, leader.values)
+    if not any(
+        operation["ended_at"] is not None and operation["ended_at"] > world.now - 4500
+        for operation in operations
+    ):
+        raise PropertyViolationError("no operation completed after the faults ended")
     return world
--- a/caperdeck/lab/slopes/agreement.py
+++ b/caperdeck/lab/slopes/agreement.py
@@ -145,7 +145,7 @@
 
     def __init__(self) -> None:
         self.sent = dict.fromkeys(range(INSTANCES), 0)  # bytes, by the sender
-        super().__init__(INSTANCES, SEED, loss=0.0, double=0.0, late=ON_THE_WAY)
+        super().__init__(INSTANCES, SEED, loss=0.0, duplication=0.0, delay_ms=ON_THE_WAY)
 
     def send(self, a: int, b: int, message: Any) -> None:
         self.sent[a] += LENGTH_PREFIX.size + len(encode(message, CLUSTER))
--- a/caperdeck/lab/slopes/membership_fleet.py
+++ b/caperdeck/lab/slopes/membership_fleet.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from caperdeck.lab.events import Events
+from caperdeck.lab.events import EventQueue
 from caperdeck.peers import codec
 from caperdeck.peers.codec import MemberState
 from caperdeck.peers.swim import Send, Swim
@@ -29,7 +29,7 @@
     """What is waited for has not come in LONGEST_WAIT."""
 
 
-class Fleet(Events):
+class Fleet(EventQueue):
     """Members on a simulated network. `warm`: all know all from the start."""
 
     def __init__(self, members: int, seed: int, warm: bool) -> None:
@@ -44,7 +44,7 @@
         if warm:
             self._introduce()
         for number, swim in enumerate(self.members):
-            self.at(swim.due, self._tick, number)
+            self.call_later(swim.due, self._tick, number)
 
     def _introduce(self) -> None:
         lives = [swim.life[swim.me] for swim in self.members]
@@ -63,7 +63,7 @@
         sends = swim.tick(self.now)
         self._send(number, sends)
         self.spent += time.thread_time_ns() - started
-        self.at(max(swim.due - self.now, LEAST_WAIT), self._tick, number)
+        self.call_later(max(swim.due - self.now, LEAST_WAIT), self._tick, number)
 
     def _arrive(self, number: int, data: bytes) -> None:
         if number in self.killed:
@@ -80,7 +80,7 @@
             self.messages += 1
             self.bytes += len(data)
             if (number < self.region) == (to < self.region):
-                self.at(self.random.uniform(*DELAY), self._arrive, to, data)
+                self.call_later(self.random.uniform(*DELAY), self._arrive, to, data)
 
     @property
     def living(self) -> list[Swim]:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -16,7 +16,14 @@
 from caperdeck.gossip.quota_transfers import QuotaTransfers
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab import sharing_network
-from caperdeck.lab.sharing_network import RATE, SAVED, Net, Spending, bound, torment
+from caperdeck.lab.sharing_network import (
+    ACCRUAL_RATE,
+    SAVINGS_SPAN_MS,
+    SharingNetwork,
+    Spending,
+    spending_bound,
+    inject_faults,
+)
 from caperdeck.peers import codec
 from caperdeck.peers.codec import DatagramError, Message
 
@@ -248,86 +255,88 @@
 def test_transferred_quota_stays_within_its_bound_under_random_faults(members, seed):
     draw = random.Random(seed)
     rates = [draw.uniform(0.98, 1.02) for _ in range(members)]
-    net = Net(members, seed, ROOM, loss=0.2, double=0.2, late=(0.2, 700.0), rates=rates)
-    spending = Spending(net, every=400.0 if members > 100 else 80.0)
-    torment(net, draw, 6_000 if members > 100 else 20_000)
-    assert spending.spent and spending.lent > 0
+    net = SharingNetwork(
+        members, seed, ROOM, loss=0.2, duplication=0.2, delay_ms=(0.2, 700.0), clock_rates=rates
+    )
+    spending = Spending(net, mean_interval_ms=400.0 if members > 100 else 80.0)
+    inject_faults(net, draw, 6_000 if members > 100 else 20_000)
+    assert spending.spent and spending.borrowed > 0
     for window in (1.0, 250.0, 1000.0, 5000.0):
-        assert spending.worst(window) <= bound(net, window) * (1 + 1e-9)
+        assert spending.max_spent_in(window) <= spending_bound(net, window) * (1 + 1e-9)
 
 
 def test_the_bound_check_finds_a_fleet_that_divides_by_live_members(monkeypatch):
     """The same faults, with nodes that divide the quota by the members that they see alive."""
-    net = Net(8, 3, ROOM, loss=0.2, late=(0.2, 50.0))
+    net = SharingNetwork(8, 3, ROOM, loss=0.2, delay_ms=(0.2, 50.0))
     spending = Spending(net)
 
-    def mint(self, now):
+    def accrue(self, now):
         node = next(n for n in net.nodes if n is not None and n.decisions is self)
         part = net.members / (1 + len(node.swim.alive()))
-        return self.rights.accrue(now, 0, RATE * part, RATE * part * SAVED)
+        return self.quotas.accrue(now, 0, ACCRUAL_RATE * part, ACCRUAL_RATE * part * SAVINGS_SPAN_MS)
 
-    monkeypatch.setattr(sharing_network.Stub, "mint", mint)
-    torment(net, random.Random(3), 20_000)
-    assert max(spending.worst(w) / bound(net, w) for w in (1000.0, 5000.0)) > 1
+    monkeypatch.setattr(sharing_network.StubDecisions, "accrue", accrue)
+    inject_faults(net, random.Random(3), 20_000)
+    assert max(spending.max_spent_in(w) / spending_bound(net, w) for w in (1000.0, 5000.0)) > 1
 
 
 def test_a_fleet_without_messages_spends_its_equal_shares():
-    net = Net(8, 1, ROOM, loss=1.0)
+    net = SharingNetwork(8, 1, ROOM, loss=1.0)
     spending = Spending(net)
     net.run(20_000)
     assert sum(s.transfers.borrowed for s in net.nodes) == 0
-    assert sum(x for _, x in spending.spent) > 0.9 * net.members * RATE * 20_000
+    assert sum(x for _, x in spending.spent) > 0.9 * net.members * ACCRUAL_RATE * 20_000
 
 
 def test_a_node_short_of_quota_gets_what_others_do_not_use():
-    net = Net(8, 1, ROOM)
-    net.stubs[0].short = True
+    net = SharingNetwork(8, 1, ROOM)
+    net.stubs[0].needs_quota = True
     got = 0.0
     for _ in range(100):
         net.run(100.0)
-        got += net.stubs[0].mint(net.clock(0))
-        net.stubs[0].rights.set_balance(net.clock(0), 0, 0.0)
-    assert got > 2 * RATE * 10_000
+        got += net.stubs[0].accrue(net.clock(0))
+        net.stubs[0].quotas.set_balance(net.clock(0), 0, 0.0)
+    assert got > 2 * ACCRUAL_RATE * 10_000
 
 
 def test_a_false_judgement_of_a_cut_off_node_marks_no_host_lost():
-    net = Net(8, 1, SharingFeatures(lost=True))
+    net = SharingNetwork(8, 1, SharingFeatures(lost=True))
     for i, stub in enumerate(net.stubs):
-        stub.figures = []
-        stub.words = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
+        stub.loads = []
+        stub.conditions = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
     for _ in range(60):
         for i, stub in enumerate(net.stubs):
-            stub.words = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
+            stub.conditions = [(7, HostCondition.LOST if i == 0 else HostCondition.HEALTHY, net.clock(i))]
         net.run(500.0)
-    assert not any(stub.lost for stub in net.stubs)
+    assert not any(stub.unreachable_until for stub in net.stubs)
 
 
 def test_a_host_lost_for_most_nodes_is_reported_to_the_others():
-    net = Net(8, 1, SharingFeatures(lost=True))
+    net = SharingNetwork(8, 1, SharingFeatures(lost=True))
     for _ in range(120):
         for i, stub in enumerate(net.stubs[:6]):
-            stub.words = [(7, HostCondition.LOST, net.clock(i))]
+            stub.conditions = [(7, HostCondition.LOST, net.clock(i))]
         net.run(500.0)
-    assert net.stubs[7].lost.get(7, 0) > 0
+    assert net.stubs[7].unreachable_until.get(7, 0) > 0
 
 
 def test_overload_moves_sessions_after_two_observers_and_at_spread_times():
-    net = Net(20, 1, SharingFeatures(full=True))
+    net = SharingNetwork(20, 1, SharingFeatures(full=True))
     net.run(3000.0)
-    net.stubs[0].figures = [(7, 1.3, net.clock(0))]
+    net.stubs[0].loads = [(7, 1.3, net.clock(0))]
     net.run(2000.0)
-    assert not any(stub.full for stub in net.stubs)
+    assert not any(stub.relief_calls for stub in net.stubs)
     for i in (1, 2):
-        net.stubs[i].figures = [(7, 1.2 + i / 10, net.clock(i))]
+        net.stubs[i].loads = [(7, 1.2 + i / 10, net.clock(i))]
     net.run(2000.0)
-    acts = [row for stub in net.stubs for row in stub.full]
+    acts = [row for stub in net.stubs for row in stub.relief_calls]
     assert len(acts) >= 18 and {row[2] for row in acts} <= {1.3, 1.4} | {1.3}
     times = sorted(at for at, _, _ in acts)
     assert times[-1] - times[0] > 200.0
 
 
 def test_overload_reports_queued_during_a_suspension_are_outdated():
-    net = Net(4, 1, SharingFeatures(full=True))
+    net = SharingNetwork(4, 1, SharingFeatures(full=True))
     net.run(2000.0)
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
@@ -341,15 +350,15 @@
 
 
 def test_a_single_false_overload_report_moves_nobody():
-    net = Net(8, 1, SharingFeatures(full=True))
+    net = SharingNetwork(8, 1, SharingFeatures(full=True))
     for _ in range(30):
-        net.stubs[0].figures = [(h, 2.0, net.clock(0)) for h in range(6)]
+        net.stubs[0].loads = [(h, 2.0, net.clock(0)) for h in range(6)]
         net.run(500.0)
-    assert not any(stub.full for stub in net.stubs)
+    assert not any(stub.relief_calls for stub in net.stubs)
 
 
 def test_a_datagram_with_a_foreign_address_or_this_nodes_name_is_dropped():
-    net = Net(3, 1, ROOM)
+    net = SharingNetwork(3, 1, ROOM)
     net.run(5000.0)
     node = net.nodes[0]
     data = codec.encode(Message(codec.MessageKind.PING, 1, node.swim.life[1], 0, 5), node.fleet)
--- a/tests/test_gossip_bound.py
+++ b/tests/test_gossip_bound.py
@@ -5,21 +5,21 @@
 import pytest
 
 from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
-from caperdeck.lab.exploration import BrokenError, explore
-from caperdeck.lab.rights_model import NodeModel, RightsModel
+from caperdeck.lab.exploration import PropertyViolationError, explore
+from caperdeck.lab.rights_model import NodeModel, QuotaModel
 
 
 class DividesByLiveNodes(NodeModel):
     """Divides the quota by the number of live nodes instead of all nodes."""
 
-    def part(self, heard):
-        return 1 / heard
+    def quota_share(self, live_nodes):
+        return 1 / live_nodes
 
 
 class UsesExpiredQuota(NodeModel):
     """Uses borrowed quota after its expiry."""
 
-    def end(self, until):
+    def expiry(self, until):
         return float("inf")
 
 
@@ -46,15 +46,15 @@
     {"asks": 1, "doubles": 0, "deaths": 0, "sleeps": 0, "ticks": 2, "rates": (1, 2, 1)},
 ])  # fmt: skip
 def test_no_order_of_messages_restarts_and_suspensions_breaks_the_bound(world):
-    assert explore(RightsModel(**{"ticks": 2} | world)) > 1000
+    assert explore(QuotaModel(**{"ticks": 2} | world)) > 1000
 
 
 @pytest.mark.parametrize("kind, world, text", [
-    (DividesByLiveNodes, {"asks": 0, "doubles": 0, "deaths": 0, "sleeps": 1, "ticks": 2}, "has minted"),
+    (DividesByLiveNodes, {"asks": 0, "doubles": 0, "deaths": 0, "sleeps": 1, "ticks": 2}, "has accrued"),
     (UsesExpiredQuota, {"asks": 1, "doubles": 0, "deaths": 0, "sleeps": 0, "ticks": 4}, "spent after"),
-    (AcceptsTwice, {"asks": 1, "doubles": 1, "deaths": 0, "sleeps": 0, "ticks": 1}, "twice|hands"),
+    (AcceptsTwice, {"asks": 1, "doubles": 1, "deaths": 0, "sleeps": 0, "ticks": 1}, "twice|holds"),
 ])  # fmt: skip
 def test_a_seeded_fault_is_found(kind, world, text):
     """Each of these faults puts the fleet over its bound; the exploration must find it."""
-    with pytest.raises(BrokenError, match=text):
-        explore(RightsModel(kind, **world))
+    with pytest.raises(PropertyViolationError, match=text):
+        explore(QuotaModel(kind, **world))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from caperdeck.lab.exploration import BrokenError, explore
+from caperdeck.lab.exploration import PropertyViolationError, explore
 from caperdeck.lab.lease_model import LeaseModel
 from caperdeck.leases.expiry import MAX_CLOCK_DRIFT, LeaseExpiryMonitor, LeaseHolder
 from caperdeck.leases.fence import Fence
@@ -196,5 +196,5 @@
     ({"table": ReusesTokens, "snapshots": 1, "acts": 0}, "given twice"),
 ])  # fmt: skip
 def test_a_seeded_fault_is_found(changes, text):
-    with pytest.raises(BrokenError, match=text):
+    with pytest.raises(PropertyViolationError, match=text):
         explore(LeaseModel(**{"ticks": 4, "asks": 2, "acts": 2, "deaths": 0} | changes))
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from caperdeck.lab.census_model import walk
-from caperdeck.lab.exploration import BrokenError
+from caperdeck.lab.census_model import random_walk
+from caperdeck.lab.exploration import PropertyViolationError
 from caperdeck.leases.census import Census
 from caperdeck.leases.census_state import MAX_NODES, CensusState, StateError, _encode_rows, decode, encode
 from caperdeck.leases.outlier_ejection import (
@@ -337,8 +337,8 @@
 
 
 def test_shares_follow_traffic_and_a_silent_node_keeps_its_share():
-    world = walk(1, 0, nodes=3, owners=1)
-    world.left |= {"tick": 100}
+    world = random_walk(1, 0, nodes=3, owners=1)
+    world.remaining |= {"tick": 100}
     world.grant(0)
 
     def settle(seconds):
@@ -349,7 +349,7 @@
                     if CENSUS not in world.nodes[name].fence.highest:
                         world.learn(name)
                 world.turn(0)
-                while world.flying:
+                while world.messages:
                     world.deliver(0)
 
     settle(8)
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("nodes", [2, 3, 5])
 def test_no_order_of_steps_assigns_more_than_the_whole(nodes):
-    reached = [walk(seed, 150, nodes=nodes, **MANY) for seed in range(600)]
+    reached = [random_walk(seed, 150, nodes=nodes, **MANY) for seed in range(600)]
     assert max(t.epoch for w in reached for t in w.nodes.values()) >= 4
 
 
@@ -401,9 +401,9 @@
 
 @pytest.mark.parametrize("kind", [AssignsSharesOfSilentNodes, TakesAnyReportAsFinal, SendsUncommittedShares])
 def test_a_seeded_fault_in_the_census_is_found(kind):
-    with pytest.raises(BrokenError, match="add up"):
+    with pytest.raises(PropertyViolationError, match="add up"):
         for seed in range(20_000):
-            walk(seed, 150, nodes=2 + seed % 2, kind=kind, **MANY)
+            random_walk(seed, 150, nodes=2 + seed % 2, census_class=kind, **MANY)
 
 
 def test_a_saved_state_round_trips():
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from caperdeck.gossip.sharing import SharingFeatures
-from caperdeck.lab.sharing_network import Net
+from caperdeck.lab.sharing_network import SharingNetwork
 from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
 from caperdeck.peers import codec
 from caperdeck.peers.codec import DatagramError, Heartbeat, MemberState, MemberUpdate, Message, MessageKind
@@ -216,7 +216,7 @@
 
 
 def test_a_suspended_node_suspects_nobody_after_it_resumes():
-    net = Net(8, uses=MEMBERSHIP)
+    net = SharingNetwork(8, features=MEMBERSHIP)
     net.run(20_000)
     net.suspend(0)
     net.run(60_000)
@@ -230,25 +230,27 @@
 
 @pytest.mark.parametrize("members", [3, 40, 200])
 def test_all_members_find_each_other_with_traffic_independent_of_fleet_size(members):
-    net = Net(members, uses=MEMBERSHIP)
+    net = SharingNetwork(members, features=MEMBERSHIP)
     net.run(120_000)
     assert all(n.swim.state.count(MemberState.ALIVE) > 0.9 * members for n in net.nodes)
     assert (
-        max(net.sends) < 120 * 2.5 and max(net.bytes) < 120 * 200 and net.longest <= codec.MAX_DATAGRAM_BYTES
+        max(net.datagrams_sent) < 120 * 2.5
+        and max(net.bytes_sent) < 120 * 200
+        and net.longest_datagram <= codec.MAX_DATAGRAM_BYTES
     )
     direct, news = net.nodes[0].swim.count_heard(net.clock(0), 30_000.0)
     assert direct >= min(members - 1, 10) and news >= min(members - 1, 30)
 
 
 def test_members_do_not_ping_in_lockstep():
-    net = Net(40, uses=MEMBERSHIP)
+    net = SharingNetwork(40, features=MEMBERSHIP)
     net.run(10_000)
     turns = sorted(n.swim.next_round_at % PING_PERIOD_MS for n in net.nodes)
     assert max(b - a for a, b in zip(turns, turns[1:], strict=False)) < PING_PERIOD_MS / 4
 
 
 def test_failure_and_return_of_seven_in_ten_members_is_detected():
-    net = Net(40, uses=MEMBERSHIP)
+    net = SharingNetwork(40, features=MEMBERSHIP)
     net.run(30_000)
     for i in range(28):
         net.kill(i)
@@ -338,21 +340,21 @@
 
 
 def test_a_partitioned_zone_is_alive_again_after_it_heals():
-    net = Net(20, uses=MEMBERSHIP)
+    net = SharingNetwork(20, features=MEMBERSHIP)
     net.run(20_000)
-    net.cut = lambda a, b: (a < 6) != (b < 6)
+    net.is_cut = lambda a, b: (a < 6) != (b < 6)
     net.run(90_000)
     assert net.nodes[0].swim.count_heard(net.clock(0), 30_000.0)[0] <= 5
-    net.cut = lambda a, b: False
+    net.is_cut = lambda a, b: False
     net.run(60_000)
     assert all(n.swim.state == [MemberState.ALIVE] * 20 for n in net.nodes)
 
 
 def test_a_one_way_link_makes_nobody_silent():
     """Indirect pings reach the member, and the report of its answer counts."""
-    net = Net(12, uses=MEMBERSHIP)
+    net = SharingNetwork(12, features=MEMBERSHIP)
     net.run(20_000)
-    net.cut = lambda a, b: (a, b) == (0, 1)
+    net.is_cut = lambda a, b: (a, b) == (0, 1)
     net.run(60_000)
     assert all(
         n.swim.state[1] is not MemberState.SILENT and n.swim.state[0] is not MemberState.SILENT
@@ -361,7 +363,7 @@
 
 
 def test_a_flood_is_decoded_and_answered_at_a_bounded_rate():
-    net = Net(3, uses=MEMBERSHIP)
+    net = SharingNetwork(3, features=MEMBERSHIP)
     net.run(10_000)
     node, now = net.nodes[0], net.clock(0)
     life = net.nodes[1].swim.life[1]
@@ -371,6 +373,6 @@
 
 
 def test_a_single_node_sends_nothing():
-    net = Net(1, uses=MEMBERSHIP)
+    net = SharingNetwork(1, features=MEMBERSHIP)
     net.run(10_000)
-    assert net.sends == [0]
+    assert net.datagrams_sent == [0]
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -3,7 +3,7 @@
 import orjson
 import pytest
 
-from caperdeck.lab.raft_simulation import BrokenError, Line, World, play
+from caperdeck.lab.raft_simulation import PropertyViolationError, ListStateMachine, World, simulate
 from caperdeck.raft.core import (
     ELECTION_TIMEOUT_MS, AppendEntriesRequest, AppendEntriesResponse, Apply, Raft, ReadFailed, ReadReady,
     Role, Save, Send, TimeoutNow, VoteRequest, VoteResponse,
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_raft_properties_hold_under_random_faults(seed):
-    play(3 if seed % 2 else 5, seed, 8000.0, die_rate=(0.0, 0.01, 0.1)[seed % 3])
+    simulate(3 if seed % 2 else 5, seed, 8000.0, crash_rate=(0.0, 0.01, 0.1)[seed % 3])
 
 
 class ReadsAtOnce(Raft):
@@ -60,9 +60,9 @@
 
 @pytest.mark.parametrize("kind, text", [(ReadsAtOnce, "a read begun"), (VotesForAnyLog, "completeness")])
 def test_a_planted_fault_is_detected(kind, text):
-    with pytest.raises(BrokenError, match=text):
+    with pytest.raises(PropertyViolationError, match=text):
         for seed in range(100):
-            play(3, seed, 8000.0, kind, die_rate=0.1, loss=0.1)
+            simulate(3, seed, 8000.0, kind, crash_rate=0.1, loss=0.1)
 
 
 class ForgetsItsVote(Raft):
@@ -182,7 +182,11 @@
     writes = []
     raft = instance(1)
     driver = Driver(
-        raft, Sessions(Line()), lambda: 0.0, lambda save, done: writes.append(done), lambda *_: None
+        raft,
+        Sessions(ListStateMachine()),
+        lambda: 0.0,
+        lambda save, done: writes.append(done),
+        lambda *_: None,
     )
     driver.receive(AppendEntriesRequest(1, 0, 0, 0, (command(1),), 0, 1))
     driver.receive(AppendEntriesRequest(2, 2, 0, 0, (command(2),), 0, 1))
@@ -269,11 +273,11 @@
 
 
 def test_a_member_that_lacks_compacted_entries_is_sent_the_snapshot():
-    world = World(3, 5, loss=0.0, double=0.0)
+    world = World(3, 5, loss=0.0, duplication=0.0)
     world.run(1500.0)
     leader = world.leader()
     member = next(i for i in world.instances if i is not leader)
-    member.die()
+    member.crash()
     for n in range(120):
         leader.driver.propose(orjson.dumps(n), 9, n + 1, lambda result: None)
         world.run(20.0)
@@ -288,9 +292,9 @@
     def entry(client, serial, value):
         return Entry(1, Kind.COMMAND, orjson.dumps(value), client, serial)
 
-    sessions = Sessions(Line())
+    sessions = Sessions(ListStateMachine())
     assert sessions.apply(entry(1, 1, "a")) == sessions.apply(entry(1, 1, "a")) == 1
-    restored = Sessions(Line())
+    restored = Sessions(ListStateMachine())
     restored.load(sessions.dump())
     assert restored.apply(entry(1, 1, "a")) == 1 and restored.apply(entry(1, 2, "b")) == 2
     assert restored.apply(entry(1, 1, "a")) is None and restored.machine.values == ["a", "b"]
