--- a/caperdeck/lab/owned_work.py
+++ b/caperdeck/lab/owned_work.py
@@ -1,9 +1,9 @@
-"""What must hold of owned work, checked on a history from outside, and how long it took to change hands.
+"""Checks the invariants of owned work on a history, and measures how long handovers between owners take.
 
-At each target tokens never go down among the acts taken; a token belongs to one grant; an epoch of the census
-means the same everywhere, and no number is left out; the shares in force never add up to more than the
-whole; no more than a part of the hosts is out. Nothing here trusts the programs' own clocks but for the order
-of what one process tells.
+The tokens of the actions that a target takes never decrease; a token belongs to one grant; an epoch of the
+census has the same meaning at all nodes; the shares that are in use never add up to more than 1; and no more
+than a fixed share of the hosts is ejected. The checks rely on the programs' own clocks only for the order of
+the events of one process.
 """
 
 from __future__ import annotations
@@ -18,139 +18,167 @@
 from .scenario import HOLDER, LEADER, Scenario, decode
 from .seeded_random import SeededRandom
 
-ROUNDED = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 
 
-class Owned(Check):
+class OwnedWorkCheck(Check):
+    """Checks the tokens and the contents of the actions that the nodes take."""
+
     def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
         super().__init__(scenario, together)
-        self.highest: dict[tuple[str, str], int] = {}  # by target, work
-        self.grants: dict[int, tuple[str, str]] = {}  # by token: work, holder
-        self.epochs: dict[int, int] = {}  # how many live, by epoch
-        floor = FLOOR_SHARE / scenario.nodes
-        self.floor, self.share = floor, dict.fromkeys(scenario.node_names(), floor)
-        self.epoch_of: dict[str, int] = {}  # the epoch that a node is in, in this life
-        self.steps: dict[int, tuple] = {}  # what each number of an act on hosts means
-        self.number: dict[str, int] = {}  # the last of them that a node took, in this life
-
-    def on_grant(self, e: Event) -> None:
-        if self.grants.setdefault(e["token"], (e["work"], e["holder"])) != (e["work"], e["holder"]):
-            self.breach("token", f"{e['token']} was granted twice", e)
-
-    def on_held(self, e: Event) -> None:
-        if e["holder"] != e["who"]:
-            self.breach("token", f"{e['who']} holds for {e['holder']}", e)
-        self.on_grant(e)
-
-    def on_acted(self, e: Event) -> None:
-        node, work, token = e["who"], e["work"], e["token"]
-        if token < self.highest.get((node, work), 0):
-            highest = self.highest[node, work]
-            self.breach("fence", f"an act on {work} with token {token} taken after {highest}", e)
-        self.highest[node, work] = max(token, self.highest.get((node, work), 0))
+        self.highest_token: dict[tuple[str, str], int] = {}  # by target and work
+        self.grant_by_token: dict[int, tuple[str, str]] = {}  # work and holder
+        self.living_by_epoch: dict[int, int] = {}  # number of live nodes
+        floor_share = FLOOR_SHARE / scenario.nodes
+        self.floor_share, self.share_by_node = floor_share, dict.fromkeys(scenario.node_names(), floor_share)
+        self.epoch_by_node: dict[str, int] = {}  # since the node's last start
+        self.hosts_out_by_number: dict[int, tuple] = {}  # by number of an action on hosts
+        self.number_by_node: dict[str, int] = {}  # the last one taken since the node's last start
+
+    def on_grant(self, event: Event) -> None:
+        if self.grant_by_token.setdefault(event["token"], (event["work"], event["holder"])) != (
+            event["work"],
+            event["holder"],
+        ):
+            self.breach("token", f"{event['token']} was granted twice", event)
+
+    def on_held(self, event: Event) -> None:
+        if event["holder"] != event["who"]:
+            self.breach("token", f"{event['who']} reports a work held by {event['holder']}", event)
+        self.on_grant(event)
+
+    def on_acted(self, event: Event) -> None:
+        node, work, token = event["who"], event["work"], event["token"]
+        if token < self.highest_token.get((node, work), 0):
+            highest_token = self.highest_token[node, work]
+            self.breach("fence", f"an action on {work} with token {token} taken after {highest_token}", event)
+        self.highest_token[node, work] = max(token, self.highest_token.get((node, work), 0))
         if work == HOSTS:
-            if e["number"] < self.number.get(node, 0):
-                self.breach("step", f"hosts go back to {e['number']} from {self.number[node]}", e)
-            self.number[node] = e["number"]
-            if self.steps.setdefault(e["number"], tuple(e["out"])) != tuple(e["out"]):
-                self.breach("step", f"number {e['number']} is told in two ways", e)
-            most = math.floor(MAX_EJECTED_SHARE * self.scenario.hosts.count)
-            if len(e["out"]) > most:
-                self.breach("part", f"{len(e['out'])} hosts out by the fleet's word, over {most}", e)
+            if event["number"] < self.number_by_node.get(node, 0):
+                self.breach(
+                    "step", f"hosts go back to {event['number']} from {self.number_by_node[node]}", event
+                )
+            self.number_by_node[node] = event["number"]
+            if self.hosts_out_by_number.setdefault(event["number"], tuple(event["out"])) != tuple(
+                event["out"]
+            ):
+                self.breach("step", f"number {event['number']} has two different lists of hosts", event)
+            max_out = math.floor(MAX_EJECTED_SHARE * self.scenario.hosts.count)
+            if len(event["out"]) > max_out:
+                self.breach("part", f"{len(event['out'])} hosts ejected by the fleet, over {max_out}", event)
         elif work == CENSUS:
-            self._census(node, e)
-
-    def _census(self, node: str, e: Event) -> None:
-        if e["epoch"] < self.epoch_of.get(node, 0):
-            self.breach("census", f"epoch {e['epoch']} after {self.epoch_of[node]}", e)
-        self.epoch_of[node], self.share[node] = e["epoch"], e["share"]
-        if self.epochs.setdefault(e["epoch"], e["living"]) != e["living"]:
-            self.breach("census", f"epoch {e['epoch']} is told in two ways", e)
-        if (whole := sum(self.share.values())) > 1 + ROUNDED:
-            self.breach("census", f"shares add up to {whole:.4f}", e)
-
-    def on_life(self, e: Event) -> None:
-        if e["state"] in ("killed", "exit"):
-            # whoever starts next holds the floor until it is told more
-            self.share[e["who"]], self.epoch_of[e["who"]], self.number[e["who"]] = self.floor, 0, 0
-
-
-class OneOwner(Check):
-    """Two that say they hold one work at one time: not while clocks keep to their drift."""
+            self._census(node, event)
+
+    def _census(self, node: str, event: Event) -> None:
+        if event["epoch"] < self.epoch_by_node.get(node, 0):
+            self.breach("census", f"epoch {event['epoch']} after {self.epoch_by_node[node]}", event)
+        self.epoch_by_node[node], self.share_by_node[node] = event["epoch"], event["share"]
+        if self.living_by_epoch.setdefault(event["epoch"], event["living"]) != event["living"]:
+            self.breach("census", f"epoch {event['epoch']} has two different numbers of live nodes", event)
+        if (total := sum(self.share_by_node.values())) > 1 + ROUNDING_TOLERANCE:
+            self.breach("census", f"shares add up to {total:.4f}", event)
+
+    def on_life(self, event: Event) -> None:
+        if event["state"] in ("killed", "exit"):
+            # A restarted node uses the floor share until it is assigned more.
+            (
+                self.share_by_node[event["who"]],
+                self.epoch_by_node[event["who"]],
+                self.number_by_node[event["who"]],
+            ) = self.floor_share, 0, 0
+
+
+class SingleOwnerCheck(Check):
+    """Checks that no two instances hold a work at the same time, unless the scenario has clock faults."""
 
     def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
         super().__init__(scenario, together)
         self.suspended: set[str] = set()
-        self.holds: dict[str, str] = {}
-        self.skewed = any(f.do == "clock" for f in scenario.fault)
-
-    def on_instance(self, e: Event) -> None:
-        if e["state"] == "asleep":
-            self.suspended.add(e["who"])
-        elif e["state"] == "killed":
-            self.suspended.discard(e["who"])
-            self.holds = {w: who for w, who in self.holds.items() if who != e["who"]}
-
-    def on_held(self, e: Event) -> None:
-        other = self.holds.get(e["work"])
-        # one that sleeps does nothing, and finds out as it wakes, before it does anything: until it has said
-        # that it renewed or lost a work, its word from before counts for nothing
-        if other not in (None, e["who"]) and other not in self.suspended and not self.skewed:
-            self.breach("owner", f"{e['who']} holds {e['work']} while {other} does", e)
-        self.holds[e["work"]] = e["who"]
-        self.suspended.discard(e["who"])
-
-    def on_renewed(self, e: Event) -> None:
-        self.suspended.discard(e["who"])
-
-    def on_lost(self, e: Event) -> None:
-        if self.holds.get(e["work"]) == e["who"]:
-            del self.holds[e["work"]]
-
-
-def took(events: Iterable[Event]) -> dict[str, list[float]]:
-    """Milliseconds until another leads, or a work is held anew, after a fault by that name; inf for never."""
+        self.holder_by_work: dict[str, str] = {}
+        self.has_clock_faults = any(fault.do == "clock" for fault in scenario.fault)
+
+    def on_instance(self, event: Event) -> None:
+        if event["state"] == "asleep":
+            self.suspended.add(event["who"])
+        elif event["state"] == "killed":
+            self.suspended.discard(event["who"])
+            self.holder_by_work = {
+                work: who for work, who in self.holder_by_work.items() if who != event["who"]
+            }
+
+    def on_held(self, event: Event) -> None:
+        other = self.holder_by_work.get(event["work"])
+        # A suspended instance does nothing, and checks its lease after resuming before it does anything. It
+        # does not count as the holder until it has reported that it renewed or lost the work.
+        if other not in (None, event["who"]) and other not in self.suspended and not self.has_clock_faults:
+            self.breach("owner", f"{event['who']} holds {event['work']} while {other} does", event)
+        self.holder_by_work[event["work"]] = event["who"]
+        self.suspended.discard(event["who"])
+
+    def on_renewed(self, event: Event) -> None:
+        self.suspended.discard(event["who"])
+
+    def on_lost(self, event: Event) -> None:
+        if self.holder_by_work.get(event["work"]) == event["who"]:
+            del self.holder_by_work[event["work"]]
+
+
+def handover_times(events: Iterable[Event]) -> dict[str, list[float]]:
+    """Milliseconds from a fault named after a role until another instance leads or a work is held again.
+
+    Infinity stands for a role that was not taken again.
+    """
     waiting: dict[str, tuple[float, tuple[str, ...]]] = {}
-    out: dict[str, list[float]] = {}
-    for e in events:
-        named = e["ev"] == "fault" and (e["name"] == LEADER or e["name"].startswith(HOLDER))
-        if named and e["on"] and e["of"]:
-            began, old = waiting.get(e["name"], (e["t"], ()))
-            waiting[e["name"]] = began, (*old, e["of"][0])
+    times_by_role: dict[str, list[float]] = {}
+    for event in events:
+        is_role_fault = event["ev"] == "fault" and (
+            event["name"] == LEADER or event["name"].startswith(HOLDER)
+        )
+        if is_role_fault and event["on"] and event["of"]:
+            since, previous = waiting.get(event["name"], (event["t"], ()))
+            waiting[event["name"]] = since, (*previous, event["of"][0])
         for role in list(waiting):
-            began, old = waiting[role]
-            led = role == LEADER and e["ev"] == "leader" and e["leader"] == e["who"] and e["who"] not in old
-            held = role.startswith(HOLDER) and e["ev"] == "held" and e["work"] == role[len(HOLDER) :]
-            if (led or held) and e["t"] >= began:
-                out.setdefault(role, []).append(e["t"] - began)
+            since, previous = waiting[role]
+            new_leader = (
+                role == LEADER
+                and event["ev"] == "leader"
+                and event["leader"] == event["who"]
+                and event["who"] not in previous
+            )
+            new_holder = (
+                role.startswith(HOLDER) and event["ev"] == "held" and event["work"] == role[len(HOLDER) :]
+            )
+            if (new_leader or new_holder) and event["t"] >= since:
+                times_by_role.setdefault(role, []).append(event["t"] - since)
                 del waiting[role]
     for role in waiting:
-        out.setdefault(role, []).append(math.inf)
-    return out
+        times_by_role.setdefault(role, []).append(math.inf)
+    return times_by_role
 
 
-CHECKS = (Owned, OneOwner)
+CHECKS = (OwnedWorkCheck, SingleOwnerCheck)
 
-ROUNDS = ("kill leader", "kill holder", "stop leader", "stop holder", "cut leader", "cut holder",
+FAULT_ROUNDS = ("kill leader", "kill holder", "stop leader", "stop holder", "cut leader", "cut holder",
           "silence holder", "stop-before-act holder")  # fmt: skip
-GAP, LASTS = 3.2, 2.1  # seconds between faults, and of each
+FAULT_INTERVAL_S, FAULT_DURATION_S = 3.2, 2.1
 
 
-def again(seed: int, owners: int, rounds: int) -> Scenario:
-    """One fault after another on whoever leads or holds, with nodes and links that fail beside."""
-    draw, at, faults = SeededRandom(seed), 3.5, []
-    for i in range(rounds):
-        do, role = ROUNDS[i % len(ROUNDS)].split()
-        of = LEADER if role == LEADER else HOLDER + (HOSTS if draw.chance() < 0.5 else CENSUS)
-        row = {"do": do, "of": of, "name": of, "at": round(at + draw.chance() / 3, 2), "for": LASTS}
+def repeated_faults_scenario(seed: int, owners: int, round_count: int) -> Scenario:
+    """Scenario with one fault after another of the leader or a holder, while nodes and links fail too."""
+    rng, at, faults = SeededRandom(seed), 3.5, []
+    for i in range(round_count):
+        do, role = FAULT_ROUNDS[i % len(FAULT_ROUNDS)].split()
+        of = LEADER if role == LEADER else HOLDER + (HOSTS if rng.chance() < 0.5 else CENSUS)
+        row = {"do": do, "of": of, "name": of, "at": round(at + rng.chance() / 3, 2), "for": FAULT_DURATION_S}
         if do in ("cut", "silence"):
             row["to"] = "n*" if do == "silence" else "o*"
-            # with one way dead, or no node in reach, it may go on renewing: no other has to come
+            # With one direction cut, or without any node in reach, a holder may go on renewing its lease, so
+            # that no handover has to follow and none is measured.
             row["name"] = of if role == LEADER else ""
         faults.append(row)
-        at += GAP
-    end = at + GAP
-    beside = [
+        at += FAULT_INTERVAL_S
+    end = at + FAULT_INTERVAL_S
+    background_faults = [
         {"do": "kill", "of": "n1", "at": 8.0, "for": 2.0}, {"do": "stop", "of": "n0", "at": 14.0, "for": 3.0},
         {"do": "delay", "of": "o*", "to": "n*", "spread": [0.0, 300.0], "at": 10.0, "for": 10.0},
         {"do": "loss", "of": "o*", "to": "o*", "amount": 0.1, "at": 20.0, "for": 10.0},
@@ -159,5 +187,5 @@
     return decode({
         "name": "again", "seconds": round(end, 1), "nodes": 3, "owners": owners, "seed": seed,
         "hosts": {"count": 8}, "clients": {"rate": 15.0, "life": [4.0, 10.0]},
-        "fault": faults + [f for f in beside if f["at"] + f["for"] < end],
+        "fault": faults + [fault for fault in background_faults if fault["at"] + fault["for"] < end],
     })  # fmt: skip
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -20,7 +20,7 @@
 
 from caperdeck.lab.cli import verdict
 from caperdeck.lab.oracle import judge
-from caperdeck.lab.owned_work import CHECKS, again, took
+from caperdeck.lab.owned_work import CHECKS, handover_times, repeated_faults_scenario
 from caperdeck.lab.real import RealFleet
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
@@ -450,7 +450,11 @@
 
 
 FOLDER = ROOT / "caperdeck/lab/scenarios/owners"
-ROUNDS = (again(1, 3, 16), again(2, 5, 16), again(3, 3, 16))
+ROUNDS = (
+    repeated_faults_scenario(1, 3, 16),
+    repeated_faults_scenario(2, 5, 16),
+    repeated_faults_scenario(3, 3, 16),
+)
 
 
 @pytest.fixture(scope="module")
@@ -502,7 +506,7 @@
     for events, found in (runs[f"again-{i}"] for i in range(len(ROUNDS))):
         assert found == []
         assert sum(e["ev"] == "answer" and e["what"] == "up" for e in events) > 300
-        times = took(events)
+        times = handover_times(events)
         leads += times[LEADER]
         owns += [x for role, rows in times.items() if role.startswith(HOLDER) for x in rows]
         # each work made progress: the last actions carry the state of the last owner
@@ -566,6 +570,6 @@
      "owner"),
 ])  # fmt: skip
 def test_a_history_that_violates_an_invariant_is_reported(more, rule):
-    scenario = again(1, 3, 1)
+    scenario = repeated_faults_scenario(1, 3, 1)
     events = [e | {"t": 1.0 + i} for i, e in enumerate(SOUND + more)]
     assert {b.rule for b in judge(scenario, events, CHECKS)} == ({rule} if rule else set())
