--- a/caperdeck/coordination/__init__.py
+++ b/caperdeck/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Choices of many nodes that add up, from lists, numbers, hashes and time alone. No I/O, no messages."""
+"""Decisions that add up over many nodes, from lists, numbers, hashes and time alone. No I/O, no messages."""
--- a/caperdeck/coordination/episodes.py
+++ b/caperdeck/coordination/episodes.py
@@ -1,87 +1,104 @@
-"""What one node saw, used by many without acting at once, and so that what they do adds up once.
+"""Lets many nodes react to one observation of an overloaded host, spread over time and adding up to one
+reaction.
 
-A host past its limit is an *episode*, from the look that shows it. Every node takes part in it once, whoever
-it heard it from and however often, at a drawn moment, by its own load there alone: the parts of all nodes add
-up to the excess, and the parts of those that heard of it to their part of it.
+A host past its limit is in an *episode* from the probe that shows it. Every node takes part in the episode
+once, whichever node it heard of it from and however often, at a drawn moment and in proportion to its own
+load on the host: the moves of all nodes add up to the excess, and those of the nodes that heard of it to
+their share of the excess.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from .hashing import mixed
+from .hashing import uniform_hash
 
-SPREAD = 500.0  # milliseconds in which the nodes that heard of it act
-LIFE = 1500.0  # a look older than this starts nothing
-EPISODE = 2500.0  # the moves of an episode do not show in looks for so long
-MOST = 256  # hosts
+ACT_SPREAD_MS = 500.0  # nodes that heard of an episode from others act within this time
+MAX_OBSERVATION_AGE_MS = 1500.0  # an older observation starts no episode
+EPISODE_LENGTH_MS = 2500.0  # until the moves of an episode show in the host's load
+MAX_TRACKED_HOSTS = 256
 
 
-class Seen(NamedTuple):
-    """A look at a host: its load over capacity, at a time on this node's clock, by that node."""
+class LoadObservation(NamedTuple):
+    """A host's load over its capacity, as a node saw it at a time on this node's clock."""
 
-    mark: int
+    stable_id: int
     load: float
-    at: float
+    observed_at: float
     origin: int
 
 
-class Due(NamedTuple):
-    mark: int
-    part: float  # of the own load there
-    at: float
+class ScheduledMove(NamedTuple):
+    """The fraction of this node's load on a host that it is to move away, and when."""
 
+    stable_id: int
+    fraction: float
+    due_at: float
 
-class Episodes:
-    """One node's side; a host goes by its mark."""
 
-    def __init__(self, me: int, limit: float) -> None:
-        self.me, self.limit = me, limit
-        self.since: dict[int, float] = {}  # by mark: when the look was made whose episode this node is in
-        self.waiting: dict[int, Due] = {}
+class OverloadEpisodes:
+    """The episodes that one node takes part in; hosts are known by their stable IDs."""
 
-    def saw(self, now: float, seen: Seen) -> bool:
-        """Whether this starts an episode here; `take` says when its part is due."""
-        if seen.load <= self.limit or now - seen.at > LIFE or seen.at > now:
+    def __init__(self, node_number: int, limit: float) -> None:
+        self.node_number, self.limit = node_number, limit
+        # by stable ID: when the observation was made that began the host's episode
+        self.episode_start: dict[int, float] = {}
+        self.scheduled: dict[int, ScheduledMove] = {}
+
+    def observe(self, now: float, observation: LoadObservation) -> bool:
+        """Whether this starts an episode here; `take_due` then returns the move once it is due."""
+        if (
+            observation.load <= self.limit
+            or now - observation.observed_at > MAX_OBSERVATION_AGE_MS
+            or observation.observed_at > now
+        ):
             return False
-        last = self.since.get(seen.mark)
-        # Danger: a look at the host before its moves had gone would move the same excess again.
-        if last is not None and seen.at - last < EPISODE:
+        last = self.episode_start.get(observation.stable_id)
+        # A probe from before the moves of the episode took effect would move the same excess again.
+        if last is not None and observation.observed_at - last < EPISODE_LENGTH_MS:
             return False
-        if last is None and len(self.since) >= MOST:
-            self.since = {m: at for m, at in self.since.items() if now - at < EPISODE}
-            if len(self.since) >= MOST:
+        if last is None and len(self.episode_start) >= MAX_TRACKED_HOSTS:
+            self.episode_start = {
+                host: at for host, at in self.episode_start.items() if now - at < EPISODE_LENGTH_MS
+            }
+            if len(self.episode_start) >= MAX_TRACKED_HOSTS:
                 return False
-        self.since[seen.mark] = seen.at
-        part = (seen.load - self.limit) / seen.load
-        # whoever looked itself acts at once; the rest spread out, each host's by a draw of its own
-        wait = 0.0 if seen.origin == self.me else SPREAD * mixed(seen.mark, int(seen.at), self.me)
-        self.waiting[seen.mark] = Due(seen.mark, part, now + wait)
+        self.episode_start[observation.stable_id] = observation.observed_at
+        fraction = (observation.load - self.limit) / observation.load
+        # The node that probed the host acts at once; the others spread out, by a separate draw for each host.
+        delay = (
+            0.0
+            if observation.origin == self.node_number
+            else ACT_SPREAD_MS
+            * uniform_hash(observation.stable_id, int(observation.observed_at), self.node_number)
+        )
+        self.scheduled[observation.stable_id] = ScheduledMove(observation.stable_id, fraction, now + delay)
         return True
 
-    def take(self, now: float) -> list[Due]:
-        """What is due, each once; what a sleeping node finds long past is void."""
-        due = [d for d in self.waiting.values() if d.at <= now]
-        for d in due:
-            del self.waiting[d.mark]
-        return [d for d in due if now - self.since[d.mark] < EPISODE]
+    def take_due(self, now: float) -> list[ScheduledMove]:
+        """The moves that are due, each once; those of a past episode, as after a sleep, are dropped."""
+        due = [move for move in self.scheduled.values() if move.due_at <= now]
+        for move in due:
+            del self.scheduled[move.stable_id]
+        return [move for move in due if now - self.episode_start[move.stable_id] < EPISODE_LENGTH_MS]
 
 
-class Retries:
-    """How many further tries a node may make: a part of its first ones, saved up to a bound.
+class RetryBudget:
+    """A token bucket of retries: each first try adds `ratio` of a retry, up to `burst`.
 
-    Each node keeps it alone, so all together keep `1 + part` times the first tries and a burst a node,
-    whoever hears of whom, also in a wave in which every client comes back at once.
+    Each node keeps its own, so all nodes together make at most `1 + ratio` times the first tries plus a burst
+    per node, whichever nodes hear of each other, also when every client reconnects at once.
     """
 
-    def __init__(self, part: float, burst: float) -> None:
-        self.part, self.burst, self.left = part, burst, burst
+    def __init__(self, ratio: float, burst: float) -> None:
+        self.ratio, self.burst, self.tokens = ratio, burst, burst
 
-    def first(self) -> None:
-        self.left = min(self.left + self.part, self.burst)
+    def record_first_try(self) -> None:
+        self.tokens = min(self.tokens + self.ratio, self.burst)
 
-    def again(self) -> bool:
-        if self.left < 1.0:
+    def try_retry(self) -> bool:
+        """Takes one retry from the budget; False if there is none."""
+        if self.tokens < 1.0:
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
--- a/caperdeck/coordination/hashing.py
+++ b/caperdeck/coordination/hashing.py
@@ -1,15 +1,15 @@
-"""Even draws from what all nodes know alike: names, numbers, periods of time."""
+"""Pseudo-random values derived from what all nodes know: host IDs, node numbers, period numbers."""
 
 from __future__ import annotations
 
 import zlib
 
-MULTIPLIER = 2654435761  # the golden ratio of 2**32; the sum of a CRC alone is linear in its input
+MULTIPLIER = 2654435761  # 2**32 over the golden ratio; a CRC alone is linear in its input
 MASK = 0xFFFFFFFF
 
 
-def mixed(*numbers: int) -> float:
-    """From 0 to under 1, alike at every node for the same numbers."""
+def uniform_hash(*numbers: int) -> float:
+    """A hash of the numbers, uniform in [0, 1) and the same on every node."""
     x = 0
     for n in numbers:
         x = zlib.crc32((n & 0xFFFFFFFFFFFFFFFF).to_bytes(8, "little"), x) * MULTIPLIER & MASK
--- a/caperdeck/coordination/subset.py
+++ b/caperdeck/coordination/subset.py
@@ -1,12 +1,14 @@
-"""Which hosts a node looks at and keeps figures of, from the list of hosts and its own number alone.
+"""Deterministic subsetting: which hosts a node probes and keeps load reports of, from the list of hosts and
+the node's number alone.
 
-Hosts lie on a ring, in an order drawn by their marks, each as wide as its size. A node stands at the
-fractional part of its number times the golden ratio, and its subset is the arc from there on. Numbers in a
-row stand apart, any N of them are spread almost evenly (the three-distance theorem), and where a node stands
-does not depend on how many there are: a node more or fewer changes no other node's subset.
+Hosts lie on a ring, ordered by a hash of their stable IDs, each as wide as its size. A node's position is the
+fractional part of its number times the golden ratio, and its subset is the arc that begins there. Consecutive
+numbers lie far apart and any N of them are spread almost evenly (the three-distance theorem). A node's
+position does not depend on the number of nodes, so a node that is added or removed changes no other node's
+subset.
 
 After the deterministic apertures of Twitter's Finagle ("Deterministic Aperture", 2019), which put node i of N
-at i/N; docs/turns-design.md counts that and other ways beside this one.
+at i/N; docs/turns-design.md compares that and other ways with this one.
 """
 
 from __future__ import annotations
@@ -17,121 +19,130 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-from .hashing import mixed
+from .hashing import uniform_hash
 
-GOLDEN = (math.sqrt(5) - 1) / 2
-LEAST = 8  # hosts of a subset, if there are so many
-COVER = 4  # nodes that each host is meant for, if there are so many
-LARGEST = 1e6  # times the smallest size
-MOST_HOSTS = 4096
+GOLDEN_RATIO_CONJUGATE = (math.sqrt(5) - 1) / 2
+MIN_SUBSET_HOSTS = 8  # or all, if there are fewer
+NODES_PER_HOST = 4  # nodes that have each host in their subset, or all, if there are fewer
+MAX_SIZE_RATIO = 1e6  # between the largest and the smallest host
+MAX_HOSTS = 4096
 
 
 class SubsetError(ValueError):
-    """The list cannot be used; the text names the row and the reason."""
+    """The list or the node's number cannot be used; the text names the faulty value."""
 
 
-class Place(NamedTuple):
-    """A host on the list: its mark is alike at every node, its size in any one unit."""
+class RingHost(NamedTuple):
+    """A host on the list. Its stable ID is the same on every node; its size is in any one unit."""
 
     host: int
-    mark: int
+    stable_id: int
     size: float
     zone: int = 0
 
 
-class Part(NamedTuple):
-    """A host of a subset, and how much of the node's new sessions it is meant for; all add up to 1."""
+class SubsetHost(NamedTuple):
+    """A host of a subset and its share of the node's new sessions; the shares of a subset add up to 1."""
 
     host: int
     share: float
 
 
-def wanted(hosts: int, nodes: int) -> int:
-    """How many hosts a node's subset has: enough that each is looked at by COVER nodes."""
-    return min(hosts, max(LEAST, -(-COVER * hosts // max(nodes, 1))))
+def subset_size(hosts: int, nodes: int) -> int:
+    """How many hosts a node's subset has, so that each host is probed by NODES_PER_HOST nodes."""
+    return min(hosts, max(MIN_SUBSET_HOSTS, -(-NODES_PER_HOST * hosts // max(nodes, 1))))
 
 
-def stands_at(me: int) -> float:
-    return me * GOLDEN % 1.0
+def ring_position(node_number: int) -> float:
+    """Where a node's arc begins, from 0 to under 1."""
+    return node_number * GOLDEN_RATIO_CONJUGATE % 1.0
 
 
 class Ring:
-    """Raises SubsetError; nothing of a list that cannot be used is taken."""
+    """The hosts of a list on a ring of circumference 1. Raises SubsetError if any of them cannot be used."""
 
-    def __init__(self, places: Iterable[Place]) -> None:
-        rows = sorted(places, key=lambda p: (mixed(p.mark), p.mark))
+    def __init__(self, hosts: Iterable[RingHost]) -> None:
+        rows = sorted(hosts, key=lambda host: (uniform_hash(host.stable_id), host.stable_id))
         _check(rows)
-        self.rows = rows
-        ends = list(accumulate(p.size for p in rows))
+        self.ordered_hosts = rows
+        ends = list(accumulate(host.size for host in rows))
         self.ends = [end / ends[-1] for end in ends] if rows else []
 
-    def arc(self, at: float, least: int, good: Callable[[int], bool] = lambda host: True) -> list[Part]:
-        """The hosts on as much of the ring as so many hosts of mean size take up, from that place on; then as
-        many more, meant for none of the sessions, as it takes until `least` of them are good, or all are in.
+    def arc(
+        self, start: float, min_hosts: int, usable: Callable[[int], bool] = lambda host: True
+    ) -> list[SubsetHost]:
+        """The hosts on an arc that begins at `start` and is as long as `min_hosts` hosts of mean size.
+
+        Further hosts with a share of 0 follow until `min_hosts` of all are usable, or every host is included.
         """
-        size, parts, found = len(self.rows), [], 0
-        span = min(least / size, 1.0) if size else 0.0
-        first = bisect_right(self.ends, at) % max(size, 1)
-        here = at
-        for k in range(size):
-            j = (first + k) % size
-            end = self.ends[j] + (first + k) // size
-            inside = max(min(end, at + span) - here, 0.0)
-            if not inside and found >= least:
+        size, subset, usable_count = len(self.ordered_hosts), [], 0
+        length = min(min_hosts / size, 1.0) if size else 0.0
+        first = bisect_right(self.ends, start) % max(size, 1)
+        position = start
+        for offset in range(size):
+            index = (first + offset) % size
+            end = self.ends[index] + (first + offset) // size
+            inside = max(min(end, start + length) - position, 0.0)
+            if not inside and usable_count >= min_hosts:
                 break
-            parts.append(Part(self.rows[j].host, inside / span))
-            found += good(self.rows[j].host)
-            here = end
-        if parts and here < at + span:
-            # all the way round: the rest of the first one
-            parts[0] = parts[0]._replace(share=parts[0].share + (at + span - here) / span)
-        return parts
-
-
-def _check(rows: Sequence[Place]) -> None:
-    if len(rows) > MOST_HOSTS:
-        raise SubsetError(f"{len(rows)} hosts, over {MOST_HOSTS}")
+            subset.append(SubsetHost(self.ordered_hosts[index].host, inside / length))
+            usable_count += usable(self.ordered_hosts[index].host)
+            position = end
+        if subset and position < start + length:
+            # The arc goes all the way round: the first host also gets the piece before `start`.
+            subset[0] = subset[0]._replace(share=subset[0].share + (start + length - position) / length)
+        return subset
+
+
+def _check(rows: Sequence[RingHost]) -> None:
+    if len(rows) > MAX_HOSTS:
+        raise SubsetError(f"{len(rows)} hosts, over the limit of {MAX_HOSTS}")
     for a, b in zip(rows, rows[1:], strict=False):
-        if a.mark == b.mark:
-            # Danger: two hosts under one mark stand in one order here and in another at the next node.
-            raise SubsetError(f"host {b.host}: its mark {b.mark} stands twice")
-    for p in rows:
-        if isinstance(p.size, bool) or not isinstance(p.size, int | float) or not math.isfinite(p.size):
-            raise SubsetError(f"host {p.host}: size {p.size!r:.50} is no number")
-        if p.size <= 0:
-            raise SubsetError(f"host {p.host}: size {p.size} is not over 0")
-    if rows and max(p.size for p in rows) > LARGEST * min(p.size for p in rows):
-        largest = max(rows, key=lambda p: p.size).host
-        raise SubsetError(f"host {largest}: its size is absurd beside the others'")
+        if a.stable_id == b.stable_id:
+            # Two hosts with one ID could be in a different order on each node.
+            raise SubsetError(f"host {b.host}: its ID {b.stable_id} is on the list twice")
+    for row in rows:
+        if isinstance(row.size, bool) or not isinstance(row.size, int | float) or not math.isfinite(row.size):
+            raise SubsetError(f"host {row.host}: size {row.size!r:.50} is not a finite number")
+        if row.size <= 0:
+            raise SubsetError(f"host {row.host}: size {row.size} is not over 0")
+    if rows and max(row.size for row in rows) > MAX_SIZE_RATIO * min(row.size for row in rows):
+        largest = max(rows, key=lambda row: row.size).host
+        raise SubsetError(f"host {largest}: its size is out of proportion to the others")
 
 
 class Subsets:
-    """A node's subsets of all hosts and of its own zone's; the last good ones where a list is not taken."""
-
-    def __init__(self, me: int, nodes: int, zone: int = 0) -> None:
-        if isinstance(me, bool) or not isinstance(me, int) or me < 0:
-            raise SubsetError(f"the own number {me!r:.50} is on no list")
-        self.me, self.nodes, self.zone = me, max(nodes, 1), zone
-        self.all, self.near = Ring([]), Ring([])
-        self.refused = ""
-
-    def update(self, places: Sequence[Place]) -> str | None:
-        """The reason if the list is not taken."""
+    """A node's subset of all hosts and that of its zone's hosts; a list that cannot be used leaves both as
+    they were.
+    """
+
+    def __init__(self, node_number: int, nodes: int, zone: int = 0) -> None:
+        if isinstance(node_number, bool) or not isinstance(node_number, int) or node_number < 0:
+            raise SubsetError(f"this node's number {node_number!r:.50} is not a whole number from 0")
+        self.node_number, self.nodes, self.zone = node_number, max(nodes, 1), zone
+        self.all_hosts, self.zone_hosts = Ring([]), Ring([])
+        self.refusal = ""  # why the last list was not taken
+
+    def update(self, hosts: Sequence[RingHost]) -> str | None:
+        """Takes a new list; returns the reason if it cannot be used."""
         try:
-            whole, near = Ring(places), Ring(p for p in places if p.zone == self.zone)
+            whole, zone_hosts = Ring(hosts), Ring(host for host in hosts if host.zone == self.zone)
         except SubsetError as error:
-            self.refused = str(error)
-            return self.refused
-        self.all, self.near, self.refused = whole, near, ""
+            self.refusal = str(error)
+            return self.refusal
+        self.all_hosts, self.zone_hosts, self.refusal = whole, zone_hosts, ""
         return None
 
-    def narrowed(self, near: bool) -> list[int]:
-        """The hosts of the subset; none where it leaves nobody out."""
-        hosts = [p.host for p in self.pick(near)]
-        return hosts if len(hosts) < len((self.near if near else self.all).rows) else []
-
-    def pick(self, near: bool, good: Callable[[int], bool] = lambda host: True) -> list[Part]:
-        ring = self.near if near else self.all
-        # of all nodes a zone has about the part that it has of all hosts
-        least = min(wanted(len(self.all.rows), self.nodes), len(ring.rows))
-        return ring.arc(stands_at(self.me), least, good)
+    def restricted_hosts(self, in_zone: bool) -> list[int]:
+        """The hosts of the subset; empty if the subset leaves no host out."""
+        hosts = [member.host for member in self.select(in_zone)]
+        return (
+            hosts if len(hosts) < len((self.zone_hosts if in_zone else self.all_hosts).ordered_hosts) else []
+        )
+
+    def select(self, in_zone: bool, usable: Callable[[int], bool] = lambda host: True) -> list[SubsetHost]:
+        """The subset of the zone's hosts or of all hosts."""
+        ring = self.zone_hosts if in_zone else self.all_hosts
+        # A zone has about the same fraction of all nodes as of all hosts.
+        min_hosts = min(subset_size(len(self.all_hosts.ordered_hosts), self.nodes), len(ring.ordered_hosts))
+        return ring.arc(ring_position(self.node_number), min_hosts, usable)
--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -27,7 +27,7 @@
 from caperdeck.state.limits import Limits
 from caperdeck.state.sessions import ClientSide, HostSide, Prober, Session, Sessions
 from caperdeck.state.timers import cancel
-from caperdeck.coordination.subset import Place, Subsets
+from caperdeck.coordination.subset import RingHost, Subsets
 
 from .backlog import CatchUp
 from .resumption import Resumption
@@ -437,13 +437,13 @@
             return
         sized = self.balancer.settings.sizes_stand
         reason = self.subsets.update([
-            Place(e.host, e.mark, sized and e.size or 1.0, e.zone)
+            RingHost(e.host, e.mark, sized and e.size or 1.0, e.zone)
             for e, state in zip(self.hosts.entry, self.hosts.state, strict=True)
             if e is not None and state is HostState.RUNNING
         ])  # fmt: skip
         if reason is not None:
             logger.warning("subset reason=unusable {}", reason)
-        self.report(Narrowed(self.subsets.narrowed(False), self.subsets.narrowed(True)))
+        self.report(Narrowed(self.subsets.restricted_hosts(False), self.subsets.restricted_hosts(True)))
 
     def discovery_spoke(self) -> None:
         """Anything at all has come from discovery."""
