--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -26,7 +26,7 @@
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
-from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.ops.admin_server import AdminConnection, AdminServer
 from caperdeck.owner.config import Owners
 from caperdeck.peers.swim import State
 from caperdeck.state.addresses import parse_address
@@ -41,14 +41,14 @@
 NO_CLIENTS = "127.0.0.1:9"  # where a hollow node would listen for clients
 
 
-class CountedFront(Front):
+class CountedAdminServer(AdminServer):
     def __init__(self, reactor: Any, calls: Any, traffic: Traffic) -> None:
         super().__init__(reactor, calls)
         self.traffic = traffic
 
-    def came(self, caller: Caller) -> None:
+    def connection_opened(self, caller: AdminConnection) -> None:
         self.traffic.connections_in += 1
-        super().came(caller)
+        super().connection_opened(caller)
 
 
 class HollowNode(Service):
@@ -57,7 +57,7 @@
     def start_control(self, traffic: Traffic) -> None:
         self.know(self.config.known)
         self.discovery.start()
-        CountedFront(self.reactor, self.calls, traffic).listen(self.config.admin)
+        CountedAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
         self.keep_sweeping()
         self.takes = True
         self.join()
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -15,8 +15,8 @@
 from caperdeck.leases.target import Target
 from caperdeck.lifecycle.owners import LONGEST_ACT
 from caperdeck.lifecycle.reactor import install_reactor
-from caperdeck.ops.admin_calls import Answer, Calls, Then, no, yes
-from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.ops.admin_calls import Answer, AdminCalls, AnswerCallback, nak, ack
+from caperdeck.ops.admin_server import AdminConnection, AdminServer
 from caperdeck.owner.token_recovery import Asking
 from caperdeck.owner.config import Owners
 from caperdeck.state.addresses import Address, parse_address
@@ -38,26 +38,26 @@
     reached: int = 0  # nodes that an act has come to, taken or refused
 
 
-class CountedCaller(Caller):
+class CountedAdminConnection(AdminConnection):
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.front.figures.bytes += len(data)
+        self.server.figures.bytes += len(data)
         super().dataReceived(data)
 
     def answer(self, lines: Answer, verb: bytes, at: float) -> None:
-        self.front.figures.bytes += sum(len(line) + LINE_END for line in lines)
+        self.server.figures.bytes += sum(len(line) + LINE_END for line in lines)
         super().answer(lines, verb, at)
 
 
-class CountedFront(Front):
+class CountedAdminServer(AdminServer):
     """A node's second address; which node that is changes with each size."""
 
-    def __init__(self, calls: Calls) -> None:
+    def __init__(self, calls: AdminCalls) -> None:
         super().__init__(reactor, calls)
         self.figures = Figures()
 
-    def buildProtocol(self, addr: Any) -> CountedCaller:  # noqa: N802
+    def buildProtocol(self, addr: Any) -> CountedAdminConnection:  # noqa: N802
         self.figures.connections += 1
-        return CountedCaller(self)
+        return CountedAdminConnection(self)
 
 
 class Node:
@@ -71,16 +71,16 @@
     def reached(self) -> bool:
         return self.target.taken > 0 or bool(self.target.refused)
 
-    def act(self, work: str, token: str, body: str, then: Then) -> None:
+    def act(self, work: str, token: str, body: str, then: AnswerCallback) -> None:
         now = reactor.seconds() * 1000.0
         answer = self.target.act(now, work, int(token), orjson.loads(body))
         reason = answer.get("no")
         if reason is None:
-            then(yes(orjson.dumps(answer).decode()))
+            then(ack(orjson.dumps(answer).decode()))
             return
         if reason == "asks-first":
             self.asking.ask(work)
-        then(no(reason))
+        then(nak(reason))
 
 
 class Nodes:
@@ -92,35 +92,35 @@
         for front, port in zip(self.fronts, ports, strict=True):
             front.listen(Address(LOOPBACK, port))
 
-    def _front(self, number: int) -> CountedFront:
-        calls = Calls()
-        calls.add("act", 3, lambda *rest: self.nodes[number].act(*rest), LONGEST_ACT, keeps=True)
-        return CountedFront(calls)
+    def _front(self, number: int) -> CountedAdminServer:
+        calls = AdminCalls()
+        calls.add("act", 3, lambda *rest: self.nodes[number].act(*rest), LONGEST_ACT, keep_open=True)
+        return CountedAdminServer(calls)
 
-    def begin(self, count: str, instance: str, then: Then) -> None:
+    def begin(self, count: str, instance: str, then: AnswerCallback) -> None:
         for node in self.nodes:
             node.asking.stop()
         owners = Owners(CLUSTER, (parse_address(instance),))
         self.nodes = [Node(number, int(count), owners) for number in range(int(count))]
         for front in self.fronts:
             front.figures = Figures()
-        then(yes())
+        then(ack())
 
-    def figures(self, then: Then) -> None:
+    def figures(self, then: AnswerCallback) -> None:
         whole = Figures(reached=sum(node.reached for node in self.nodes))
         whole.connections = sum(front.figures.connections for front in self.fronts)
         whole.bytes = sum(front.figures.bytes for front in self.fronts)
         whole.refused = sum(sum(node.target.refused.values()) for node in self.nodes)
-        then(yes(msgspec.json.encode(whole).decode()))
+        then(ack(msgspec.json.encode(whole).decode()))
 
 
 def main(arguments: list[str]) -> None:
     control, *ports = map(int, arguments)
     nodes = Nodes(ports)
-    calls = Calls()
+    calls = AdminCalls()
     calls.add("begin", 2, nodes.begin)
     calls.add("figures", 0, nodes.figures)
-    Front(reactor, calls).listen(Address(LOOPBACK, control))
+    AdminServer(reactor, calls).listen(Address(LOOPBACK, control))
     reactor.run()
 
 
--- a/caperdeck/lab/soak.py
+++ b/caperdeck/lab/soak.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from caperdeck.ops.admin_server import RESERVED
+from caperdeck.ops.admin_server import RESERVED_DESCRIPTORS
 
 from .history import Event
 from .oracle import SAME_TURN, Breach, judge
@@ -32,7 +32,9 @@
 STEPS = (5_000.0, 20_000.0, 400_000.0, 3_600_000.0)  # milliseconds of the wall clock, forward or back
 WAITS = (400.0, 800.0, 1200.0, 2000.0)
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
-CROWDED_SOCKETS = 160 + RESERVED  # of a node that sessions and a crowd share, beside its second address
+CROWDED_SOCKETS = (
+    160 + RESERVED_DESCRIPTORS
+)  # of a node that sessions and a crowd share, beside its second address
 STANDING = (0, 40)  # connections from before the run
 ALIASES = 3200  # servers on the list of a large fleet, which one stand-in plays
 LARGE = 0.25  # of the seeds have such a fleet
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -12,7 +12,7 @@
 from caperdeck.core.model import HostState
 from caperdeck.leases.target import Target
 from caperdeck.gossip.judgements import ILL_EVERYWHERE
-from caperdeck.ops.admin_calls import ID, Then, no, yes
+from caperdeck.ops.admin_calls import ID_PATTERN, AnswerCallback, nak, ack
 from caperdeck.owner.token_recovery import Asking
 from caperdeck.owner.config import OwnerError, Owners, load_owners
 from caperdeck.state.timers import cancel
@@ -50,13 +50,13 @@
         self.timer: Any = None
         self.in_force: set[str] = set()  # uids that are out here by the fleet's word
 
-    def act(self, work: str, token: str, body: str, then: Then) -> None:
+    def act(self, work: str, token: str, body: str, then: AnswerCallback) -> None:
         """Carried out whole in this call, or refused."""
         now = self.desk.clock()
         try:
             number, what = int(token), orjson.loads(body)
         except ValueError:
-            then(no("bad-act"))
+            then(nak("bad-act"))
             return
         # Danger: what lay here while the node slept was meant for another time; whoever still wants it asks
         # again.
@@ -69,14 +69,14 @@
             logger.bind(event={"ev": "refused-at", "reason": reason, **values}).info(
                 "owner refused work={} token={} reason={}", work, number, reason
             )
-            then(no(reason))
+            then(nak(reason))
             return
         logger.bind(event={
             "ev": "acted", "number": what.get("number", what.get("epoch")), "share": self.target.share,
             "epoch": self.target.epoch, "living": self.target.living, "out": list(self.target.out), **values,
         }).debug("owner act work={} token={}", work, number)  # fmt: skip
         self._take_out(now)
-        then(yes(orjson.dumps(answer).decode()))
+        then(ack(orjson.dumps(answer).decode()))
 
     def is_out(self, uid: str) -> bool:
         return self.target.is_out(self.desk.clock(), uid)
@@ -122,7 +122,9 @@
         if self.desk.balancer.shares.ill_everywhere(ILL_EVERYWHERE):
             return None
         uids = [self.desk.hosts.uid[w.host] for w in self._words() if not w.well]
-        return [uid for uid in uids if ID.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid]
+        return [
+            uid for uid in uids if ID_PATTERN.fullmatch(uid.encode()) and '"' not in uid and "\\" not in uid
+        ]
 
     def _well(self, uid: str) -> bool:
         h = self.desk.hosts.index.get(uid)
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -18,8 +18,8 @@
 from caperdeck.core.settings import MS
 from caperdeck.ops.ban_calls import BanCalls
 from caperdeck.ops.bans import Ban, Bans
-from caperdeck.ops.admin_calls import CallError, Calls, Then, yes
-from caperdeck.ops.admin_server import RESERVED, Front
+from caperdeck.ops.admin_calls import CallError, AdminCalls, AnswerCallback, ack
+from caperdeck.ops.admin_server import RESERVED_DESCRIPTORS, AdminServer
 from caperdeck.ops.upgrade import State, Upgrade
 from caperdeck.state.errors import call_again
 from caperdeck.state.budget import SocketBudget, open_descriptors
@@ -89,7 +89,7 @@
         self.published = published  # None: its file alone says what it serves under
         self.owned: Any = None  # what owners of work on behalf of the fleet have done here
         self.port = None
-        self.calls = Calls()
+        self.calls = AdminCalls()
         self.calls.add("readyz", 0, self.readyz)
         self.calls.add("telemetry", 0, self.telemetry)
         self.bans = Bans(config.scratch)
@@ -103,7 +103,7 @@
             self.owned = Owned(
                 reactor, self.desk, owners, config.name, config.settings.nodes, self.bans_of,
             )  # fmt: skip
-            self.calls.add("act", 3, self.owned.act, self.owned.longest, keeps=True)
+            self.calls.add("act", 3, self.owned.act, self.owned.longest, keep_open=True)
         self.accepts = True
         self.short_at = 0.0  # when the log last said that sockets are short
         self.exit_code = 0
@@ -124,9 +124,9 @@
             self.desk.wait_for_list()
             self.listen()
         if config.admin is not None:
-            Front(self.reactor, self.calls).listen(config.admin)
+            AdminServer(self.reactor, self.calls).listen(config.admin)
         self.keep_sweeping()
-        self.desk.budget.used = open_descriptors() + 8 + RESERVED * (config.admin is not None)
+        self.desk.budget.used = open_descriptors() + 8 + RESERVED_DESCRIPTORS * (config.admin is not None)
         if alone:
             self.begin()
 
@@ -261,10 +261,10 @@
 
     # ---- calls to the second address
 
-    def readyz(self, then: Then) -> None:
+    def readyz(self, then: AnswerCallback) -> None:
         if not self.takes or self.stopped_at:
             raise CallError("stopping" if self.stopped_at else "not-taking-clients")
-        then(yes())
+        then(ack())
 
     def knows_host(self, uid: str) -> bool:
         return uid in self.desk.hosts.index
@@ -281,7 +281,7 @@
         """Hosts that an operator has taken out here."""
         return self.bans.uids
 
-    def telemetry(self, then: Then) -> None:
+    def telemetry(self, then: AnswerCallback) -> None:
         shared = self.peers.sharing.lines(self.desk.clock()) if self.peers is not None else []
         owned = self.owned.lines() if self.owned is not None else []
         published = self.published.lines() if self.published is not None else []
--- a/caperdeck/ops/__init__.py
+++ b/caperdeck/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Daily service: the second address, its figures, hosts taken out by hand, upgrades."""
+"""Operations: the admin address, its metrics, hosts excluded by hand, and upgrades without downtime."""
--- a/caperdeck/ops/admin_calls.py
+++ b/caperdeck/ops/admin_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the second address: a line taken apart, a table from verb to handler. No I/O."""
+"""The calls of the admin address: parsing a line and dispatching it to the verb's handler. No I/O."""
 
 from __future__ import annotations
 
@@ -6,56 +6,57 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-ID = re.compile(rb"[!-~]+")
-LONGEST_ARGUMENT = 200
-VERB_SHOWN = 40  # characters of an unknown verb that the answer repeats
+ID_PATTERN = re.compile(rb"[!-~]+")
+MAX_ARGUMENT_BYTES = 200
+MAX_VERB_SHOWN_BYTES = 40  # of an unknown verb that the answer repeats
 
-Answer = list[str]
-Then = Callable[[Answer], None]  # takes the answer, at once or later
+Answer = list[str]  # lines
+AnswerCallback = Callable[[Answer], None]  # takes the answer, at once or later
 
 
 class CallError(ValueError):
-    """A call that cannot be carried out; its text is the reason."""
+    """A call that cannot be carried out; its text is the reason in the answer."""
 
 
-def yes(text: str = "") -> Answer:
+def ack(text: str = "") -> Answer:
     return [f"ACK {text}".rstrip()]
 
 
-def no(reason: str) -> Answer:
+def nak(reason: str) -> Answer:
     return [f"NAK {reason}"]
 
 
-def carry_out(handler: Callable[..., None], *arguments: Any) -> None:
-    """The last of the arguments takes the answer, also where it is a no."""
+def run_handler(handler: Callable[..., None], *arguments: Any) -> None:
+    """Calls the handler; its last argument takes the answer, also when the handler raises CallError."""
     try:
         handler(*arguments)
     except CallError as error:
-        arguments[-1](no(str(error)))
+        arguments[-1](nak(str(error)))
 
 
-class Calls:
-    """Verbs, with how many arguments each takes and what carries it out."""
+class AdminCalls:
+    """The verbs of the admin address, each with its number of arguments and its handler."""
 
     def __init__(self) -> None:
         self.table: dict[bytes, tuple[int, Callable[..., None], int]] = {}
-        self.kept: set[bytes] = set()  # verbs after whose answer the connection stays open for the next call
+        self.keep_open_verbs: set[bytes] = set()  # the connection stays open for another call after these
 
     def add(
-        self, verb: str, arguments: int, handler: Callable[..., None], longest: int = LONGEST_ARGUMENT,
-        keeps: bool = False,
+        self, verb: str, arguments: int, handler: Callable[..., None], max_argument: int = MAX_ARGUMENT_BYTES,
+        keep_open: bool = False,
     ) -> None:  # fmt: skip
-        """The handler takes the arguments as text, and what is to be called with the answer."""
-        self.table[verb.encode()] = (arguments, handler, longest)
-        if keeps:
-            self.kept.add(verb.encode())
+        """The handler is called with the arguments as text and the callback that takes the answer."""
+        self.table[verb.encode()] = (arguments, handler, max_argument)
+        if keep_open:
+            self.keep_open_verbs.add(verb.encode())
 
-    def call(self, line: bytes, then: Then) -> None:
-        carry_out(self._call, line, then)
+    def call(self, line: bytes, on_answer: AnswerCallback) -> None:
+        """Carries out the call of a line; a bad line is answered with its reason."""
+        run_handler(self._call, line, on_answer)
 
-    def _call(self, line: bytes, then: Then) -> None:
+    def _call(self, line: bytes, on_answer: AnswerCallback) -> None:
         handler, arguments = self._parse(line)
-        handler(*arguments, then)
+        handler(*arguments, on_answer)
 
     def _parse(self, line: bytes) -> tuple[Callable[..., None], Iterable[str]]:
         words = line.split(b" ")
@@ -63,13 +64,13 @@
             raise CallError("control-bytes")
         verb, arguments = words[0], words[1:]
         if verb not in self.table:
-            raise CallError(f"unknown-verb {verb[:VERB_SHOWN].decode('ascii', 'replace')}".rstrip())
-        wanted, handler, longest = self.table[verb]
-        if len(arguments) < wanted or (wanted and not arguments[wanted - 1]):
+            raise CallError(f"unknown-verb {verb[:MAX_VERB_SHOWN_BYTES].decode('ascii', 'replace')}".rstrip())
+        expected, handler, max_argument = self.table[verb]
+        if len(arguments) < expected or (expected and not arguments[expected - 1]):
             raise CallError("missing-argument")
-        if len(arguments) > wanted:
+        if len(arguments) > expected:
             raise CallError("surplus-argument")
         for argument in arguments:
-            if len(argument) > longest or not ID.fullmatch(argument):
+            if len(argument) > max_argument or not ID_PATTERN.fullmatch(argument):
                 raise CallError("bad-id")
         return handler, [argument.decode("ascii") for argument in arguments]
--- a/caperdeck/ops/admin_server.py
+++ b/caperdeck/ops/admin_server.py
@@ -1,7 +1,7 @@
-"""The second address on sockets: one call a connection, answered in lines and closed.
+"""The TCP server of the admin address: one call per connection, answered in lines; then it is closed.
 
-After a call with a verb that `Calls` keeps, the connection stays open for the next one; idle for PATIENCE
-it is ended.
+After a call with one of the `keep_open_verbs` of `AdminCalls` the connection stays open for the next call,
+and is closed when it has been idle for CALLER_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -18,112 +18,122 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort, LineConnection
 
-from .admin_calls import Answer, Calls, no
+from .admin_calls import AdminCalls, Answer, nak
 
-LONGEST_CALL = 512
-MOST_CALLERS = 24  # open at once, of the descriptors set apart for them
-RESERVED = MOST_CALLERS + 8  # descriptors: with the address itself and what an answer opens
-PATIENCE = 5.0  # seconds that a caller may take over its call and over reading the answer
-LATE = 400.0  # an answer that took longer is logged, milliseconds
-BACKLOG = 256
+MAX_CALL_BYTES = 512
+MAX_CONNECTIONS = 24  # open at once, out of RESERVED_DESCRIPTORS
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 8  # includes the listening socket and files opened by a call
+CALLER_TIMEOUT_S = 5.0  # for sending the call and reading the answer
+SLOW_ANSWER_MS = 400.0  # slower answers are logged
+LISTEN_BACKLOG = 256
 
 
 @implementer(IHalfCloseableProtocol)
-class Caller(LineConnection):
+class AdminConnection(LineConnection):
+    """A caller's connection."""
+
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST_CALL
+    MAX_LENGTH = MAX_CALL_BYTES
 
-    def __init__(self, front: Front) -> None:
-        self.front = front
-        self.called = False  # a whole call has come; nothing more is read
-        self.answered = self.ended = False  # the answer is written; the caller has ended its side
-        self.kept = False  # it was kept open after a call
+    def __init__(self, server: AdminServer) -> None:
+        self.server = server
+        self.call_received = False  # nothing more is read until it is answered
+        self.answered = self.peer_closed = False  # the answer is written; the caller closed its side
+        self.kept_open = False  # after at least one call
         self.timer: Any = None
 
     def connectionMade(self) -> None:
         self.send_at_once()
-        self.timer = self.front.reactor.callLater(PATIENCE, self.transport.abortConnection)
-        self.front.came(self)
+        self.timer = self.server.reactor.callLater(CALLER_TIMEOUT_S, self.transport.abortConnection)
+        self.server.connection_opened(self)
 
     def lineReceived(self, line: bytes) -> None:
-        if not self.called:
-            self.called = True
-            at, verb = self.front.reactor.seconds(), line[:20]
-            self.front.calls.call(line.removesuffix(b"\r"), lambda answer: self.answer(answer, verb, at))
+        if not self.call_received:
+            self.call_received = True
+            received_at, verb = self.server.reactor.seconds(), line[:20]
+            self.server.calls.call(
+                line.removesuffix(b"\r"), lambda answer: self.answer(answer, verb, received_at)
+            )
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        if not self.called:
-            self.called = True
-            self.answer(no("long-line"), b"", self.front.reactor.seconds())
-
-    def answer(self, lines: Answer, verb: bytes, at: float) -> None:
-        took = (self.front.reactor.seconds() - at) * 1000
-        if took > LATE:
-            logger.warning("call verb={!r} reason=late ms={:.0f}", verb, took)
+        if not self.call_received:
+            self.call_received = True
+            self.answer(nak("long-line"), b"", self.server.reactor.seconds())
+
+    def answer(self, lines: Answer, verb: bytes, received_at: float) -> None:
+        """Sends the answer to a call that came at that time, in seconds of the reactor."""
+        elapsed_ms = (self.server.reactor.seconds() - received_at) * 1000
+        if elapsed_ms > SLOW_ANSWER_MS:
+            logger.warning("call verb={!r} reason=late ms={:.0f}", verb, elapsed_ms)
         if not self.connected or self.answered:
             return
         self.transport.writeSequence([line.encode() + b"\r\n" for line in lines])
-        if not self.ended and verb.partition(b" ")[0] in self.front.calls.kept:
-            self.keep()
+        if not self.peer_closed and verb.partition(b" ")[0] in self.server.calls.keep_open_verbs:
+            self.keep_open()
             return
         self.answered = True
-        if self.ended:
+        if self.peer_closed:
             self.transport.loseConnection()
         else:
-            self.end_sending(self.front.reactor)
-
-    def keep(self) -> None:
-        """Stays open for the next call."""
-        self.called = False
-        self.timer.reset(PATIENCE)
-        if not self.kept:
-            # Danger: answers to one that never reads would pile up here; no call is read until they are out.
-            self.kept = True
+            self.end_sending(self.server.reactor)
+
+    def keep_open(self) -> None:
+        """Waits for the next call."""
+        self.call_received = False
+        self.timer.reset(CALLER_TIMEOUT_S)
+        if not self.kept_open:
+            # Answers to a caller that never reads would use up memory; as a producer this connection is
+            # paused, and reads no further call, until its answers have been sent.
+            self.kept_open = True
             self.transport.registerProducer(self, True)
 
     def readConnectionLost(self) -> None:
-        """The caller has ended its side, and may still read."""
-        self.ended = True
-        if self.answered or not self.called:
+        """The caller has closed its side, and may still read."""
+        self.peer_closed = True
+        if self.answered or not self.call_received:
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """The answer has gone out."""
+        """Called by Twisted once the answer has been sent; nothing is left to do."""
 
     def connectionLost(self, reason) -> None:
         cancel(self.timer)
         cancel(self.lingers)
-        self.front.left(self)
+        self.server.connection_closed(self)
+
 
+class AdminServer(ServerFactory):
+    """Accepts callers, at most MAX_CONNECTIONS at once."""
 
-class Front(ServerFactory):
     noisy = False
 
-    def __init__(self, reactor: Any, calls: Calls) -> None:
+    def __init__(self, reactor: Any, calls: AdminCalls) -> None:
         self.reactor = reactor
         self.calls = calls
-        self.open: dict[Caller, None] = {}  # the longest open first
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
 
     def listen(self, address: Address) -> BoundedPort:
-        port = BoundedPort(address.port, self, BACKLOG, address.host, self.reactor)
+        port = BoundedPort(address.port, self, LISTEN_BACKLOG, address.host, self.reactor)
         call_again(port.startListening)
         return port
 
     @property
     def acceptable(self) -> int:
-        """Callers that there may still be; the rest waits in the kernel for a moment."""
-        return max(MOST_CALLERS - len(self.open), 1)
-
-    def buildProtocol(self, addr) -> Caller:
-        return Caller(self)
-
-    def came(self, caller: Caller) -> None:
-        self.open[caller] = None
-        # Danger: callers that send nothing, or half a call, and stay would stand before the whole calls.
-        while len(self.open) > MOST_CALLERS:
-            idle = next((c for c in self.open if not c.called), None) or next(iter(self.open))
-            del self.open[idle]
+        """How many connections may be accepted now; others wait in the kernel's queue."""
+        return max(MAX_CONNECTIONS - len(self.connections), 1)
+
+    def buildProtocol(self, addr) -> AdminConnection:
+        return AdminConnection(self)
+
+    def connection_opened(self, connection: AdminConnection) -> None:
+        self.connections[connection] = None
+        # Without this, callers that stay without sending a whole call would keep out those that send one.
+        while len(self.connections) > MAX_CONNECTIONS:
+            idle = next((c for c in self.connections if not c.call_received), None) or next(
+                iter(self.connections)
+            )
+            del self.connections[idle]
             idle.transport.abortConnection()
 
-    def left(self, caller: Caller) -> None:
-        self.open.pop(caller, None)
+    def connection_closed(self, connection: AdminConnection) -> None:
+        self.connections.pop(connection, None)
--- a/caperdeck/ops/ban_calls.py
+++ b/caperdeck/ops/ban_calls.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from .bans import Ban, Bans, BansError
-from .admin_calls import Answer, Then, no, yes
+from .admin_calls import Answer, AnswerCallback, nak, ack
 
 SAVE_AGAIN = 0.02  # seconds until a write that failed is tried again while a caller waits
 SAVE_WAIT = 0.6  # seconds that a caller waits for it; an answer is due within 1 s
@@ -36,7 +36,7 @@
     """A caller without its answer."""
 
     ban: Ban
-    then: Then
+    then: AnswerCallback
     came_at: float
     told: bool = False  # the other process obeys
     saved: bool = False  # the file holds it
@@ -48,10 +48,10 @@
         self.early: list[_Waiting] | None = []  # until the node has its list of hosts
         self.unwritable = self.unreadable = False  # the last write, or read, failed
 
-    def exclude(self, uid: str, then: Then) -> None:
+    def exclude(self, uid: str, then: AnswerCallback) -> None:
         self._call(_Waiting(Ban(uid, True), then, self.node.clock()))
 
-    def include(self, uid: str, then: Then) -> None:
+    def include(self, uid: str, then: AnswerCallback) -> None:
         self._call(_Waiting(Ban(uid, False), then, self.node.clock()))
 
     def begin(self) -> None:
@@ -65,7 +65,7 @@
             # Danger: a successor that has not been told of the hosts yet would deny one that is listed.
             self.early.append(waiting)
         elif not self.node.knows_host(waiting.ban.uid):
-            self._answer(waiting, no("unknown-host"))
+            self._answer(waiting, nak("unknown-host"))
         else:
             self._carry_out(waiting)
 
@@ -89,11 +89,11 @@
             self.reactor.callLater(SAVE_AGAIN, self._save, waiting, until)
         else:
             # Danger: a yes would promise what a process that is started after a kill knows nothing of.
-            self._answer(waiting, no("bans-unwritable"))
+            self._answer(waiting, nak("bans-unwritable"))
 
     def _answer_if_done(self, waiting: _Waiting) -> None:
         if waiting.told and waiting.saved:
-            self._answer(waiting, yes())
+            self._answer(waiting, ack())
 
     def _answer(self, waiting: _Waiting, answer: Answer) -> None:
         verb, took = "exclude" if waiting.ban.out else "include", self.node.clock() - waiting.came_at
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -9,17 +9,17 @@
 from caperdeck.core.decide import TICK_TOKEN
 from caperdeck.core.model import Move, Outcome, Probe, Refuse, Report, RosterScope
 from caperdeck.ops.bans import FILE, Bans, BansError
-from caperdeck.ops.admin_calls import Calls, yes
+from caperdeck.ops.admin_calls import AdminCalls, ack
 from caperdeck.state.figures import Figures, Status
-from caperdeck.ops.admin_server import MOST_CALLERS, Front
+from caperdeck.ops.admin_server import MAX_CONNECTIONS, AdminServer
 
 # ---- calls
 
 
 def calls():
-    table = Calls()
-    table.add("readyz", 0, lambda then: then(yes()))
-    table.add("exclude", 1, lambda uid, then: then(yes(uid)))
+    table = AdminCalls()
+    table.add("readyz", 0, lambda then: then(ack()))
+    table.add("exclude", 1, lambda uid, then: then(ack(uid)))
     return table
 
 
@@ -50,27 +50,27 @@
     ([b"readyz\r\nreadyz\r\n"], [b"ACK"]), ([b"x" * 600], [b"NAK long-line"]), ([b"ready"], []),
 ])  # fmt: skip
 def test_a_caller_gets_one_answer_to_one_call(pieces, answer):
-    front = Front(desk().reactor, calls())
+    front = AdminServer(desk().reactor, calls())
     assert caller(front, *pieces).transport.lines() == answer
 
 
 def test_callers_that_say_nothing_are_ended_and_never_stand_before_a_call():
     reactor = desk().reactor
-    front = Front(reactor, calls())
-    idle = [caller(front, b"rea") for _ in range(MOST_CALLERS)]
+    front = AdminServer(reactor, calls())
+    idle = [caller(front, b"rea") for _ in range(MAX_CONNECTIONS)]
     assert caller(front, b"readyz\n").transport.lines() == [b"ACK"] and idle[0].transport.ended == "reset"
-    assert not idle[-1].transport.ended and len(front.open) == MOST_CALLERS
+    assert not idle[-1].transport.ended and len(front.connections) == MAX_CONNECTIONS
     reactor.advance(6)
     assert all(c.transport.ended for c in idle)
 
 
 def test_a_caller_that_ends_its_side_at_once_is_answered_all_the_same():
-    front = Front(desk().reactor, calls())
+    front = AdminServer(desk().reactor, calls())
     c = caller(front, b"readyz\n")
     c.readConnectionLost()
     assert c.transport.lines() == [b"ACK"] and c.transport.ended == "end"
     lost(c)
-    assert not front.open
+    assert not front.connections
 
 
 # ---- figures
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -33,7 +33,7 @@
 from caperdeck.owner.instance import Instance
 from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
 from caperdeck.owner.node_links import read as read_answer
-from caperdeck.ops.admin_server import PATIENCE, Front
+from caperdeck.ops.admin_server import CALLER_TIMEOUT_S, AdminServer
 from caperdeck.raft.codec import encode, frame
 from caperdeck.raft.core import TakeOver
 from caperdeck.raft.storage import Storage, StorageError
@@ -206,22 +206,22 @@
 
 def test_a_node_keeps_the_connection_of_an_owner_for_as_long_as_acts_come(tmp_path):
     d, service, owned = owned_node(tmp_path)
-    service.calls.add("act", 3, owned.act, owned.longest, keeps=True)
-    front = Front(d.reactor, service.calls)
+    service.calls.add("act", 3, owned.act, owned.longest, keep_open=True)
+    front = AdminServer(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), Wire()
     conn.makeConnection(wire)
     line = line_of("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
         conn.dataReceived(line)
-        d.reactor.advance(PATIENCE - 1)
+        d.reactor.advance(CALLER_TIMEOUT_S - 1)
     conn.dataReceived(line + line.replace(b" 1 ", b" 0 "))
     assert [answer[:5] for answer in wire.lines()] == [b"ACK {"] * 4 + [b"NAK n"] and not wire.ended
     assert wire.producer is conn  # no act is read while answers are not
-    d.reactor.advance(PATIENCE + 1)
+    d.reactor.advance(CALLER_TIMEOUT_S + 1)
     assert wire.ended == "reset"
     conn.dataReceived(b"")
     conn.connectionLost(Failure(ConnectionDone()))
-    assert not front.open
+    assert not front.connections
 
 
 # ---- a disk that fails, two on one folder
@@ -321,12 +321,12 @@
 
 def test_a_line_of_the_longest_lists_is_taken(tmp_path):
     from caperdeck.leases.outlier_ejection import HELD, LONGEST_LIST, short
-    from caperdeck.ops.admin_server import LONGEST_CALL
+    from caperdeck.ops.admin_server import MAX_CALL_BYTES
 
     uids = short([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
     body = {"number": 123456, "out": uids, "ms": HELD, "ask": uids}
     line = line_of("hosts", 1 << 40, body)
-    assert sum(map(len, uids)) <= LONGEST_LIST and len(line) <= LONGEST_CALL
+    assert sum(map(len, uids)) <= LONGEST_LIST and len(line) <= MAX_CALL_BYTES
     d, service, owned = owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest)
     said = []
