--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -17,7 +17,7 @@
 from caperdeck.core.facade import Balancer
 from caperdeck.core.settings import MS
 from caperdeck.ops.ban_calls import BanCalls
-from caperdeck.ops.bans import Ban, Bans
+from caperdeck.ops.bans import BanChange, Bans
 from caperdeck.ops.admin_calls import CallError, AdminCalls, AnswerCallback, ack
 from caperdeck.ops.admin_server import RESERVED_DESCRIPTORS, AdminServer
 from caperdeck.ops.upgrade import State, Upgrade
@@ -94,7 +94,7 @@
         self.calls.add("telemetry", 0, self.telemetry)
         self.bans = Bans(config.scratch)
         self.ban_calls = BanCalls(reactor, self.bans, self)
-        self.desk.look_for_bans = self.ban_calls.look
+        self.desk.look_for_bans = self.ban_calls.read_file_changes
         self.calls.add("exclude", 1, self.ban_calls.exclude)
         self.calls.add("include", 1, self.ban_calls.include)
         if owners is not None:
@@ -243,7 +243,7 @@
             logger.warning("clock reason=date-stepped ms={:.0f}", step)
             self.desk.figures.date_steps += 1
         self.desk.sweep()
-        self.ban_calls.look()
+        self.ban_calls.read_file_changes()
         self.ban_calls.save()
         self.sink.flush()
 
@@ -269,13 +269,13 @@
     def knows_host(self, uid: str) -> bool:
         return uid in self.desk.hosts.index
 
-    def put_in_force(self, ban: Ban) -> None:
+    def apply_ban(self, ban: BanChange) -> None:
         """Takes a host out, or lets it serve again, at this process."""
         owned_out = self.owned is not None and self.owned.is_out(ban.uid)
-        self.desk.ban(ban.uid, ban.out or owned_out)
+        self.desk.ban(ban.uid, ban.excluded or owned_out)
 
-    def tell_other_process(self, ban: Ban, then: Callable[[], None]) -> None:
-        self.upgrade.tell_ban(ban.uid, ban.out, then)
+    def notify_other_process(self, ban: BanChange, then: Callable[[], None]) -> None:
+        self.upgrade.tell_ban(ban.uid, ban.excluded, then)
 
     def bans_of(self) -> Iterable[str]:
         """Hosts that an operator has taken out here."""
--- a/caperdeck/ops/bans.py
+++ b/caperdeck/ops/bans.py
@@ -1,6 +1,7 @@
-"""Hosts taken out by hand, by uid: those in force here, and one small file that a node's processes share.
+"""Hosts that an operator has excluded, by uid: the set that applies here, and a small file that the processes
+of a node share.
 
-A process writes its changes over those of the others, and looks for theirs before it sends anything.
+A process merges its changes into the file, and looks for changes of the others before it sends anything.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 
 from caperdeck.state.errors import call_again
 
-LARGEST = 1 << 20  # bytes of the file
-FILE = "caperdeck-bans.json"
-SETTLED_AFTER = 50.0  # milliseconds after a change in which its stamp may stand for another one as well
+MAX_FILE_BYTES = 1 << 20
+FILE_NAME = "caperdeck-bans.json"
+STAMP_SETTLE_MS = 50.0  # a file changed again within this time may have the same stamp
 
 
 class BansError(Exception):
-    """The file of bans cannot be read or written; the text names it and says why."""
+    """The file of bans cannot be read or written; the text names the file and the reason."""
 
 
-class Ban(NamedTuple):
-    """A host that is out from now on, or serves again."""
+class BanChange(NamedTuple):
+    """A host that is excluded from now on, or included again."""
 
     uid: str
-    out: bool
+    excluded: bool
 
 
-class Stamp(NamedTuple):
-    """What tells one state of a file from another."""
+class FileStamp(NamedTuple):
+    """Tells one state of a file from another."""
 
     inode: int
     changed_ns: int
@@ -41,17 +42,18 @@
 
 
 class Bans:
+    """The excluded hosts. Without a folder they are kept in memory only."""
+
     def __init__(self, folder: str | None) -> None:
-        """Without a folder the bans hold for the processes that run alone."""
         self.folder = folder
-        self.path = None if folder is None else os.path.join(folder, FILE)
-        self.uids: dict[str, None] = {}  # in force here
-        self.unsaved: dict[str, bool] = {}  # changes that the file does not hold yet: out, or back
-        self._seen: Stamp | None = None  # the file as last read
-        self._settled_at = 0.0  # until then it is read again whatever its stamp says
+        self.path = None if folder is None else os.path.join(folder, FILE_NAME)
+        self.uids: dict[str, None] = {}  # the excluded hosts, in order of exclusion
+        self.unsaved: dict[str, bool] = {}  # changes that are not in the file yet: whether excluded
+        self._last_stamp: FileStamp | None = None  # of the file as last read
+        self._settled_at = 0.0  # until then the file is read again even if its stamp is the same
 
     def load(self) -> None:
-        """What the file holds is in force; raises BansError."""
+        """Takes over what the file holds; raises BansError."""
         if self.path is None:
             return
         try:
@@ -62,22 +64,25 @@
             raise self._error(error) from None
 
     def adopt(self, uids: Iterable[str], unsaved: Mapping[str, bool]) -> None:
-        """In force: what another process holds, with what the file holds; `save` writes the difference."""
+        """Takes over what another process has, together with the file; `save` then writes the difference."""
         try:
-            held = dict.fromkeys([] if self.path is None else self._read())
+            saved = dict.fromkeys([] if self.path is None else self._read())
         except (OSError, BansError):
-            held = {}
-        # Danger: a call may come between the other's word and this one; it is in the file then, or follows.
-        self.uids = _changed(held, unsaved) | dict.fromkeys(uids)
-        self.unsaved = dict(unsaved) | {uid: True for uid in self.uids if uid not in held}
+            saved = {}
+        # A call may reach the other process after it has sent its state and before this line runs. Its change
+        # is then in the file already, or follows in a message.
+        self.uids = _with_changes(saved, unsaved) | dict.fromkeys(uids)
+        self.unsaved = dict(unsaved) | {uid: True for uid in self.uids if uid not in saved}
 
-    def change(self, ban: Ban) -> None:
-        """In force here from now on; `save` writes it."""
-        self.uids = _changed(self.uids, {ban.uid: ban.out})
-        self.unsaved[ban.uid] = ban.out
+    def apply(self, change: BanChange) -> None:
+        """Makes the change here; `save` writes it."""
+        self.uids = _with_changes(self.uids, {change.uid: change.excluded})
+        self.unsaved[change.uid] = change.excluded
 
     def save(self) -> None:
-        """Writes what the file does not hold yet, whole; raises BansError, and it is still to be written."""
+        """Writes the changes that the file does not hold yet; raises BansError, and keeps them for another
+        try.
+        """
         if self.path is not None and self.unsaved:
             try:
                 with _locked(self.folder):
@@ -86,73 +91,75 @@
                 raise self._error(error) from None
         self.unsaved.clear()
 
-    def changed_elsewhere(self, now: float) -> list[Ban]:
-        """What other processes have written since, in force here from now on; `now` in milliseconds."""
-        # Danger: processes of one node that have not met share the file alone; a call that was answered by
-        # one of them binds the other as well, from the answer on.
-        stamp = None if self.path is None else self._stamp()
-        if stamp is None or (stamp == self._seen and now >= self._settled_at):
+    def read_external_changes(self, now: float) -> list[BanChange]:
+        """Applies and returns what other processes have written since; `now` in milliseconds."""
+        # Processes of one node without a link between them share only the file. A call that one of them has
+        # answered has to bind the others from that answer on.
+        stamp = None if self.path is None else self._read_stamp()
+        if stamp is None or (stamp == self._last_stamp and now >= self._settled_at):
             return []
-        if stamp != self._seen:
-            self._settled_at = now + SETTLED_AFTER
+        if stamp != self._last_stamp:
+            self._settled_at = now + STAMP_SETTLE_MS
         try:
-            held = self._read()
+            saved = self._read()
         except OSError:
             return []
         except BansError:
-            self._seen = stamp
+            self._last_stamp = stamp
             raise
-        self._seen = stamp
-        return self._put_in_force(_changed(dict.fromkeys(held), self.unsaved))
+        self._last_stamp = stamp
+        return self._replace(_with_changes(dict.fromkeys(saved), self.unsaved))
 
-    def _stamp(self) -> Stamp | None:
-        """None where there is no file, or where it cannot be told just now."""
+    def _read_stamp(self) -> FileStamp | None:
+        """The file's stamp; None if there is no file or it cannot be read at the moment."""
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except FileNotFoundError:
-            if self._seen is not None:
-                # somebody has emptied the folder; who is out by an operator's word stays out
-                self._seen, self.unsaved = None, dict.fromkeys(self.uids, True) | self.unsaved
+            if self._last_stamp is not None:
+                # The folder was emptied. Hosts that an operator excluded stay excluded; the file is written
+                # anew.
+                self._last_stamp, self.unsaved = None, dict.fromkeys(self.uids, True) | self.unsaved
             return None
         except OSError:
             return None
-        return Stamp(found.st_ino, found.st_mtime_ns, found.st_size)
+        return FileStamp(status.st_ino, status.st_mtime_ns, status.st_size)
 
-    def _put_in_force(self, uids: dict[str, None]) -> list[Ban]:
+    def _replace(self, uids: dict[str, None]) -> list[BanChange]:
+        """Makes these the excluded hosts, and returns the changes."""
         before, self.uids = self.uids, uids
-        out = [Ban(uid, True) for uid in uids if uid not in before]
-        return out + [Ban(uid, False) for uid in before if uid not in uids]
+        excluded = [BanChange(uid, True) for uid in uids if uid not in before]
+        return excluded + [BanChange(uid, False) for uid in before if uid not in uids]
 
     def _read(self) -> list[str]:
         with open(self.path, "rb") as file:
-            data = file.read(LARGEST)
+            data = file.read(MAX_FILE_BYTES)
         try:
             uids = orjson.loads(data)
         except orjson.JSONDecodeError as error:
             raise self._error(error) from None
-        # Danger: on half a list of bans a host would be served that is about to be restarted.
+        # With a partial list, sessions would go to a host that is about to be restarted.
         if not isinstance(uids, list) or not all(isinstance(uid, str) and uid for uid in uids):
-            raise BansError(f"bans {self.path}: no list of host ids")
+            raise BansError(f"bans {self.path}: not a list of host IDs")
         return uids
 
     def _write_changes(self) -> None:
         try:
-            held = dict.fromkeys(self._read())
+            saved = dict.fromkeys(self._read())
         except (FileNotFoundError, BansError):
-            held = None  # what is in force here is all that is known
-        wanted = _changed(self.uids if held is None else held, self.unsaved)
-        if held is None or wanted.keys() != held.keys():
-            self._write(list(wanted))
+            saved = None  # only this process's set is known
+        merged = _with_changes(self.uids if saved is None else saved, self.unsaved)
+        if saved is None or merged.keys() != saved.keys():
+            self._write(list(merged))
 
     def _write(self, uids: list[str]) -> None:
-        beside = f"{self.path}.{os.getpid()}"
+        temporary = f"{self.path}.{os.getpid()}"
         try:
-            with open(beside, "wb") as file:
+            with open(temporary, "wb") as file:
                 file.write(orjson.dumps(uids))
-            os.rename(beside, self.path)
+            os.rename(temporary, self.path)
         except OSError:
             with suppress(OSError):
-                os.unlink(beside)
+                os.unlink(temporary)
             raise
 
     def _error(self, error: Exception) -> BansError:
@@ -163,20 +170,20 @@
     return isinstance(error, OSError) and not isinstance(error, FileNotFoundError)
 
 
-def _changed(uids: Mapping[str, None], changes: Mapping[str, bool]) -> dict[str, None]:
+def _with_changes(uids: Mapping[str, None], changes: Mapping[str, bool]) -> dict[str, None]:
     kept = {uid: None for uid in uids if changes.get(uid, True)}
-    return kept | {uid: None for uid, out in changes.items() if out}
+    return kept | {uid: None for uid, excluded in changes.items() if excluded}
 
 
 @contextmanager
 def _locked(folder: str) -> Iterator[None]:
-    """No other process writes meanwhile; raises BlockingIOError while one does."""
+    """Keeps other processes from writing meanwhile; raises BlockingIOError while one of them writes."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            # a file system without locks still has the file itself, renamed whole
+            # On a file system without locks the file is still consistent, as it is replaced by a rename.
             if error.errno in (errno.EAGAIN, errno.EINTR):
                 raise
         yield
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -17,7 +17,7 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.request import RequestError
 
-from .bans import Ban, BansError
+from .bans import BanChange, BansError
 from .handover import let_go, may_go, packet, take_up
 from .link import Doorbell, FolderAddress, Link, NodeAddress, UnixAddress, reach
 from .upgrade_protocol import Incumbent, Successor
@@ -98,7 +98,7 @@
 
     def banned(self, uid: str, out: bool) -> None:
         """The other process was told so, and has kept it."""
-        self.node.ban_calls.told(Ban(uid, out))
+        self.node.ban_calls.apply_notified(BanChange(uid, out))
 
     # ---- the incumbent
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -191,7 +191,7 @@
     environment = write(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(d.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
     service.desk, service.clock = d, d.clock
-    d.look_for_bans = service.ban_calls.look
+    d.look_for_bans = service.ban_calls.read_file_changes
     if d.hosts.uid:
         service.ban_calls.begin()
     return service
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,7 +8,7 @@
 
 from caperdeck.core.decide import TICK_TOKEN
 from caperdeck.core.model import Move, Outcome, Probe, Refuse, Report, RosterScope
-from caperdeck.ops.bans import FILE, Bans, BansError
+from caperdeck.ops.bans import FILE_NAME, Bans, BansError
 from caperdeck.ops.admin_calls import AdminCalls, ack
 from caperdeck.state.figures import Figures, Status
 from caperdeck.ops.admin_server import MAX_CONNECTIONS, AdminServer
@@ -202,7 +202,7 @@
     say(service, b"include s-1")
     later = Bans(str(tmp_path))
     later.load()
-    assert list(later.uids) == ["s-0"] and [p.name for p in tmp_path.glob("*bans*")] == [FILE]
+    assert list(later.uids) == ["s-0"] and [p.name for p in tmp_path.glob("*bans*")] == [FILE_NAME]
 
 
 def test_a_ban_that_cannot_be_written_holds_all_the_same_and_is_not_said_to_be_kept(tmp_path):
@@ -222,8 +222,8 @@
 
 @pytest.mark.parametrize("text", ["", "{", '{"s-0": 1}', '["s-0", 7]', '["s-0"'])
 def test_damaged_bans_are_named_and_not_half_read(tmp_path, text):
-    (tmp_path / FILE).write_text(text)
-    with pytest.raises(BansError, match=FILE):
+    (tmp_path / FILE_NAME).write_text(text)
+    with pytest.raises(BansError, match=FILE_NAME):
         Bans(str(tmp_path)).load()
 
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -18,7 +18,7 @@
 )  # fmt: skip
 from test_race_conditions import answers, serve_all
 
-from caperdeck.ops.bans import FILE, Ban, Bans, BansError
+from caperdeck.ops.bans import FILE_NAME, BanChange, Bans, BansError
 from caperdeck.state.errors import CALLS, call_again
 
 
@@ -220,17 +220,17 @@
 
 def test_a_ban_that_a_full_disk_did_not_take_leaves_the_file_before_whole(tmp_path, monkeypatch):
     bans = Bans(str(tmp_path))
-    bans.change(Ban("s-0", True))
+    bans.apply(BanChange("s-0", True))
     bans.save()
     with monkeypatch.context() as full:
         full.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.ENOSPC))
-        bans.change(Ban("s-1", True))
+        bans.apply(BanChange("s-1", True))
         with pytest.raises(BansError, match="No space"):
             bans.save()
     again = Bans(str(tmp_path))
     again.load()
     assert again.uids == {"s-0": None} and bans.uids == {"s-0": None, "s-1": None}
-    assert [path.name for path in tmp_path.iterdir()] == [FILE]
+    assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
     bans.save()
     again.load()
     assert again.uids == {"s-0": None, "s-1": None}
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -28,7 +28,7 @@
 
 from caperdeck.core.decide import Node
 from caperdeck.core.model import Outcome, RosterScope
-from caperdeck.ops.bans import FILE, Ban, Bans, Stamp
+from caperdeck.ops.bans import FILE_NAME, BanChange, Bans, FileStamp
 
 # what the machine lacks: the old process as it starts, the new one as it starts, and a folder that both have
 LACKS = [
@@ -154,16 +154,18 @@
     here, there = both(tmp_path)
     assert say(here, b"exclude s-0") == say(there, b"exclude s-1") == "ACK"
     here.sweep()
-    assert set(here.bans.uids) == {"s-0", "s-1"} == set(orjson.loads((tmp_path / FILE).read_bytes()))
+    assert set(here.bans.uids) == {"s-0", "s-1"} == set(orjson.loads((tmp_path / FILE_NAME).read_bytes()))
 
 
 def test_changes_that_the_stamp_of_the_file_does_not_show_are_read_all_the_same(tmp_path, monkeypatch):
     here, there = Bans(str(tmp_path)), Bans(str(tmp_path))
-    monkeypatch.setattr(Bans, "_stamp", lambda bans: Stamp(1, 1, 1))  # as within one tick of the kernel
+    monkeypatch.setattr(
+        Bans, "_read_stamp", lambda bans: FileStamp(1, 1, 1)
+    )  # as within one tick of the kernel
     for out in (True, False, True):
-        there.change(Ban("s-0", out))
+        there.apply(BanChange("s-0", out))
         there.save()
-        here.changed_elsewhere(1000.0)
+        here.read_external_changes(1000.0)
         assert ("s-0" in here.uids) is out
 
 
@@ -210,7 +212,7 @@
     here, there = both(tmp_path)
     assert say(there, b"exclude s-0") == "ACK"
     here.sweep()
-    (tmp_path / FILE).unlink()
+    (tmp_path / FILE_NAME).unlink()
     here.sweep()
     assert not here.desk.balancer.may_send(0)
     later = Bans(str(tmp_path))
@@ -221,13 +223,13 @@
 def test_a_file_that_is_spoilt_while_a_node_serves_calls_nobody_back(tmp_path):
     here, _ = both(tmp_path)
     assert say(here, b"exclude s-0") == "ACK"
-    (tmp_path / FILE).write_text('["s-')
+    (tmp_path / FILE_NAME).write_text('["s-')
     with logged() as lines:
         here.sweep()
         here.sweep()
     assert not here.desk.balancer.may_send(0) and len(lines) == 1 and "bans-unreadable" in lines[0]
     assert say(here, b"exclude s-1") == "ACK"
-    assert set(orjson.loads((tmp_path / FILE).read_bytes())) == {"s-0", "s-1"}
+    assert set(orjson.loads((tmp_path / FILE_NAME).read_bytes())) == {"s-0", "s-1"}
 
 
 def test_a_write_waits_for_one_that_another_process_is_at(tmp_path):
@@ -247,11 +249,11 @@
 def test_bans_that_cannot_be_read_for_a_moment_do_not_keep_a_node_from_starting(
     tmp_path, monkeypatch, number
 ):
-    (tmp_path / FILE).write_text('["s-0"]')
+    (tmp_path / FILE_NAME).write_text('["s-0"]')
     left, read = [3], open
 
     def failing(path, *rest, **named):
-        if str(path).endswith(FILE) and left[0]:
+        if str(path).endswith(FILE_NAME) and left[0]:
             left[0] -= 1
             raise OSError(number, os.strerror(number))
         return read(path, *rest, **named)
