--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -20,7 +20,7 @@
 from caperdeck.ops.bans import BanChange, Bans
 from caperdeck.ops.admin_calls import CallError, AdminCalls, AnswerCallback, ack
 from caperdeck.ops.admin_server import RESERVED_DESCRIPTORS, AdminServer
-from caperdeck.ops.upgrade import State, Upgrade
+from caperdeck.ops.upgrade import Upgrade, UpgradeState
 from caperdeck.state.errors import call_again
 from caperdeck.state.budget import SocketBudget, open_descriptors
 from caperdeck.state.hosts import Hosts
@@ -117,7 +117,7 @@
     def start(self) -> None:
         config = self.config
         self.mind_signals()
-        alone = not self.upgrade.succeed()
+        alone = not self.upgrade.contact_incumbent()
         if alone:
             self.know_saved()
             self.discovery.start()
@@ -141,7 +141,7 @@
         self.know(self.config.known)
         self.desk.hosts.start_times.heard_in_saved_list()
 
-    def know(self, rows: list, bans: State | None = None) -> None:
+    def know(self, rows: list, bans: UpgradeState | None = None) -> None:
         """Takes in the hosts, and the bans, those of the file if none are given, before anything is sent."""
         if bans is None:
             self.bans.load()
@@ -171,7 +171,7 @@
         config = self.config
         self.take_clients()
         self.join()
-        self.upgrade.ring()
+        self.upgrade.listen_for_successor()
         logger.info("start node={} listen={}:{} hosts={} sockets={} {}", config.name, *config.listen,
                     self.desk.hosts.running(), config.sockets, self.desk.budget.spoken_for)  # fmt: skip
 
@@ -205,7 +205,7 @@
         if self.published is not None:
             self.published.start(self)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Another process of this node takes clients from now on."""
         self.takes = False
         # Danger: two processes under one name would both answer for it; the successor opens the port anew.
@@ -217,9 +217,9 @@
 
     def discovery_spoke(self) -> None:
         self.desk.discovery_spoke()
-        if self.upgrade.waits:
+        if self.upgrade.waiting_to_begin:
             # what the line holds is taken in first
-            self.reactor.callLater(0, self.upgrade.listed)
+            self.reactor.callLater(0, self.upgrade.discovery_answered)
 
     def excused(self) -> bool:
         self.desk.clock()
@@ -275,7 +275,7 @@
         self.desk.ban(ban.uid, ban.excluded or owned_out)
 
     def notify_other_process(self, ban: BanChange, then: Callable[[], None]) -> None:
-        self.upgrade.tell_ban(ban.uid, ban.excluded, then)
+        self.upgrade.send_ban(ban.uid, ban.excluded, then)
 
     def bans_of(self) -> Iterable[str]:
         """Hosts that an operator has taken out here."""
@@ -292,7 +292,7 @@
     def told_to_reload(self) -> None:
         """By a signal, which comes to one process of the node."""
         # Danger: the one that was not told would go on by the old file, and turn the new classes away.
-        self.upgrade.tell_reload()
+        self.upgrade.send_reload()
         self.reload()
 
     def reload(self) -> None:
@@ -347,7 +347,7 @@
         self.desk.answer_by = self.stopped_at + answer_after
         self.reactor.callLater(answer_after / MS, self.desk.answer_all)
         # Danger: a successor that ends must not take over a port and connections that it would end with it.
-        if self.upgrade.waits:
+        if self.upgrade.waiting_to_begin:
             self.exit()
             return
         logger.info("stop sessions={}", len(self.desk.sessions.table))
@@ -394,7 +394,7 @@
         if takes and not self.port.accept_all():
             return False
         port, self.port = self.port, None
-        self.upgrade.shut()
+        self.upgrade.stop_listening()
         port.stopListening()
         return True
 
@@ -407,7 +407,7 @@
         for part in (self.owned, self.published):
             if part is not None:
                 part.stop()
-        self.upgrade.end()
+        self.upgrade.detach()
         logger.info("exit ms={:.0f}", self.clock() - self.stopped_at if self.stopped_at else 0)
         self.sink.flush()
         self.reactor.stop()
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -1,4 +1,4 @@
-"""A standing connection put into a packet with its two descriptors, and taken up from one."""
+"""Hands an established session over to another process: its state in a packet, with its two descriptors."""
 
 from __future__ import annotations
 
@@ -15,55 +15,57 @@
     from caperdeck.state.sessions import Session
     from caperdeck.wire.session_handler import Desk
 
-MOST_BUFFERED = 32 << 10  # bytes of a connection; one that holds more is handed on once they have gone
+MAX_BUFFERED_BYTES = 32 << 10  # per connection; a session with more is handed over once they have been sent
 
 
-def text(data: bytes) -> str:
+def decode_text(data: bytes) -> str:
+    """The bytes as text for JSON, one character per byte."""
     return data.decode("latin-1")
 
 
-def unsent(transport: Any) -> bytes:
-    """What has been written to the transport and has not gone out yet."""
+def unsent_bytes(transport: Any) -> bytes:
+    """The bytes that were written to the transport and have not been sent yet."""
     return b"".join((bytes(transport.dataBuffer)[transport.offset :], *transport._tempDataBuffer))
 
 
-def may_go(s: Session) -> bool:
-    """Stands whole: both sides are open and nothing of its end is on the way."""
+def can_hand_over(s: Session) -> bool:
+    """Whether the session is established, both sides are open, and neither has begun to close."""
     client, conn = s.client, s.conn
     if not s.up_at or s.over or client.closing or conn is None or conn.ended or conn.farewell:
         return False
     if not client.connected or not conn.connected:
         return False
-    held = (client._buffer, conn._buffer, unsent(client.transport), unsent(conn.transport))
-    return max(map(len, held)) <= MOST_BUFFERED
+    buffers = (client._buffer, conn._buffer, unsent_bytes(client.transport), unsent_bytes(conn.transport))
+    return max(map(len, buffers)) <= MAX_BUFFERED_BYTES
 
 
-def packet(desk: Desk, s: Session) -> tuple[dict[str, Any], list[int]]:
+def encode_session(desk: Desk, s: Session) -> tuple[dict[str, Any], list[int]]:
+    """The message that hands the session over, and the descriptors that go with it: client, then host."""
     client, conn = s.client, s.conn
     message = {
-        "say": "session", "line": text(s.request.line), "host": desk.hosts.uid[s.host], "dial": s.dial,
+        "say": "session", "line": decode_text(s.request.line), "host": desk.hosts.uid[s.host], "dial": s.dial,
         "since": s.since, "deadline": s.deadline, "up_at": s.up_at, "heard_at": s.heard_at,
         "asked": bool(s.asked_at),
-        "read": [text(client._buffer), text(conn._buffer)],
-        "unsent": [text(unsent(client.transport)), text(unsent(conn.transport))],
+        "read": [decode_text(client._buffer), decode_text(conn._buffer)],
+        "unsent": [decode_text(unsent_bytes(client.transport)), decode_text(unsent_bytes(conn.transport))],
     }  # fmt: skip
     return message, [client.transport.fileno(), conn.transport.fileno()]
 
 
-def let_go(protocol: Any) -> None:
-    """Closes this process's descriptor of a connection that lives on in another one."""
+def release_connection(protocol: Any) -> None:
+    """Closes this process's descriptor of a connection that goes on in another process."""
     transport = protocol.transport
     transport.unregisterProducer()
     transport.stopReading()
     transport.stopWriting()
-    # Danger: the library would shut the connection down, at the other process too, when this one ends.
+    # Twisted would shut the connection down when this process ends, for the other process as well.
     sock = transport.socket
     del transport.socket
     transport.connected, transport.disconnected, protocol.connected = 0, 1, 0
     sock.close()
 
 
-def alive(fd: int) -> bool:
+def is_connected(fd: int) -> bool:
     with socket.socket(fileno=os.dup(fd)) as sock:
         try:
             sock.getpeername()
@@ -72,17 +74,17 @@
     return True
 
 
-def take_up(desk: Desk, message: dict[str, Any], fds: list[int]) -> bool:
-    """Goes on with a session that another process of this node has handed on; False if a side has gone."""
+def adopt_session(desk: Desk, message: dict[str, Any], fds: list[int]) -> bool:
+    """Takes over a session that another process of this node handed over; False if a side has gone."""
     try:
-        if len(fds) != 2 or not all(map(alive, fds)):
+        if len(fds) != 2 or not all(map(is_connected, fds)):
             return False
         client = ClientConnection(desk)
-        adopt(desk, fds[0], client)
+        adopt_connection(desk, fds[0], client)
         s = desk.sessions.new(parse_request(message["line"].encode("latin-1")), client, message["since"])
         conn = HostConnection(desk, s, message["deadline"])
         conn.taken_up = True
-        adopt(desk, fds[1], conn)
+        adopt_connection(desk, fds[1], conn)
         s.host, s.dial, s.conn = desk.hosts.know(message["host"]), message["dial"], conn
         desk.sessions.stands(s, message["up_at"])
         s.deadline, s.heard_at = message["deadline"], message["heard_at"]
@@ -100,5 +102,5 @@
     return True
 
 
-def adopt(desk: Desk, fd: int, protocol: Any) -> None:
+def adopt_connection(desk: Desk, fd: int, protocol: Any) -> None:
     desk.reactor.adoptStreamConnection(fd, socket.AF_INET, OneConnection(protocol))
--- a/caperdeck/ops/link.py
+++ b/caperdeck/ops/link.py
@@ -1,4 +1,4 @@
-"""The link between two processes of one node: packets of JSON, with descriptors, over a Unix socket."""
+"""The link between two processes of one node: JSON packets, some with descriptors, over a Unix socket."""
 
 from __future__ import annotations
 
@@ -20,33 +20,35 @@
 from caperdeck.state.errors import TRY_AGAIN_AFTER, call_again, is_momentary
 from caperdeck.state.timers import cancel
 
-FILE = "caperdeck.sock"
-LARGEST = 160 << 10  # bytes of a packet
-MOST_FDS = 4  # descriptors beside one
-AT_ONCE = 64  # packets read in one turn of the reactor
-LONGEST_PATH = 100  # bytes that the kernel takes as the address of such a socket
-NOBODY = (errno.ENOENT, errno.ECONNREFUSED)  # nothing was ever there, or its process has ended
-QUEUE = 4  # connections that wait to be accepted
-DIGEST_SHOWN = 32  # hexadecimal digits
-CREDENTIALS = struct.Struct("3i")  # of SO_PEERCRED: process, user, group
+SOCKET_FILE = "caperdeck.sock"
+MAX_PACKET_BYTES = 160 << 10
+MAX_DESCRIPTORS = 4  # per packet
+MAX_PACKETS_PER_READ = 64  # in one iteration of the reactor
+MAX_SOCKET_PATH_BYTES = 100  # what the kernel takes as the address of a Unix socket
+NO_LISTENER_ERRNOS = (errno.ENOENT, errno.ECONNREFUSED)  # never bound, or its process has ended
+LISTEN_BACKLOG = 4
+DIGEST_HEX_DIGITS = 32
+PEER_CREDENTIALS = struct.Struct("3i")  # SO_PEERCRED: process, user, group
 
 Message = dict[str, Any]
 
 
 class FolderAddress:
-    """A socket's file in a folder that both processes see; a long folder is named by a descriptor."""
+    """A socket file in a folder that both processes see. If its path is too long for an address, the folder
+    is given by a descriptor.
+    """
 
     def __init__(self, folder: str) -> None:
         self.folder = folder
 
     @contextmanager
     def path(self) -> Iterator[str]:
-        if len(os.fsencode(os.path.join(self.folder, FILE))) + 12 <= LONGEST_PATH:
-            yield os.path.join(self.folder, FILE)
+        if len(os.fsencode(os.path.join(self.folder, SOCKET_FILE))) + 12 <= MAX_SOCKET_PATH_BYTES:
+            yield os.path.join(self.folder, SOCKET_FILE)
             return
         fd = os.open(self.folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            yield os.path.join(f"/proc/self/fd/{fd}", FILE)
+            yield os.path.join(f"/proc/self/fd/{fd}", SOCKET_FILE)
         finally:
             os.close(fd)
 
@@ -56,57 +58,57 @@
 
     def listen(self, sock: socket.socket) -> None:
         with self.path() as path:
-            beside = f"{path}.{os.getpid()}"
-            # Danger: a process that was killed leaves its socket's file, on which nobody could bind again.
-            if os.path.exists(beside):
-                os.unlink(beside)
-            sock.bind(beside)
-            os.chmod(beside, 0o600)
-            sock.listen(QUEUE)
-            os.rename(beside, path)
+            temporary = f"{path}.{os.getpid()}"
+            # A killed process leaves its socket file behind, and a later one with its process ID could not
+            # bind.
+            if os.path.exists(temporary):
+                os.unlink(temporary)
+            sock.bind(temporary)
+            os.chmod(temporary, 0o600)
+            sock.listen(LISTEN_BACKLOG)
+            os.rename(temporary, path)
 
 
 class NodeAddress:
-    """An address without a file, made of the node's name and port: it needs no folder, and ends with its
-    process.
-    """
+    """An abstract address made of the node's name and port: it needs no folder and ends with its process."""
 
     def __init__(self, identity: Sequence[str]) -> None:
         digest = hashlib.sha256("\n".join(identity).encode()).hexdigest()
-        self.name = f"\0caperdeck-{digest[:DIGEST_SHOWN]}"
+        self.name = f"\0caperdeck-{digest[:DIGEST_HEX_DIGITS]}"
 
     def connect(self, sock: socket.socket) -> None:
         sock.connect(self.name)
 
     def listen(self, sock: socket.socket) -> None:
         sock.bind(self.name)
-        sock.listen(QUEUE)
+        sock.listen(LISTEN_BACKLOG)
 
 
 UnixAddress = FolderAddress | NodeAddress
 
 
-def reach(addresses: Iterable[UnixAddress]) -> socket.socket | None:
-    """A connection to the process that serves, None where there is none; waits while the machine lacks
-    something, as nobody is served yet.
+def connect_to_incumbent(addresses: Iterable[UnixAddress]) -> socket.socket | None:
+    """A connection to the serving process, None if there is none.
+
+    Blocks while the machine lacks resources; no client is served at this point.
     """
     for address in addresses:
         try:
-            # Danger: taken for gone, the process that serves would go on beside this one, each for itself.
-            return call_again(lambda address=address: _connected(address), passes=_is_passing)
+            # If the serving process were taken for gone, both would serve without knowing of each other.
+            return call_again(lambda address=address: _connect(address), passes=_is_transient)
         except OSError as error:
-            # a start with nobody before it is the usual one
-            level = "DEBUG" if error.errno in NOBODY else "WARNING"
+            # Most starts have no incumbent.
+            level = "DEBUG" if error.errno in NO_LISTENER_ERRNOS else "WARNING"
             logger.log(level, "upgrade reason=no-incumbent at={} {}", type(address).__name__, error)
     return None
 
 
-def _connected(address: UnixAddress) -> socket.socket:
+def _connect(address: UnixAddress) -> socket.socket:
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.setblocking(False)
         address.connect(sock)
-        if not _is_own(sock):
+        if not _is_same_user(sock):
             raise PermissionError(errno.EPERM, "the process there is another user's")
     except OSError:
         sock.close()
@@ -114,29 +116,31 @@
     return sock
 
 
-def _is_own(sock: socket.socket) -> bool:
-    """Whether a process of this user has the other end; an address without a file has no permissions."""
+def _is_same_user(sock: socket.socket) -> bool:
+    """Whether the other end is a process of this user; an abstract address has no permissions of its own."""
     try:
-        data = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
+        data = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     except OSError:
         return False
-    _, user, _ = CREDENTIALS.unpack(data)
+    _, user, _ = PEER_CREDENTIALS.unpack(data)
     return user == os.geteuid()
 
 
-def _is_passing(error: BaseException) -> bool:
-    """Whether the machine, or room in a queue, was lacking for a moment."""
+def _is_transient(error: BaseException) -> bool:
+    """Whether resources of the machine, or room in a socket's queue, were lacking for a moment."""
     return is_momentary(error) or getattr(error, "errno", 0) in (errno.EAGAIN, errno.ETOOMANYREFS)
 
 
 @implementer(IReadWriteDescriptor)
-class Doorbell:
-    """The Unix socket on which a process that serves is found by its successor."""
+class RendezvousSocket:
+    """The listening Unix socket on which a successor finds the process that serves."""
 
-    def __init__(self, reactor: Any, address: UnixAddress, rung: Callable[[socket.socket], None]) -> None:
+    def __init__(
+        self, reactor: Any, address: UnixAddress, on_connection: Callable[[socket.socket], None]
+    ) -> None:
         """Raises OSError."""
-        self.reactor, self.rung = reactor, rung
-        self.resuming: Any = None  # the timer after which it accepts again
+        self.reactor, self.on_connection = reactor, on_connection
+        self.retry_timer: Any = None  # until it accepts again
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             self.sock.setblocking(False)
@@ -156,19 +160,19 @@
             return
         except OSError:
             self.reactor.removeReader(self)
-            self.resuming = self.reactor.callLater(TRY_AGAIN_AFTER, self.reactor.addReader, self)
+            self.retry_timer = self.reactor.callLater(TRY_AGAIN_AFTER, self.reactor.addReader, self)
             return
         sock.setblocking(False)
-        if _is_own(sock):
-            self.rung(sock)
+        if _is_same_user(sock):
+            self.on_connection(sock)
         else:
             sock.close()
 
     def doWrite(self) -> None:
-        """Nothing is written to a socket that listens."""
+        """Required by the interface; nothing is written to a listening socket."""
 
     def close(self) -> None:
-        cancel(self.resuming)
+        cancel(self.retry_timer)
         self.reactor.removeReader(self)
         self.sock.close()
 
@@ -180,8 +184,8 @@
 
 
 def encode(message: Message) -> bytes:
-    """The packet of a message. A named tuple goes as a list: one part of the state that the encoder does not
-    know must not end the link, and with it leave two processes that go on each for itself.
+    """The packet of a message. Named tuples are sent as lists: a value that the encoder does not know would
+    end the link, and leave two processes that serve without knowing of each other.
     """
     return orjson.dumps(message, default=_plain)
 
@@ -189,18 +193,20 @@
 def _plain(value: Any) -> Any:
     if isinstance(value, tuple):
         return list(value)
-    raise TypeError(f"no part of a message: {type(value).__name__}")
+    raise TypeError(f"cannot be part of a message: {type(value).__name__}")
 
 
 @implementer(IReadWriteDescriptor)
-class Link:
+class UpgradeLink:
+    """One end of the link. `on_message` and `on_closed` are set by its owner."""
+
     def __init__(self, reactor: Any, sock: socket.socket) -> None:
         self.reactor, self.sock = reactor, sock
-        self.waiting: deque[tuple[bytes, Sequence[int]]] = deque()
-        self.received: Callable[[Message, list[int]], None] = lambda message, fds: None
-        self.broke: Callable[[], None] = lambda: None
+        self.unsent: deque[tuple[bytes, Sequence[int]]] = deque()  # packets and their descriptors
+        self.on_message: Callable[[Message, list[int]], None] = lambda message, fds: None
+        self.on_closed: Callable[[], None] = lambda: None
         self.open = True
-        self.resuming: Any = None  # the timer after which it writes again
+        self.retry_timer: Any = None  # until it writes again
         reactor.addReader(self)
 
     def fileno(self) -> int:
@@ -210,15 +216,15 @@
         return "link"
 
     def send(self, message: Message, fds: Sequence[int] = ()) -> None:
-        """Now, or as soon as the other side has room."""
+        """Sends the message now, or as soon as the other side has room."""
         if self.open:
-            self.waiting.append((encode(message), fds))
+            self.unsent.append((encode(message), fds))
             self.doWrite()
 
-    def offer(self, message: Message, fds: Sequence[int]) -> bool:
-        """Now or not at all; False if the other side has no room."""
+    def try_send(self, message: Message, fds: Sequence[int]) -> bool:
+        """Sends the message now or not at all; False if the other side has no room."""
         data = encode(message)
-        if not self.open or self.waiting or len(data) > LARGEST:
+        if not self.open or self.unsent or len(data) > MAX_PACKET_BYTES:
             return False
         return self._write(data, fds)
 
@@ -228,8 +234,9 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            # Danger: a link that ends for a moment's lack leaves two processes that go on each for itself.
-            if _is_passing(error):
+            # Closing the link for a passing lack of resources would leave two processes that serve without
+            # knowing of each other.
+            if _is_transient(error):
                 self._write_later()
                 return False
             logger.warning("link reason=broken {}", error.strerror)
@@ -238,31 +245,31 @@
         return True
 
     @property
-    def _pauses(self) -> bool:
-        return self.resuming is not None and self.resuming.active()
+    def _paused(self) -> bool:
+        return self.retry_timer is not None and self.retry_timer.active()
 
     def _write_later(self) -> None:
-        if not self._pauses:
-            self.resuming = self.reactor.callLater(TRY_AGAIN_AFTER, self.doWrite)
+        if not self._paused:
+            self.retry_timer = self.reactor.callLater(TRY_AGAIN_AFTER, self.doWrite)
 
     def doWrite(self) -> None:
-        while self.open and self.waiting and not self._pauses:
-            if not self._write(*self.waiting[0]):
+        while self.open and self.unsent and not self._paused:
+            if not self._write(*self.unsent[0]):
                 break
-            self.waiting.popleft()
-        if self.open and self.waiting and not self._pauses:
+            self.unsent.popleft()
+        if self.open and self.unsent and not self._paused:
             self.reactor.addWriter(self)
         else:
             self.reactor.removeWriter(self)
 
     def doRead(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_PACKETS_PER_READ):
             if not self.open:
                 return
             try:
-                data, fds, *_ = socket.recv_fds(self.sock, LARGEST, MOST_FDS)
+                data, fds, *_ = socket.recv_fds(self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
             except OSError as error:
-                if _is_passing(error):
+                if _is_transient(error):
                     return
                 logger.warning("link reason=broken {}", error.strerror)
                 data, fds = b"", []
@@ -272,23 +279,23 @@
             try:
                 message = orjson.loads(data)
                 if not isinstance(message, dict):
-                    raise ValueError("no object")
+                    raise ValueError("not a JSON object")
             except ValueError as error:
                 logger.warning("link reason=bad-packet {}", error)
                 for fd in fds:
                     os.close(fd)
                 self.close()
                 return
-            self.received(message, list(fds))
+            self.on_message(message, list(fds))
 
     def close(self) -> None:
         if self.open:
             self.open = False
-            cancel(self.resuming)
+            cancel(self.retry_timer)
             self.reactor.removeReader(self)
             self.reactor.removeWriter(self)
             self.sock.close()
-            self.broke()
+            self.on_closed()
 
     def connectionLost(self, reason: Any) -> None:
         self.close()
--- a/caperdeck/ops/show_peers.py
+++ b/caperdeck/ops/show_peers.py
@@ -1,4 +1,4 @@
-"""`caperdeck peers show`: a node's figures of what it shares, asked of its second address."""
+"""`caperdeck peers show`: prints what a node shares with its peers, as its admin address reports it."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 
 from caperdeck.state.addresses import AddressError, parse_address
 
-WAIT = 5.0  # seconds
-MOST = 1 << 20  # bytes of an answer
-PREFIX = "app_peers_"
+TIMEOUT_S = 5.0
+MAX_ANSWER_BYTES = 1 << 20
+METRIC_PREFIX = "app_peers_"
 
 
-def show_peers(where: str) -> int:
-    """Prints them; 0, 1 if the node does not answer or shares nothing, 2 for an address that is none."""
+def show_peers(address_text: str) -> int:
+    """Prints the metrics; returns 0, 1 if the node does not answer or shares nothing, 2 for a bad address."""
     try:
-        address = parse_address(where)
+        address = parse_address(address_text)
     except AddressError as error:
         print(f"caperdeck: {error}", file=sys.stderr)
         return 2
     try:
-        answer = ask(address.host, address.port, b"telemetry\n")
+        answer = call_admin(address.host, address.port, b"telemetry\n")
     except OSError as error:
-        print(f"caperdeck: {where}: {error}", file=sys.stderr)
+        print(f"caperdeck: {address_text}: {error}", file=sys.stderr)
         return 1
-    rows = [line.removeprefix(PREFIX) for line in answer.splitlines() if line.startswith(PREFIX)]
+    rows = [
+        line.removeprefix(METRIC_PREFIX) for line in answer.splitlines() if line.startswith(METRIC_PREFIX)
+    ]
     if not rows:
-        print(f"caperdeck: {where}: the node shares nothing with its peers", file=sys.stderr)
+        print(f"caperdeck: {address_text}: the node shares nothing with its peers", file=sys.stderr)
         return 1
     for row in rows:
         name, _, value = row.rpartition(" ")
@@ -34,10 +36,11 @@
     return 0
 
 
-def ask(host: str, port: int, call: bytes) -> str:
-    with socket.create_connection((host, port), WAIT) as conn:
+def call_admin(host: str, port: int, call: bytes) -> str:
+    """Sends one call to an admin address and returns the answer; raises OSError."""
+    with socket.create_connection((host, port), TIMEOUT_S) as conn:
         conn.sendall(call)
         answer = bytearray()
-        while len(answer) < MOST and (data := conn.recv(65536)):
+        while len(answer) < MAX_ANSWER_BYTES and (data := conn.recv(65536)):
             answer += data
     return answer.decode("utf-8", "replace")
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -18,18 +18,20 @@
 from caperdeck.wire.request import RequestError
 
 from .bans import BanChange, BansError
-from .handover import let_go, may_go, packet, take_up
-from .link import Doorbell, FolderAddress, Link, NodeAddress, UnixAddress, reach
+from .handover import adopt_session, can_hand_over, encode_session, release_connection
+from .link import (
+    FolderAddress, NodeAddress, RendezvousSocket, UnixAddress, UpgradeLink, connect_to_incumbent,
+)  # fmt: skip
 from .upgrade_protocol import Incumbent, Successor
 
-State = dict[str, Any]  # what an incumbent tells its successor of itself
+UpgradeState = dict[str, Any]  # what an incumbent tells its successor of itself
 
-ASK_EVERY = 0.25  # seconds until a successor asks again that found its incumbent busy
-MOST_ASKED = 24
-RING_AGAIN = 0.25  # seconds until an address that could not be had is tried again
+BUSY_RETRY_S = 0.25  # seconds until a successor asks again that found its incumbent busy
+MAX_BUSY_RETRIES = 24
+BIND_RETRY_S = 0.25  # seconds until an address that could not be had is tried again
 
 
-class Node(Protocol):
+class UpgradingNode(Protocol):
     """The node of this process."""
 
     config: Any
@@ -40,65 +42,65 @@
     port: Any
     takes: bool
 
-    def know(self, rows: list, bans: State | None = None) -> None: ...
+    def know(self, rows: list, bans: UpgradeState | None = None) -> None: ...
     def know_saved(self) -> None: ...
     def listen(self, fd: int = -1) -> None: ...
     def begin(self) -> None: ...
     def take_clients(self) -> None: ...
-    def stop_taking(self) -> None: ...
+    def stop_accepting(self) -> None: ...
     def reload(self) -> None: ...
     def exit(self, code: int = 0) -> None: ...
 
 
 class Upgrade:
-    def __init__(self, reactor: Any, node: Node) -> None:
+    def __init__(self, reactor: Any, node: UpgradingNode) -> None:
         self.reactor = reactor
         self.node = node
         self.side: Incumbent | Successor | None = None
-        self.doorbells: dict[UnixAddress, Doorbell] = {}
-        self.ringing_again: Any = None  # the timer after which the addresses that failed are tried again
-        self.asked = 0  # so often one that was busy
+        self.rendezvous_sockets: dict[UnixAddress, RendezvousSocket] = {}
+        self.bind_timer: Any = None  # the timer after which the addresses that failed are tried again
+        self.busy_answers = 0  # so often one that was busy
         self.addresses: list[UnixAddress] = []  # where this process is to be found
-        self.complained: set[UnixAddress] = set()  # of those that could not be had
+        self.reported_addresses: set[UnixAddress] = set()  # of those that could not be had
 
     @property
-    def under_way(self) -> bool:
+    def in_progress(self) -> bool:
         return self.side is not None and self.side.open
 
     @property
-    def waits(self) -> bool:
+    def waiting_to_begin(self) -> bool:
         """A successor that has not begun; an incumbent that has given its port hands on what it has."""
         return isinstance(self.side, Successor) and not self.side.began
 
-    def tell_ban(self, uid: str, out: bool, then: Callable[[], None]) -> None:
+    def send_ban(self, uid: str, excluded: bool, on_done: Callable[[], None]) -> None:
         if self.side is None:
-            then()
+            on_done()
         else:
-            self.side.tell_ban(uid, out, then)
+            self.side.send_ban(uid, excluded, on_done)
 
-    def tell_reload(self) -> None:
+    def send_reload(self) -> None:
         if self.side is not None:
-            self.side.tell_reload()
+            self.side.send_reload()
 
     def reload(self) -> None:
         """The other process was told to."""
         self.node.reload()
 
-    def listed(self) -> None:
+    def discovery_answered(self) -> None:
         """Discovery has spoken to this process."""
         if isinstance(self.side, Successor):
-            self.side.listed()
+            self.side.discovery_answered()
 
-    def end(self) -> None:
+    def detach(self) -> None:
         if self.side is not None:
-            self.side.end()
+            self.side.detach()
 
     def identity(self) -> list[str]:
         return [self.node.config.name, "{}:{}".format(*self.node.config.listen)]
 
-    def banned(self, uid: str, out: bool) -> None:
+    def apply_ban(self, uid: str, excluded: bool) -> None:
         """The other process was told so, and has kept it."""
-        self.node.ban_calls.apply_notified(BanChange(uid, out))
+        self.node.ban_calls.apply_notified(BanChange(uid, excluded))
 
     # ---- the incumbent
 
@@ -111,38 +113,40 @@
         in_folder = [FolderAddress(config.scratch)] if config.scratch is not None else []
         return [NodeAddress(self.identity()), *in_folder]
 
-    def ring(self) -> None:
+    def listen_for_successor(self) -> None:
         """Lets a successor find this process, at every address that can be had; the others follow."""
         if not self.addresses:
             self.addresses = self._addresses()
-        missing = [address for address in self.addresses if address not in self.doorbells]
+        missing = [address for address in self.addresses if address not in self.rendezvous_sockets]
         for address in missing:
             try:
-                self.doorbells[address] = Doorbell(self.reactor, address, self.rung)
+                self.rendezvous_sockets[address] = RendezvousSocket(
+                    self.reactor, address, self.handle_connection
+                )
             except OSError as error:
-                if address not in self.complained:
-                    self.complained.add(address)
+                if address not in self.reported_addresses:
+                    self.reported_addresses.add(address)
                     logger.warning("upgrade reason=no-doorbell at={} {}", type(address).__name__, error)
-        if len(self.doorbells) < len(self.addresses):
-            self.ringing_again = self.reactor.callLater(RING_AGAIN, self.ring)
+        if len(self.rendezvous_sockets) < len(self.addresses):
+            self.bind_timer = self.reactor.callLater(BIND_RETRY_S, self.listen_for_successor)
 
-    def rung(self, sock: socket.socket) -> None:
-        link = Link(self.reactor, sock)
-        if self.under_way:
+    def handle_connection(self, sock: socket.socket) -> None:
+        link = UpgradeLink(self.reactor, sock)
+        if self.in_progress:
             # the upgrade before may still hand on, or another one be under way
             link.send({"say": "busy"})
             self.reactor.callLater(1.0, link.close)
             return
         self.side = Incumbent(self.reactor, link, self)
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """No successor finds this process any more."""
-        cancel(self.ringing_again)
-        for doorbell in self.doorbells.values():
-            doorbell.close()
-        self.doorbells.clear()
+        cancel(self.bind_timer)
+        for rendezvous_socket in self.rendezvous_sockets.values():
+            rendezvous_socket.close()
+        self.rendezvous_sockets.clear()
 
-    def tell_state(self) -> tuple[list[dict], dict, list[int]]:
+    def export_state(self) -> tuple[list[dict], dict, list[int]]:
         node = self.node
         memory = node.desk.balancer.memory()
         # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
@@ -163,30 +167,30 @@
         }
         return rows, state, [node.port.fileno()]
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         logger.info("upgrade reason=given sessions={}", len(self.node.desk.sessions.table))
-        self.node.stop_taking()
-        self.shut()
+        self.node.stop_accepting()
+        self.stop_listening()
 
-    def take_again(self) -> None:
+    def resume_accepting(self) -> None:
         node = self.node
         logger.error("upgrade reason=successor-lost sessions={}", len(node.desk.sessions.table))
         node.desk.balancer.take_slots_back()
         node.take_clients()
         node.join()
-        self.ring()
+        self.listen_for_successor()
 
-    def hand_on(self, most: int) -> bool:
+    def hand_over_connections(self, limit: int) -> bool:
         """Hands some of what stands on; True once nothing is left here."""
         desk = self.node.desk
-        for s in islice(filter(may_go, desk.sessions.standing()), most):
-            message, fds = packet(desk, s)
-            if not self.side.link.offer(message, fds):
+        for s in islice(filter(can_hand_over, desk.sessions.standing()), limit):
+            message, fds = encode_session(desk, s)
+            if not self.side.link.try_send(message, fds):
                 break
             client, conn = s.client, s.conn
             desk.handed_on(s)
-            let_go(client)
-            let_go(conn)
+            release_connection(client)
+            release_connection(conn)
         return not desk.sessions.table and not desk.budget.clients
 
     def hand_over_slots(self) -> dict[str, float]:
@@ -199,30 +203,30 @@
         known = {desk.hosts.index[uid]: saved for uid, saved in slots.items() if uid in desk.hosts.index}
         desk.balancer.take_over_slots(desk.clock(), known)
 
-    def held(self) -> int:
+    def open_descriptor_count(self) -> int:
         return open_descriptors()
 
-    def done(self) -> None:
+    def finish(self) -> None:
         logger.info("upgrade reason=handed-on")
         self.node.exit()
 
     # ---- the successor
 
-    def succeed(self) -> bool:
+    def contact_incumbent(self) -> bool:
         """Asks the process that serves, if there is one."""
-        before = reach(self._addresses())
+        before = connect_to_incumbent(self._addresses())
         if before is not None:
-            self.side = Successor(self.reactor, Link(self.reactor, before), self)
+            self.side = Successor(self.reactor, UpgradeLink(self.reactor, before), self)
         return before is not None
 
-    def ask_again(self) -> None:
-        self.asked += 1
-        if self.asked > MOST_ASKED:
-            self.refused("another process is taking over")
+    def retry_busy_incumbent(self) -> None:
+        self.busy_answers += 1
+        if self.busy_answers > MAX_BUSY_RETRIES:
+            self.fail("another process is taking over")
         else:
-            self.reactor.callLater(ASK_EVERY, lambda: self.succeed() or self.begin_alone())
+            self.reactor.callLater(BUSY_RETRY_S, lambda: self.contact_incumbent() or self.begin_alone())
 
-    def take_state(self, rows: list, state: dict, fds: list[int]) -> None:
+    def import_state(self, rows: list, state: dict, fds: list[int]) -> None:
         node = self.node
         hosts = node.desk.hosts
         ahead, starts = state["starts"]
@@ -242,16 +246,16 @@
         node.listen(fds[0])
         node.discovery.start()
 
-    def take_session(self, message: dict, fds: list[int]) -> None:
+    def receive_session(self, message: dict, fds: list[int]) -> None:
         try:
-            taken = take_up(self.node.desk, message, fds)
+            taken = adopt_session(self.node.desk, message, fds)
         except (RequestError, KeyError, TypeError, ValueError, OSError) as error:
             logger.error("upgrade reason=bad-session {!r}", error)
             return
         if not taken:
             logger.info("upgrade reason=side-gone line={!r}", message["line"][:40])
 
-    def others_hold(self, descriptors: int) -> None:
+    def set_descriptors_elsewhere(self, descriptors: int) -> None:
         self.node.desk.budget.elsewhere = descriptors
 
     def begin(self) -> None:
@@ -268,10 +272,10 @@
                 node.desk.wait_for_list()
                 node.listen()
         except (BansError, CannotListenError) as error:
-            self.refused(str(error))
+            self.fail(str(error))
             return
         node.begin()
 
-    def refused(self, reason: str) -> None:
+    def fail(self, reason: str) -> None:
         logger.error("upgrade reason=refused {}", reason)
         self.node.exit(1)
--- a/caperdeck/ops/upgrade_protocol.py
+++ b/caperdeck/ops/upgrade_protocol.py
@@ -1,7 +1,7 @@
-"""One node, two processes: what each says to the other at an upgrade, and when. No I/O of its own.
+"""The protocol between two processes of one node at an upgrade: which messages are sent, and when. No I/O.
 
-The one that serves is the incumbent, the one that was started beside it the successor. Each is given a link
-(`send`, `offer`, `close`) and its node, and is told what comes.
+The *incumbent* is the process that serves, the *successor* the one that was started beside it. Each side is
+given a link (`send`, `try_send`, `close`) and its node, and is called with the messages that arrive.
 """
 
 from __future__ import annotations
@@ -9,219 +9,228 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-VERSION = 1
-ROWS = 200  # hosts told in one packet
-LIST_WAIT = 1.0  # seconds that the successor waits for discovery's first word
-ANSWER_WAIT = 2.0  # and for the incumbent's
-BAN_WAIT = 0.5  # and each for the other's word that a ban is in force
-HAND_EVERY = 0.01  # seconds between turns in which connections are handed on
-AT_ONCE = 24  # connections handed on in one turn
+PROTOCOL_VERSION = 1
+MAX_ROWS_PER_PACKET = 200  # hosts
+ROSTER_TIMEOUT_S = 1.0  # the successor takes over without discovery's first answer after this
+ANSWER_TIMEOUT_S = 2.0  # for the incumbent's answer to the successor
+BAN_TIMEOUT_S = 0.5  # for the other side's confirmation of a ban
+HANDOVER_INTERVAL_S = 0.01  # between two batches of connections
+CONNECTIONS_PER_BATCH = 24
 
 Message = dict[str, Any]
 
 
-class NodeSide(Protocol):
-    """What a node does at the word of its succession."""
+class UpgradeNode(Protocol):
+    """What the protocol asks of its node; implemented by `Upgrade`."""
 
     def hand_over_slots(self) -> dict[str, float]: ...
     def take_over_slots(self, slots: dict[str, float]) -> None: ...
     def reload(self) -> None: ...
 
     def identity(self) -> list[str]: ...
-    def tell_state(self) -> tuple[list[Message], Message, list[int]]: ...
-    def stop_taking(self) -> None: ...
-    def take_again(self) -> None: ...
-    def hand_on(self, most: int) -> bool: ...
-    def held(self) -> int: ...
-    def done(self) -> None: ...
-    def take_state(self, rows: list, state: Message, fds: list[int]) -> None: ...
-    def take_session(self, message: Message, fds: list[int]) -> None: ...
-    def others_hold(self, descriptors: int) -> None: ...
+    def export_state(self) -> tuple[list[Message], Message, list[int]]: ...
+    def stop_accepting(self) -> None: ...
+    def resume_accepting(self) -> None: ...
+    def hand_over_connections(self, limit: int) -> bool: ...
+    def open_descriptor_count(self) -> int: ...
+    def finish(self) -> None: ...
+    def import_state(self, rows: list, state: Message, fds: list[int]) -> None: ...
+    def receive_session(self, message: Message, fds: list[int]) -> None: ...
+    def set_descriptors_elsewhere(self, descriptors: int) -> None: ...
     def begin(self) -> None: ...
     def begin_alone(self) -> None: ...
-    def refused(self, reason: str) -> None: ...
-    def ask_again(self) -> None: ...
-    def banned(self, uid: str, out: bool) -> None: ...
+    def fail(self, reason: str) -> None: ...
+    def retry_busy_incumbent(self) -> None: ...
+    def apply_ban(self, uid: str, excluded: bool) -> None: ...
 
 
-class Side:
-    """What both have in common: bans given to one are in force at the other before the yes."""
+class UpgradeSide:
+    """What both sides share: a ban given to one is applied at the other before it is acknowledged."""
 
-    def __init__(self, reactor: Any, link: Any, node: NodeSide) -> None:
+    def __init__(self, reactor: Any, link: Any, node: UpgradeNode) -> None:
         self.reactor, self.link, self.node = reactor, link, node
         self.open = True
-        self.asked = 0
-        self.waiting: dict[int, Callable[[], None]] = {}
-        link.received, link.broke = self.received, self.broke
+        self.last_ban_number = 0
+        self.pending_bans: dict[int, Callable[[], None]] = {}
+        link.on_message, link.on_closed = self.handle_message, self.handle_closed
 
-    def tell_ban(self, uid: str, out: bool, then: Callable[[], None]) -> None:
-        """Calls then once the other side obeys, or has had the time to."""
+    def send_ban(self, uid: str, excluded: bool, on_done: Callable[[], None]) -> None:
+        """Calls `on_done` once the other side has applied the ban, or has had the time to."""
         if not self.open:
-            then()
+            on_done()
             return
-        self.asked += 1
-        number = self.asked
-        self.waiting[number] = then
-        self.link.send({"say": "ban", "uid": uid, "out": out, "number": number})
-        self.reactor.callLater(BAN_WAIT, self._told, number)
-
-    def tell_reload(self) -> None:
-        """This process was told to read its configuration again; the other one serves the same node."""
+        self.last_ban_number += 1
+        number = self.last_ban_number
+        self.pending_bans[number] = on_done
+        self.link.send({"say": "ban", "uid": uid, "out": excluded, "number": number})
+        self.reactor.callLater(BAN_TIMEOUT_S, self._ban_done, number)
+
+    def send_reload(self) -> None:
+        """This process is to read its configuration again, and so is the other one, as it serves the same
+        node.
+        """
         if self.open:
             self.link.send({"say": "reload"})
 
-    def _told(self, number: int) -> None:
-        if (then := self.waiting.pop(number, None)) is not None:
-            then()
+    def _ban_done(self, number: int) -> None:
+        if (on_done := self.pending_bans.pop(number, None)) is not None:
+            on_done()
 
-    def received(self, message: Message, fds: list[int]) -> None:
+    def handle_message(self, message: Message, fds: list[int]) -> None:
         match message.get("say"):
             case "ban":
-                self.node.banned(str(message["uid"]), bool(message["out"]))
+                self.node.apply_ban(str(message["uid"]), bool(message["out"]))
                 self.link.send({"say": "banned", "number": message["number"]})
             case "banned":
-                self._told(message["number"])
+                self._ban_done(message["number"])
             case "reload":
-                self.told_to_reload()
-            case say:
-                self.heard(say, message, fds)
+                self.handle_reload()
+            case kind:
+                self.handle_other(kind, message, fds)
 
-    def told_to_reload(self) -> None:
+    def handle_reload(self) -> None:
         self.node.reload()
 
-    def heard(self, say: Any, message: Message, fds: list[int]) -> None:
-        """A word of this side's own."""
+    def handle_other(self, kind: Any, message: Message, fds: list[int]) -> None:
+        """Handles a message that only this side gets."""
 
-    def broke(self) -> None:
+    def handle_closed(self) -> None:
         self.open = False
-        for number in list(self.waiting):
-            self._told(number)
-        self.parted()
+        for number in list(self.pending_bans):
+            self._ban_done(number)
+        self.handle_other_side_gone()
 
-    def parted(self) -> None:
-        """The other side has gone."""
+    def handle_other_side_gone(self) -> None:
+        """The link has ended."""
 
-    def end(self) -> None:
-        """This process ends; what the link does from now on is nobody's business."""
+    def detach(self) -> None:
+        """This process ends: the end of the link is no longer acted on."""
         self.open = False
-        self.link.broke = lambda: None
+        self.link.on_closed = lambda: None
 
 
-def parts_of(slots: dict[str, float]) -> list[dict[str, float]]:
-    """The same in parts that fit into a packet each; one at the least."""
+def split_into_packets(slots: dict[str, float]) -> list[dict[str, float]]:
+    """The slots in portions that each fit into a packet; at least one portion."""
     items = list(slots.items())
-    return [dict(items[at : at + ROWS]) for at in range(0, len(items), ROWS)] or [{}]
+    return [
+        dict(items[start : start + MAX_ROWS_PER_PACKET])
+        for start in range(0, len(items), MAX_ROWS_PER_PACKET)
+    ] or [{}]
 
 
-class Incumbent(Side):
-    def __init__(self, reactor: Any, link: Any, node: NodeSide) -> None:
+class Incumbent(UpgradeSide):
+    """The serving process: sends its state, then the port, then its connections."""
+
+    def __init__(self, reactor: Any, link: Any, node: UpgradeNode) -> None:
         super().__init__(reactor, link, node)
-        self.given = False
+        self.port_given = False
 
-    def heard(self, say: Any, message: Message, fds: list[int]) -> None:
-        if say == "hello":
-            ours = [VERSION, *self.node.identity()]
+    def handle_other(self, kind: Any, message: Message, fds: list[int]) -> None:
+        if kind == "hello":
+            ours = [PROTOCOL_VERSION, *self.node.identity()]
             if (theirs := message.get("who")) != ours:
                 self.link.send({"say": "no", "reason": f"this is {ours}, not {theirs}"})
                 return
-            rows, state, fds = self.node.tell_state()
-            for at in range(0, len(rows), ROWS):
-                self.link.send({"say": "hosts", "rows": rows[at : at + ROWS]})
+            rows, state, fds = self.node.export_state()
+            for start in range(0, len(rows), MAX_ROWS_PER_PACKET):
+                self.link.send({"say": "hosts", "rows": rows[start : start + MAX_ROWS_PER_PACKET]})
             self.link.send({"say": "state", **state}, fds)
-        elif say == "take" and not self.given:
-            self.given = True
-            self.node.stop_taking()
-            *parts, last = parts_of(self.node.hand_over_slots())
-            for slots in parts:
+        elif kind == "take" and not self.port_given:
+            self.port_given = True
+            self.node.stop_accepting()
+            *packets, last = split_into_packets(self.node.hand_over_slots())
+            for slots in packets:
                 self.link.send({"say": "slots", "slots": slots})
-            self.link.send({"say": "given", "held": self.node.held(), "slots": last})
-            self._go_on()
+            self.link.send({"say": "given", "held": self.node.open_descriptor_count(), "slots": last})
+            self._hand_over_next_batch()
 
-    def _go_on(self) -> None:
-        """Hands on what stands, in small turns, until nothing is left."""
+    def _hand_over_next_batch(self) -> None:
+        """Hands over the connections in small batches until none is left."""
         if not self.open:
             return
-        if self.node.hand_on(AT_ONCE):
-            self.node.done()
+        if self.node.hand_over_connections(CONNECTIONS_PER_BATCH):
+            self.node.finish()
             return
-        self.link.offer({"say": "held", "held": self.node.held()}, ())
-        self.reactor.callLater(HAND_EVERY, self._go_on)
+        self.link.try_send({"say": "held", "held": self.node.open_descriptor_count()}, ())
+        self.reactor.callLater(HANDOVER_INTERVAL_S, self._hand_over_next_batch)
+
+    def handle_other_side_gone(self) -> None:
+        # A successor that died would leave clients in the port's queue, from which nobody accepts.
+        if self.port_given:
+            self.port_given = False
+            self.node.resume_accepting()
 
-    def parted(self) -> None:
-        # Danger: a successor that died would leave clients in a queue that nobody accepts from.
-        if self.given:
-            self.given = False
-            self.node.take_again()
 
+class Successor(UpgradeSide):
+    """The new process: gets the state, waits for discovery, then takes the port and the connections."""
 
-class Successor(Side):
-    def __init__(self, reactor: Any, link: Any, node: NodeSide) -> None:
+    def __init__(self, reactor: Any, link: Any, node: UpgradeNode) -> None:
         super().__init__(reactor, link, node)
         self.rows: list = []
-        self.knows = self.asked_for = self.began = False
-        self.reloads_later = False  # it was told to, and does not know the node yet
-        link.send({"say": "hello", "who": [VERSION, *node.identity()]})
-        self.timer = reactor.callLater(ANSWER_WAIT, self._alone)
+        self.has_state = self.take_sent = self.began = False
+        self.reload_pending = False  # a reload came before the state
+        link.send({"say": "hello", "who": [PROTOCOL_VERSION, *node.identity()]})
+        self.timer = reactor.callLater(ANSWER_TIMEOUT_S, self._answer_timed_out)
 
-    def heard(self, say: Any, message: Message, fds: list[int]) -> None:
-        if say == "no":
+    def handle_other(self, kind: Any, message: Message, fds: list[int]) -> None:
+        if kind == "no":
             self.timer.cancel()
-            self.end()
-            self.node.refused(str(message.get("reason")))
-        elif say == "busy":
+            self.detach()
+            self.node.fail(str(message.get("reason")))
+        elif kind == "busy":
             self.timer.cancel()
-            self.end()
+            self.detach()
             self.link.close()
-            self.node.ask_again()
-        elif say == "hosts":
+            self.node.retry_busy_incumbent()
+        elif kind == "hosts":
             self.rows += message["rows"]
-        elif say == "state":
+        elif kind == "state":
             self.timer.cancel()
-            self.knows = True
-            self.node.take_state(self.rows, message, fds)
-            if self.reloads_later:
+            self.has_state = True
+            self.node.import_state(self.rows, message, fds)
+            if self.reload_pending:
                 self.node.reload()
-            self.timer = self.reactor.callLater(LIST_WAIT, self.take)
-        elif say == "slots":
+            self.timer = self.reactor.callLater(ROSTER_TIMEOUT_S, self.take)
+        elif kind == "slots":
             self.node.take_over_slots(message["slots"])
-        elif say == "given":
-            # none from an older program
+        elif kind == "given":
+            # An older version sends no slots.
             self.node.take_over_slots(message.get("slots") or {})
             self._begin(message["held"])
-        elif say == "session":
-            self.node.take_session(message, fds)
-        elif say == "held":
-            self.node.others_hold(message["held"])
+        elif kind == "session":
+            self.node.receive_session(message, fds)
+        elif kind == "held":
+            self.node.set_descriptors_elsewhere(message["held"])
 
-    def told_to_reload(self) -> None:
-        if self.knows:
+    def handle_reload(self) -> None:
+        if self.has_state:
             self.node.reload()
         else:
-            self.reloads_later = True
+            self.reload_pending = True
 
-    def listed(self) -> None:
-        """Discovery has spoken to this process."""
-        if self.knows:
+    def discovery_answered(self) -> None:
+        """Discovery has sent something to this process."""
+        if self.has_state:
             self.take()
 
     def take(self) -> None:
-        if not self.asked_for and not self.began:
-            self.asked_for = True
+        """Asks for the port."""
+        if not self.take_sent and not self.began:
+            self.take_sent = True
             self.link.send({"say": "take"})
 
-    def _begin(self, held: int) -> None:
+    def _begin(self, descriptors: int) -> None:
         if not self.began:
             self.began = True
-            self.node.others_hold(held)
+            self.node.set_descriptors_elsewhere(descriptors)
             self.node.begin()
 
-    def _alone(self) -> None:
-        """The other side has not answered at all."""
-        if not self.knows:
+    def _answer_timed_out(self) -> None:
+        if not self.has_state:
             self.link.close()
 
-    def parted(self) -> None:
-        self.node.others_hold(0)
+    def handle_other_side_gone(self) -> None:
+        self.node.set_descriptors_elsewhere(0)
         if self.timer.active():
             self.timer.cancel()
         if not self.began:
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,7 +11,7 @@
 from test_distribution_processes import ROOT, Instances, until
 
 from caperdeck.distribution import commands
-from caperdeck.ops.show_peers import ask
+from caperdeck.ops.show_peers import call_admin
 
 
 class ServedNode:
@@ -36,7 +36,7 @@
         assert b"start node=n1" in next(x for x in self.process.stderr if b"version " not in x)
 
     def figures(self):
-        said = ask("127.0.0.1", self.admin, b"telemetry\n").splitlines()
+        said = call_admin("127.0.0.1", self.admin, b"telemetry\n").splitlines()
         return dict(line.rpartition(" ")[::2] for line in said if line.startswith("app_config_"))
 
     def is_current_at(self, revision):
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -205,7 +205,7 @@
 
 def tell_state(service):
     service.port = PortNumber()
-    return service.upgrade.tell_state()
+    return service.upgrade.export_state()
 
 
 def test_a_folder_that_somebody_empties_calls_nobody_back(tmp_path):
@@ -275,7 +275,7 @@
     at = here.desk.balancer.called_back[0]
     rows, state, _ = tell_state(here)
     there.listen = there.discovery.start = lambda *_: None
-    there.upgrade.take_state(rows, json.loads(orjson.dumps(state)), [0])
+    there.upgrade.import_state(rows, json.loads(orjson.dumps(state)), [0])
     node = there.desk.balancer._node
     assert node.born[0] == at and node._warmth(at + 1.0, 0) == pytest.approx(0.3, abs=0.01)
     assert node._warmth(at + 1.0, 1) == 1.0
@@ -333,17 +333,17 @@
     _, incumbent, successor, old, new, carry = sides()
     carry()
     here, there = (incumbent, new) if told == "old" else (successor, old)
-    here.tell_reload()
+    here.send_reload()
     carry()
     assert names(there).count("reload") == 1
 
 
 def test_a_successor_reads_its_configuration_again_once_it_knows_the_node():
     _, incumbent, successor, _, new, carry = sides()
-    incumbent.tell_reload()
+    incumbent.send_reload()
     for message in incumbent.link.sent:
-        successor.received(message, [])
+        successor.handle_message(message, [])
     incumbent.link.sent.clear()
     assert names(new) == []
     carry()
-    assert names(new) == ["take_state", "reload"]
+    assert names(new) == ["import_state", "reload"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,11 +14,16 @@
 from node_processes import NodeProcesses, StandIns, until
 from twisted.internet.task import Clock
 
-from caperdeck.ops.link import FILE, LARGEST, Doorbell, FolderAddress, Link, NodeAddress, encode, reach
-from caperdeck.ops.upgrade_protocol import BAN_WAIT, LIST_WAIT, VERSION, Incumbent, Successor
+from caperdeck.ops.link import (
+    MAX_PACKET_BYTES, SOCKET_FILE, FolderAddress, NodeAddress, RendezvousSocket, UpgradeLink,
+    connect_to_incumbent, encode,
+)  # fmt: skip
+from caperdeck.ops.upgrade_protocol import (
+    BAN_TIMEOUT_S, PROTOCOL_VERSION, ROSTER_TIMEOUT_S, Incumbent, Successor,
+)  # fmt: skip
 from caperdeck.state.clocks import unix_time
 
-WHO = [VERSION, "n1", "127.0.0.1:9000"]
+WHO = [PROTOCOL_VERSION, "n1", "127.0.0.1:9000"]
 
 
 class Wired:
@@ -31,13 +36,13 @@
         self.sent.append(message)
         self.fds += fds
 
-    def offer(self, message, fds):
+    def try_send(self, message, fds):
         self.send(message, fds)
         return True
 
     def close(self):
         self.open = False
-        self.broke()
+        self.on_closed()
 
     def said(self):
         sent, self.sent = self.sent, []
@@ -53,14 +58,14 @@
     def identity(self):
         return WHO[1:]
 
-    def tell_state(self):
+    def export_state(self):
         return [row(f"s-{i}") for i in range(450)], {"rev": 7, "bans": ["s-1"]}, [5]
 
-    def hand_on(self, most):
+    def hand_over_connections(self, limit):
         self.left -= 1
         return self.left < 0
 
-    def held(self):
+    def open_descriptor_count(self):
         return 40 + self.left
 
     def hand_over_slots(self):
@@ -81,37 +86,40 @@
                 sent, source.sent = source.sent, []
                 for message in sent:
                     fds, source.fds = (source.fds, []) if message["say"] == "state" else ([], source.fds)
-                    target.received(json.loads(json.dumps(message)), fds)
+                    target.handle_message(json.loads(json.dumps(message)), fds)
 
     return clock, incumbent, successor, old, new, carry
 
 
 def names(node):
-    return [what[0] for what in node.did if what[0] != "others_hold"]
+    return [what[0] for what in node.did if what[0] != "set_descriptors_elsewhere"]
 
 
 def test_the_port_is_given_only_once_the_successor_knows_the_list_and_then_at_one_moment():
     clock, incumbent, successor, old, new, carry = sides()
-    successor.listed()
+    successor.discovery_answered()
     carry()
-    assert names(old) == [] and names(new) == ["take_state"]
+    assert names(old) == [] and names(new) == ["import_state"]
     _, rows, state, fds = new.did[0]
     assert (len(rows), state["rev"], state["bans"], fds) == (450, 7, ["s-1"], [5])
-    successor.listed()
+    successor.discovery_answered()
     carry()
-    assert names(old) == ["stop_taking", "hand_over_slots"]
-    assert names(new) == ["take_state", "take_over_slots", "begin"]
+    assert names(old) == ["stop_accepting", "hand_over_slots"]
+    assert names(new) == ["import_state", "take_over_slots", "begin"]
     clock.pump([0.01] * 4)
     carry()
-    assert names(old) == ["stop_taking", "hand_over_slots", "done"] and ("others_hold", 42) in new.did
+    assert (
+        names(old) == ["stop_accepting", "hand_over_slots", "finish"]
+        and ("set_descriptors_elsewhere", 42) in new.did
+    )
 
 
 def test_a_discovery_that_says_nothing_does_not_hold_the_upgrade_up():
     clock, _, _, old, new, carry = sides()
     carry()
-    clock.advance(LIST_WAIT)
+    clock.advance(ROSTER_TIMEOUT_S)
     carry()
-    assert "stop_taking" in names(old) and names(new)[-1] == "begin"
+    assert "stop_accepting" in names(old) and names(new)[-1] == "begin"
 
 
 def test_a_successor_that_dies_before_it_takes_leaves_everything_as_it_was():
@@ -124,11 +132,11 @@
 def test_a_successor_that_dies_after_it_took_leaves_the_port_to_the_one_before():
     clock, incumbent, successor, old, _, carry = sides()
     carry()
-    successor.listed()
+    successor.discovery_answered()
     carry()
     incumbent.link.close()
     clock.pump([0.01] * 9)
-    assert names(old) == ["stop_taking", "hand_over_slots", "take_again"]
+    assert names(old) == ["stop_accepting", "hand_over_slots", "resume_accepting"]
 
 
 @pytest.mark.parametrize("when", ["unanswered", "known", "taken"])
@@ -139,34 +147,34 @@
     else:
         carry()
         if when == "taken":
-            successor.listed()
+            successor.discovery_answered()
             carry()
         successor.link.close()
     clock.advance(5)
     assert [n for n in names(new) if n.startswith("begin")] == ["begin" if when == "taken" else "begin_alone"]
-    assert new.did[-1] == ("others_hold", 0) or when != "taken"
+    assert new.did[-1] == ("set_descriptors_elsewhere", 0) or when != "taken"
 
 
 def test_another_node_or_version_is_turned_away():
     clock, incumbent, _, _, new, carry = sides()
-    incumbent.received({"say": "hello", "who": [VERSION + 1, *WHO[1:]]}, [])
+    incumbent.handle_message({"say": "hello", "who": [PROTOCOL_VERSION + 1, *WHO[1:]]}, [])
     assert incumbent.link.said() == ["no"]
 
 
 def test_one_that_was_turned_away_begins_nothing():
     clock, _, successor, _, new, _ = sides()
-    successor.received({"say": "no", "reason": "another node"}, [])
+    successor.handle_message({"say": "no", "reason": "another node"}, [])
     successor.link.close()
     clock.advance(5)
-    assert names(new) == ["refused"]
+    assert names(new) == ["fail"]
 
 
 def test_one_that_is_busy_with_another_successor_is_asked_again():
     _, _, successor, _, new, _ = sides()
-    successor.received({"say": "busy"}, [])
-    assert names(new) == ["ask_again"] and not successor.link.open
-    successor.link.broke()
-    assert names(new) == ["ask_again"]
+    successor.handle_message({"say": "busy"}, [])
+    assert names(new) == ["retry_busy_incumbent"] and not successor.link.open
+    successor.link.on_closed()
+    assert names(new) == ["retry_busy_incumbent"]
 
 
 @pytest.mark.parametrize("given_to", ["old", "new"])
@@ -175,7 +183,7 @@
     carry()
     here, there = (incumbent, new) if given_to == "old" else (successor, old)
     said = []
-    here.tell_ban("s-1", True, lambda: said.append(("banned", "s-1", True) in there.did))
+    here.send_ban("s-1", True, lambda: said.append(("apply_ban", "s-1", True) in there.did))
     assert not said
     carry()
     assert said == [True]
@@ -184,13 +192,13 @@
 def test_a_yes_does_not_wait_long_for_a_process_that_hangs_or_has_gone():
     clock, incumbent, _, _, _, _ = sides()
     said = []
-    incumbent.tell_ban("s-1", True, lambda: said.append(1))
-    clock.advance(BAN_WAIT)
+    incumbent.send_ban("s-1", True, lambda: said.append(1))
+    clock.advance(BAN_TIMEOUT_S)
     assert said == [1]
-    incumbent.tell_ban("s-1", False, lambda: said.append(2))
+    incumbent.send_ban("s-1", False, lambda: said.append(2))
     incumbent.link.close()
-    incumbent.tell_ban("s-2", True, lambda: said.append(3))
-    clock.advance(BAN_WAIT)
+    incumbent.send_ban("s-2", True, lambda: said.append(3))
+    clock.advance(BAN_TIMEOUT_S)
     assert said == [1, 2, 3]
 
 
@@ -209,13 +217,13 @@
     reactor, ends = Reactor(), socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     for end in ends:
         end.setblocking(False)
-    return reactor, Link(reactor, ends[0]), Link(reactor, ends[1])
+    return reactor, UpgradeLink(reactor, ends[0]), UpgradeLink(reactor, ends[1])
 
 
 def test_packets_come_whole_and_in_order_with_their_descriptors():
     reactor, a, b = linked()
     got = []
-    b.received = lambda message, fds: got.append((message["n"], len(fds), [os.close(fd) for fd in fds]))
+    b.on_message = lambda message, fds: got.append((message["n"], len(fds), [os.close(fd) for fd in fds]))
     a.send({"n": 1})
     a.send({"n": 2}, [0, 1])
     b.doRead()
@@ -228,12 +236,12 @@
 def test_a_link_that_is_full_takes_no_connection_and_loses_no_word():
     reactor, a, b = linked()
     got = []
-    b.received = lambda message, fds: got.append(message["n"])
+    b.on_message = lambda message, fds: got.append(message["n"])
     sent = 0
-    while a.offer({"n": sent, "x": "y" * 9000}, ()):
+    while a.try_send({"n": sent, "x": "y" * 9000}, ()):
         sent += 1
     a.send({"n": sent})
-    assert sent > 3 and reactor.writers == {a} and not a.offer({"n": -1}, ())
+    assert sent > 3 and reactor.writers == {a} and not a.try_send({"n": -1}, ())
     b.doRead()
     a.doWrite()
     b.doRead()
@@ -252,26 +260,26 @@
     folder = tmp_path / ("deep" * 25)
     folder.mkdir()
     address = FolderAddress(str(folder))
-    assert reach([address]) is None
-    Doorbell(Reactor(), address, None).sock.close()
-    assert (folder / FILE).exists() and reach([address]) is None
+    assert connect_to_incumbent([address]) is None
+    RendezvousSocket(Reactor(), address, None).sock.close()
+    assert (folder / SOCKET_FILE).exists() and connect_to_incumbent([address]) is None
     is_found_at(address)
 
 
 def test_a_process_is_found_without_a_folder_by_its_own_successor_alone():
     address, other = NodeAddress(["n1", f"127.0.0.1:{os.getpid()}"]), NodeAddress(["n2", "127.0.0.1:9000"])
     is_found_at(address)
-    bell = Doorbell(Reactor(), address, None)
+    bell = RendezvousSocket(Reactor(), address, None)
     with pytest.raises(OSError):
-        Doorbell(Reactor(), NodeAddress(["n1", f"127.0.0.1:{os.getpid()}"]), None)
-    assert reach([other]) is None
+        RendezvousSocket(Reactor(), NodeAddress(["n1", f"127.0.0.1:{os.getpid()}"]), None)
+    assert connect_to_incumbent([other]) is None
     bell.close()
 
 
 def is_found_at(address):
     rung = []
-    bell = Doorbell(Reactor(), address, rung.append)
-    sock = reach([address])
+    bell = RendezvousSocket(Reactor(), address, rung.append)
+    sock = connect_to_incumbent([address])
     bell.doRead()
     assert len(rung) == 1
     for s in (sock, rung[0], bell.sock):
@@ -281,7 +289,7 @@
 def test_an_address_that_cannot_be_had_just_now_is_tried_until_it_can(tmp_path, monkeypatch):
     d = desk()
     service = service_over(d, tmp_path)
-    left, made = [3], Doorbell.__init__
+    left, made = [3], RendezvousSocket.__init__
 
     def failing(*arguments):
         if left[0]:
@@ -289,20 +297,20 @@
             raise OSError(errno.ENFILE, "no file left")
         made(*arguments)
 
-    monkeypatch.setattr(Doorbell, "__init__", failing)
+    monkeypatch.setattr(RendezvousSocket, "__init__", failing)
     d.reactor.addReader = d.reactor.removeReader = lambda reader: None
-    service.upgrade.ring()
-    assert len(service.upgrade.doorbells) == 0
+    service.upgrade.listen_for_successor()
+    assert len(service.upgrade.rendezvous_sockets) == 0
     d.reactor.pump([0.25] * 3)
-    assert len(service.upgrade.doorbells) == 2
-    service.upgrade.shut()
-    assert not d.reactor.getDelayedCalls() or not service.upgrade.doorbells
+    assert len(service.upgrade.rendezvous_sockets) == 2
+    service.upgrade.stop_listening()
+    assert not d.reactor.getDelayedCalls() or not service.upgrade.rendezvous_sockets
 
 
 def test_a_link_that_finds_no_memory_for_a_moment_sends_all_of_it_after_that(monkeypatch):
     reactor, a, b = linked()
     got, left = [], [2]
-    b.received = lambda message, fds: got.append(message["n"])
+    b.on_message = lambda message, fds: got.append(message["n"])
     send = socket.send_fds
 
     def failing(*arguments):
@@ -312,7 +320,7 @@
         return send(*arguments)
 
     monkeypatch.setattr("caperdeck.ops.link.socket.send_fds", failing)
-    assert not a.offer({"n": 0}, ())
+    assert not a.try_send({"n": 0}, ())
     a.send({"n": 1})
     a.send({"n": 2})
     assert a.open and not reactor.writers
@@ -330,7 +338,7 @@
     assert b.open
     a.send({"n": 1})
     got = []
-    b.received = lambda message, fds: got.append(message)
+    b.on_message = lambda message, fds: got.append(message)
     b.doRead()
     assert got == [{"n": 1}]
 
@@ -387,8 +395,8 @@
     d.reactor.stop = lambda: ended.append(d.clock())
     client, _ = up(d)
     service.upgrade.side = Incumbent(d.reactor, Wired(), service.upgrade)
-    service.upgrade.side.given = True
-    service.upgrade.stop_taking()
+    service.upgrade.side.port_given = True
+    service.upgrade.stop_accepting()
     service.stop()
     d.reactor.advance(0.1)
     assert not ended and not client.closing and d.sessions.table
@@ -412,11 +420,11 @@
     service = service_over(d, tmp_path, admin_addr=None)
     service.port = Port()
     service.take_clients()
-    service.upgrade.stop_taking()
+    service.upgrade.stop_accepting()
     service.accept(False)
     service.accept(True)
     assert not service.port.reads and not service.takes
-    service.upgrade.take_again()
+    service.upgrade.resume_accepting()
     assert service.port.reads and service.takes
     service.accept(False)
     assert not service.port.reads
@@ -430,7 +438,7 @@
     ended = []
     service.stop()
     d.reactor.advance(0.01)
-    assert ended == [1] and not service.upgrade.under_way
+    assert ended == [1] and not service.upgrade.in_progress
 
 
 # ---- processes
@@ -528,12 +536,12 @@
     for call in (b"exclude s-0", b"include s-0", b"exclude s-1"):
         service.calls.call(call, lambda answer: None)
     service.port = PortNumber()
-    rows, state, _ = service.upgrade.tell_state()
+    rows, state, _ = service.upgrade.export_state()
     sent = json.loads(encode({"say": "state", "rows": rows, **state}))
     assert sent["rows"][0]["start"][0] == 1_790_000_000_000 and sent["bans"] == ["s-1"]
     later = service_over(desk(hosts=0), tmp_path)
     later.listen = later.discovery.start = lambda *_: None
-    later.upgrade.take_state(sent["rows"], sent, [0])
+    later.upgrade.import_state(sent["rows"], sent, [0])
     assert later.desk.hosts.starts() == d.hosts.starts() and list(later.bans.uids) == ["s-1"]
     assert json.loads(encode({"slots": service.upgrade.hand_over_slots(), "held": 1}))
 
@@ -552,16 +560,16 @@
     sent = []
     side = Incumbent(d.reactor, Wired(), service.upgrade)
     side.link.send = lambda message, fds=(): sent.append(encode(message))
-    service.stop_taking = lambda: None
-    side.received({"say": "hello", "who": [VERSION, *service.upgrade.identity()]}, [])
-    side.received({"say": "take"}, [])
-    assert len(node.cold) == 3200 and max(map(len, sent)) < LARGEST
+    service.stop_accepting = lambda: None
+    side.handle_message({"say": "hello", "who": [PROTOCOL_VERSION, *service.upgrade.identity()]}, [])
+    side.handle_message({"say": "take"}, [])
+    assert len(node.cold) == 3200 and max(map(len, sent)) < MAX_PACKET_BYTES
     assert sum(len(json.loads(packet).get("slots", ())) for packet in sent) == 3200
     later = service_over(desk(hosts=0), tmp_path)
     later.listen = later.discovery.start = later.begin = lambda *_: None
     successor = Successor(later.reactor, Wired(), later.upgrade)
     for packet in sent:
-        successor.received(json.loads(packet), [0])
+        successor.handle_message(json.loads(packet), [0])
     learned = later.desk.balancer._node
     assert learned.able == node.able and sum(learned.in_turn) == 3200
 
