--- a/caperdeck/__main__.py
+++ b/caperdeck/__main__.py
@@ -115,7 +115,9 @@
     if control is not None:
         from caperdeck.lifecycle.published import Published
 
-        published = Published(reactor, control, lambda: reload_config(os.environ, path, keep=True))
+        published = Published(
+            reactor, control, lambda: reload_config(os.environ, path, keep_file_values=True)
+        )
         try:
             config, reread = published.first(config), published.reread
         except ConfigError as error:
@@ -178,7 +180,7 @@
         # Danger: a SIGHUP that comes while the node starts would end it; the file is read after this.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        config = load_config(os.environ, arguments["--config"], keep=bool(arguments["--control"]))
+        config = load_config(os.environ, arguments["--config"], keep_file_values=bool(arguments["--control"]))
         uses = owners = control = None
         if arguments["--sharing"]:
             from caperdeck.lifecycle.sharing import load_uses
@@ -196,7 +198,8 @@
         print(f"caperdeck: {error}", file=sys.stderr)
         return 2
     if arguments["check"]:
-        print(f"node {config.name}: {len(config.names.listeners)} classes, {len(config.known)} known hosts")
+        classes, hosts = len(config.names.listeners), len(config.known_hosts)
+        print(f"node {config.name}: {classes} classes, {hosts} known hosts")
         return 0
     return serve(config, level, arguments["--config"], uses, owners, arguments["--subsets"], control)
 
--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -9,7 +9,7 @@
 from caperdeck.distribution.publisher import BUSY_WAIT, CONNECTS_A_SECOND, CONNECTS_AT_ONCE
 from caperdeck.distribution.subscriber import FIRST_TRY, SILENT
 from caperdeck.distribution.watch_server import MOST_WATCHES
-from caperdeck.lifecycle.config import LARGEST
+from caperdeck.lifecycle.config import MAX_FILE_BYTES
 
 from ..figure import Figure, figure, largest
 from ..fleet import Fleet
@@ -256,7 +256,7 @@
             "bytes of one node's file",
             "B",
             file_bytes(fleet),
-            LARGEST,
+            MAX_FILE_BYTES,
             f"{WITHOUT_CONTROL}; {OWN_LIMIT}",
         ),
         row(
--- a/caperdeck/lab/capacity/roles/membership.py
+++ b/caperdeck/lab/capacity/roles/membership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caperdeck.lifecycle.sharing import MOST_PEERS
+from caperdeck.lifecycle.sharing import MAX_PEERS
 
 from ..fleet import Fleet
 from ..needs import Need
@@ -16,7 +16,7 @@
     return Role(
         "Membership",
         (
-            row(need, Kind.STATE, "members", "", members, MOST_PEERS, "the program's own limit"),
+            row(need, Kind.STATE, "members", "", members, MAX_PEERS, "the program's own limit"),
             row(
                 need,
                 Kind.MEMORY,
--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from caperdeck.distribution.publisher_selection import preferred
-from caperdeck.lifecycle.merge import STAND_IN
+from caperdeck.lifecycle.merge import PLACEHOLDER_CONFIG
 from caperdeck.owner.process import steady
 
 from .measured import WITHIN, CutLook, RefusalLook, Step
@@ -24,7 +24,7 @@
 LOOKS_IN_CUT = 2
 CROWD = 0.7  # of the processes of nodes
 REFUSED_FOR = "settings.listeners: "  # how the reason of a refusal begins
-LISTENER = STAND_IN["settings"]["listeners"][0]
+LISTENER = PLACEHOLDER_CONFIG["settings"]["listeners"][0]
 LISTENERS = [LISTENER, LISTENER | {"name": "second"}]
 
 
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -26,7 +26,7 @@
 from caperdeck.lifecycle.config import Config, decode
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import start_logging
-from caperdeck.lifecycle.merge import STAND_IN
+from caperdeck.lifecycle.merge import PLACEHOLDER_CONFIG
 from caperdeck.lifecycle.published import Published
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.owner.process import steady
@@ -58,10 +58,10 @@
     clock = staticmethod(steady)
 
     def __init__(self, control: Control, disk: DiskThread, put: list[InForce], refuses: bool) -> None:
-        own = STAND_IN | {"name": control.place.name}
+        own = PLACEHOLDER_CONFIG | {"name": control.place.name}
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
-        super().__init__(reactor, control, lambda: replace(decode(own, None), own=own), disk)
+        super().__init__(reactor, control, lambda: replace(decode(own, None), file_values=own), disk)
         self.put, self.desk = put, Desk()
         self.config = self.first(self.read_own())
 
--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -11,7 +11,7 @@
 from .progress import Progress
 from .result import conclude, write
 from .run import ScaleRun
-from .scenario import MOST_HOLLOW_PROCESSES, MOST_PEERS, MOST_SECONDS, load
+from .scenario import MOST_HOLLOW_PROCESSES, MAX_PEERS, MOST_SECONDS, load
 from .table import lines
 
 
@@ -28,7 +28,7 @@
         return None if text is None else number(text, name, 1, most, 0)
 
     scenario = load(
-        arguments["SCENARIO"][0], given("nodes", MOST_PEERS), given("processes", MOST_HOLLOW_PROCESSES),
+        arguments["SCENARIO"][0], given("nodes", MAX_PEERS), given("processes", MOST_HOLLOW_PROCESSES),
         given("seconds", int(MOST_SECONDS)),
     )  # fmt: skip
     for name in ("--json", "--out", "--logs"):
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -10,7 +10,7 @@
 from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
 from caperdeck.gossip.sharing import Uses
-from caperdeck.lifecycle.sharing import MOST_PEERS
+from caperdeck.lifecycle.sharing import MAX_PEERS
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
 MOST_HOLLOW_PROCESSES = 180
@@ -163,12 +163,12 @@
 
 def _faulty(s: ScaleScenario):
     for where, value, least, most in (
-        ("machines", s.machines, 1, MOST_PEERS),
+        ("machines", s.machines, 1, MAX_PEERS),
         ("processes_a_machine", s.processes_a_machine, 1, 64),
         ("instances", s.instances, 1, MOST_OWNERS),
         ("real.nodes", s.real.nodes, 1, MOST_PROCESSES),
         ("hollow.processes", s.hollow.processes, 1, MOST_HOLLOW_PROCESSES),
-        ("hollow.nodes", s.hollow_nodes, s.hollow.processes, MOST_PEERS - s.real.nodes),
+        ("hollow.nodes", s.hollow_nodes, s.hollow.processes, MAX_PEERS - s.real.nodes),
         ("limits.processes", s.limits.processes, 1, 10_000),
         ("spans.start", s.spans.start, 1.0, MOST_SECONDS),
         ("spans.known", s.spans.known, 0.0, MOST_SECONDS),
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -55,7 +55,7 @@
     """A service that takes no clients, minds no signals and leaves its process's log alone."""
 
     def start_control(self, traffic: Traffic) -> None:
-        self.know(self.config.known)
+        self.know(self.config.known_hosts)
         self.discovery.start()
         CountedAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
         self.keep_sweeping()
@@ -146,7 +146,7 @@
         )  # fmt: skip
         config = decode_config(raw)
         # a process reads its own list of peers; here each node's is taken apart on its own all the same
-        return replace(config, peers=config.peers._replace(addresses=plan.peers, everyone=None))
+        return replace(config, peers=config.peers._replace(addresses=plan.peers, all_peers_address=None))
 
     def beat(self) -> None:
         self.beats.beat(time.monotonic())
--- a/caperdeck/lifecycle/config.py
+++ b/caperdeck/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""What the node is told at its start: EDGE_CONFIG, a JSON file, read at the start and again at SIGHUP."""
+"""The node's configuration: a JSON file named by EDGE_CONFIG, read at the start and again on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from caperdeck.state.addresses import Address, AddressError, parse_address
 from caperdeck.state.limits import Limits
 
-LEAST_SOCKETS = 32
-LARGEST = 8 << 20  # bytes of a configuration
-LEAST_IDLE = 30.0  # seconds; clients speak every two
-DRAIN_GRACE = 0.25  # seconds, where the settings do not say
-LEAST_LIST_LIFE = 0.05  # seconds; bounds the calls to a discovery that ends each watch as it opens
+MIN_SOCKETS = 32
+MAX_FILE_BYTES = 8 << 20
+MIN_IDLE_S = 30.0  # clients send something every two seconds
+DEFAULT_DRAIN_GRACE_S = 0.25
+MIN_LIST_LIFETIME_S = 0.05  # limits the rate of calls to a discovery that ends each watch as soon as it opens
 
 
 class ConfigError(Exception):
-    """The configuration cannot be served; the text says what is wrong with it."""
+    """The configuration cannot be used; the text says what is wrong with it."""
 
 
-class Peers(NamedTuple):
-    """As the file has them; looked at only where the node shares anything."""
+class PeersConfig(NamedTuple):
+    """The file's values about peers, unchecked; they are parsed only if the node shares anything."""
 
     allowed: bool = False
     addresses: Any = None
     listen: Any = None
-    me: Any = None
-    everyone: Any = None  # the address of all members
+    node_number: Any = None
+    all_peers_address: Any = None  # one address that reaches all peers
     tiers: tuple[str, ...] = ()
 
 
@@ -45,22 +45,24 @@
     listen: Address
     discovery: str
     sockets: int
-    rev: int
-    known: list
+    known_revision: int
+    known_hosts: list
     settings: Settings
     names: Names
     limits: Limits
-    admin: Address | None  # the second address
-    scratch: str | None  # a folder that a successor sees too
-    peers: Peers
-    keys: frozenset[str]  # that the file has, but for those of hosts
-    own: dict[str, Any] | None = None  # the file as it was read, where published versions go over it
+    admin: Address | None  # the address for operators' calls
+    shared_folder: str | None  # is accessible to a successor process as well
+    peers: PeersConfig
+    file_keys: frozenset[str]  # paths of the file's keys, without those below `known`
+    file_values: dict[str, Any] | None = None  # the file as read, if published versions are merged into it
 
 
-def load_config(environment: Mapping[str, str], path: str | None = None, keep: bool = False) -> Config:
-    """From the file that the path or EDGE_CONFIG names; what stands alone in the environment fills gaps.
+def load_config(
+    environment: Mapping[str, str], path: str | None = None, keep_file_values: bool = False
+) -> Config:
+    """Reads the file at the path, or the one that EDGE_CONFIG names; variables of the environment fill gaps.
 
-    `keep`: the configuration keeps the file's own values, to be merged with others.
+    With `keep_file_values` the configuration has the file's values, for merging with a published version.
     """
     path = path or environment.get("EDGE_CONFIG")
     if not path:
@@ -72,15 +74,15 @@
         config = decode(raw, environment.get("TMPDIR") or None)
     except ConfigError as error:
         raise ConfigError(f"configuration {path}: {error}") from None
-    return replace(config, own=raw) if keep else config
+    return replace(config, file_values=raw) if keep_file_values else config
 
 
 def _read(path: str) -> dict[str, Any]:
     try:
         with open(path, "rb") as file:
-            text = file.read(LARGEST + 1)
-            if len(text) > LARGEST:
-                raise ConfigError(f"configuration {path} is over {LARGEST} bytes")
+            text = file.read(MAX_FILE_BYTES + 1)
+            if len(text) > MAX_FILE_BYTES:
+                raise ConfigError(f"configuration {path} is over {MAX_FILE_BYTES} bytes")
             raw = orjson.loads(text)
     except OSError as error:
         raise ConfigError(f"configuration {path}: {error.strerror}") from None
@@ -91,51 +93,54 @@
     return raw
 
 
-def decode(raw: dict[str, Any], scratch: str | None) -> Config:
-    """The configuration, or ConfigError with what is wrong in it, whatever that is."""
+def decode(raw: dict[str, Any], shared_folder: str | None) -> Config:
+    """Decodes a file's values; raises ConfigError for anything that is wrong in them."""
     try:
-        return decode_config(raw, scratch)
+        return decode_config(raw, shared_folder)
     except (SettingsError, AddressError) as error:
         raise ConfigError(str(error)) from None
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
         raise ConfigError(f"a value of the wrong kind: {error}") from None
 
 
-def reload_config(environment: Mapping[str, str], path: str | None = None, keep: bool = False) -> Config:
-    """The same at a node that runs already."""
+def reload_config(
+    environment: Mapping[str, str], path: str | None = None, keep_file_values: bool = False
+) -> Config:
+    """Reads the file again, on a node that is serving."""
     path = path or environment.get("EDGE_CONFIG") or ""
-    # Danger: a pipe in the file's place would hold the node up until somebody writes to it.
+    # A pipe in place of the file would block the node until somebody writes to it.
     if not os.path.isfile(path):
-        raise ConfigError(f"configuration {path}: no regular file")
-    return load_config(environment, path, keep)
+        raise ConfigError(f"configuration {path}: not a regular file")
+    return load_config(environment, path, keep_file_values)
 
 
-def check_kept(old: Config, new: Config) -> None:
-    """A file in the place of another has all keys of that one."""
-    # Danger: most keys have a default, and a file that was cut short would fall back on them in silence.
-    if lost := sorted(old.keys - new.keys):
-        raise ConfigError(f"configuration: {', '.join(lost[:5])} missing, and in the one in force")
+def check_keys_kept(old: Config, new: Config) -> None:
+    """Raises ConfigError if the new file lacks a key of the old one."""
+    # Most keys have a default, so a truncated file would silently fall back to the defaults.
+    if lost_keys := sorted(old.file_keys - new.file_keys):
+        raise ConfigError(f"configuration: {', '.join(lost_keys[:5])} missing, but present in the active one")
 
 
-def keys_of(value: Any, path: str = "") -> frozenset[str]:
-    """The dotted paths of all keys; of the rows of a list those that every row has."""
+def key_paths(value: Any, path: str = "") -> frozenset[str]:
+    """The dotted paths of all keys; for the rows of a list, those that every row has."""
     if isinstance(value, dict):
         return frozenset().union(*(
-            {path + key} | (keys_of(below, f"{path}{key}.") if key != "known" else set())
-            for key, below in value.items()
+            {path + key} | (key_paths(child, f"{path}{key}.") if key != "known" else set())
+            for key, child in value.items()
         ))  # fmt: skip
     if isinstance(value, list) and value:
-        return frozenset.intersection(*(keys_of(row, path) for row in value))
+        return frozenset.intersection(*(key_paths(row, path) for row in value))
     return frozenset()
 
 
-def decode_config(raw: dict[str, Any], scratch: str | None = None) -> Config:
+def decode_config(raw: dict[str, Any], shared_folder: str | None = None) -> Config:
+    """Decodes a file's values; raises SettingsError, AddressError or an error of a conversion."""
     setup = need(raw, "settings", "")
     need(setup, "limits", "settings.")
-    known = raw.get("known") or {}
+    saved_list = raw.get("known") or {}
     sockets = int((raw.get("limits") or {}).get("sockets", 1024))
-    if sockets < LEAST_SOCKETS:
-        raise SettingsError(f"limits.sockets is {sockets}, at least {LEAST_SOCKETS} are needed")
+    if sockets < MIN_SOCKETS:
+        raise SettingsError(f"limits.sockets is {sockets}, at least {MIN_SOCKETS} are needed")
     discovery = need(raw, "discovery", "")
     parse_address(discovery)
     admin = parse_address(raw["admin_addr"]) if raw.get("admin_addr") else None
@@ -144,15 +149,15 @@
         listen=parse_address(need(raw, "listen", "")),
         discovery=discovery,
         sockets=sockets,
-        rev=int(known.get("rev", 0)),
-        known=known.get("targets") or [],
+        known_revision=int(saved_list.get("rev", 0)),
+        known_hosts=saved_list.get("targets") or [],
         settings=decode_settings(int(str(raw.get("seed", "0")), 16), setup),
         names=decode_names(setup),
         limits=decode_limits(setup),
         admin=admin,
-        # without a second address there are no bans and no upgrades, and nothing of them is looked for
-        scratch=scratch if admin else None,
-        peers=Peers(
+        # Bans and upgrades need the admin address; without it no process looks for their files.
+        shared_folder=shared_folder if admin else None,
+        peers=PeersConfig(
             setup["limits"].get("peers") is True,
             raw.get("peers"),
             raw.get("peer_listen"),
@@ -160,11 +165,12 @@
             raw.get("peers_all"),
             tuple(map(str, setup.get("tiers") or ())),
         ),
-        keys=keys_of(raw),
+        file_keys=key_paths(raw),
     )
 
 
 def decode_limits(setup: dict[str, Any]) -> Limits:
+    """The limits of the part that runs in real time; SettingsError names a value that cannot be used."""
     rows, limits = setup["listeners"], setup["limits"]
     max_back_off = figure(limits, "maxRetryAfter", "limits.", 0.0, least=0.0) * MS
     return Limits(
@@ -174,14 +180,18 @@
         max_back_off=max_back_off if limits.get("retryAfter") else 0.0,
         longest_wait=MS
         * max(figure(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
-        idle=max(figure(limits, "connIdle", "limits.", LEAST_IDLE), LEAST_IDLE) * MS,
-        list_life=_list_life(setup),
+        idle=max(figure(limits, "connIdle", "limits.", MIN_IDLE_S), MIN_IDLE_S) * MS,
+        list_life=_list_lifetime(setup),
     )
 
 
-def _list_life(setup: dict[str, Any]) -> float:
-    """Half of the grace of a drain, the other half for stalls, where lists are pushed; milliseconds."""
+def _list_lifetime(setup: dict[str, Any]) -> float:
+    """Milliseconds for which a list of hosts is used after its watch has ended; infinite if lists are not
+    pushed.
+
+    It is half of the drain grace; the other half is left for stalls of the process.
+    """
     if setup.get("discovery") == "subscribe":
         return math.inf
-    grace = figure(setup["invariants"], "drainGrace", "invariants.", DRAIN_GRACE, least=0.0)
-    return max(grace / 2, LEAST_LIST_LIFE) * MS
+    grace = figure(setup["invariants"], "drainGrace", "invariants.", DEFAULT_DRAIN_GRACE_S, least=0.0)
+    return max(grace / 2, MIN_LIST_LIFETIME_S) * MS
--- a/caperdeck/lifecycle/control.py
+++ b/caperdeck/lifecycle/control.py
@@ -1,4 +1,4 @@
-"""The control file of `serve --control`: where a node's configuration is published, and where it is kept."""
+"""The file of `serve --control`: which instances publish the node's configuration, and where it is stored."""
 
 from __future__ import annotations
 
@@ -10,85 +10,92 @@
 from caperdeck.state.addresses import Address
 
 from .config import ConfigError
-from .toml import TomlError, check_keys, loopback_address, name_of, read_toml
+from .toml import TomlError, check_keys, parse_loopback_address, parse_name, read_toml
 
-MOST_INSTANCES = 9
-KEYS = ("cluster", "zone", "region", "folder", "instances")
+MAX_INSTANCES = 9
+FILE_KEYS = ("cluster", "zone", "region", "folder", "instances")
 INSTANCE_KEYS = ("address", "zone", "region")
 
 
 class Instance(NamedTuple):
-    """One of those that publish versions."""
+    """A process that publishes versions of the configuration."""
 
     place: Place
     address: Address
 
 
 class Control(NamedTuple):
-    """What the file says; `place` is this node's own."""
+    """The contents of the file; `place` is this node's."""
 
     cluster: str
     place: Place
-    folder: str  # holds the version in force
+    folder: str  # stores the applied version
     instances: dict[str, Instance]
 
 
 def load_control(path: str, node: str) -> Control:
-    """The file for the node of that name. Raises ConfigError, with the key and the reason."""
+    """Reads the file for the node of that name; raises ConfigError with the key and the reason."""
     try:
-        return _control(read_toml(path), node)
+        return _parse_control(read_toml(path), node)
     except TomlError as error:
         raise ConfigError(f"control {path}: {error}") from None
 
 
-def _control(raw: dict[str, Any], node: str) -> Control:
-    check_keys(raw, KEYS)
-    place = Place(_name(node, "the node's name"), _name(raw.get("zone"), "zone"), _region(raw, ""))
+def _parse_control(raw: dict[str, Any], node: str) -> Control:
+    check_keys(raw, FILE_KEYS)
+    place = Place(
+        _parse_name(node, "the node's name"), _parse_name(raw.get("zone"), "zone"), _parse_region(raw, "")
+    )
     return Control(
-        _name(raw.get("cluster"), "cluster"), place, _folder(raw.get("folder")), _instances(raw)
-    )  # fmt: skip
+        _parse_name(raw.get("cluster"), "cluster"),
+        place,
+        _parse_folder(raw.get("folder")),
+        _parse_instances(raw),
+    )
 
 
-def _name(value: Any, key: str) -> str:
-    name = name_of(value, key, LONGEST_NAME)
-    # Danger: names are said to the instances, which refuse a message with one that cannot be printed.
+def _parse_name(value: Any, key: str) -> str:
+    name = parse_name(value, key, LONGEST_NAME)
+    # The instances refuse a message that has a name with characters that cannot be printed.
     if not name.isprintable():
         raise TomlError(f"{key}: {name!r:.50} cannot be printed")
     return name
 
 
-def _region(table: dict[str, Any], where: str) -> str:
-    return _name(table.get("region"), f"{where}region")
+def _parse_region(table: dict[str, Any], where: str) -> str:
+    return _parse_name(table.get("region"), f"{where}region")
 
 
-def _folder(value: Any) -> str:
+def _parse_folder(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise TomlError("folder: no folder is named")
+        raise TomlError("folder: a path is needed")
     if not os.path.isdir(value) or not os.access(value, os.W_OK | os.X_OK):
-        raise TomlError(f"folder: {value} is no folder that this process may write to")
+        raise TomlError(f"folder: {value} is not a folder that this process may write to")
     return value
 
 
-def _instances(raw: dict[str, Any]) -> dict[str, Instance]:
+def _parse_instances(raw: dict[str, Any]) -> dict[str, Instance]:
     table = raw.get("instances")
-    if not isinstance(table, dict) or not 0 < len(table) <= MOST_INSTANCES:
-        raise TomlError(f"instances: 1 to {MOST_INSTANCES} tables [instances.NAME] are needed")
-    found = {name: _instance(name, row) for name, row in table.items()}
+    if not isinstance(table, dict) or not 0 < len(table) <= MAX_INSTANCES:
+        raise TomlError(f"instances: 1 to {MAX_INSTANCES} tables [instances.NAME] are needed")
+    instances = {name: _parse_instance(name, row) for name, row in table.items()}
     by_address: dict[Address, str] = {}
-    for name, instance in found.items():
-        # Danger: one process under two names would be tried twice, and another one never.
+    for name, instance in instances.items():
+        # With one address under two names, that process would be tried twice and another one never.
         if (other := by_address.setdefault(instance.address, name)) != name:
-            raise TomlError(f"instances.{name}.address: that of {other} too")
-    return found
+            raise TomlError(f"instances.{name}.address: {other} has the same")
+    return instances
 
 
-def _instance(name: str, row: Any) -> Instance:
+def _parse_instance(name: str, table: Any) -> Instance:
     where = f"instances.{name}."
-    _name(name, f"instances.{name!r:.50}")
-    if not isinstance(row, dict):
-        raise TomlError(f"instances.{name}: no table")
-    check_keys(row, INSTANCE_KEYS, where)
-    if "address" not in row:
+    _parse_name(name, f"instances.{name!r:.50}")
+    if not isinstance(table, dict):
+        raise TomlError(f"instances.{name}: not a table")
+    check_keys(table, INSTANCE_KEYS, where)
+    if "address" not in table:
         raise TomlError(f"{where}address: missing")
-    address = loopback_address(row["address"], f"{where}address")
-    return Instance(Place(name, _name(row.get("zone"), f"{where}zone"), _region(row, where)), address)
+    address = parse_loopback_address(table["address"], f"{where}address")
+    return Instance(
+        Place(name, _parse_name(table.get("zone"), f"{where}zone"), _parse_region(table, where)), address
+    )
--- a/caperdeck/lifecycle/logs.py
+++ b/caperdeck/lifecycle/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by loguru, one a line on standard error, never waiting for whoever reads them."""
+"""Logging through loguru: one line per message on standard error, without ever blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -9,72 +9,76 @@
 from twisted.logger import LogLevel, formatEvent, globalLogPublisher
 from twisted.python.failure import Failure
 
-MOST_WAITING = 1 << 20  # bytes of lines that wait for a slow reader
+MAX_PENDING_BYTES = 1 << 20  # of lines that a slow reader has not taken yet
 FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {message}"
 
 
 class Sink:
-    """Writes what the descriptor takes at once; the rest waits, bounded, for the next line or flush."""
+    """Writes as much as the descriptor takes without blocking; the rest is kept, up to a limit, until the
+    next line or flush.
+    """
 
     def __init__(self, fd: int) -> None:
         self.fd = fd
-        self.waiting: deque[bytes] = deque()
-        self.size = 0
-        self.dropped = 0
+        self.pending: deque[bytes] = deque()
+        self.pending_bytes = 0
+        self.dropped_lines = 0
 
     def __call__(self, message: str) -> None:
         data = message.encode("utf-8", "replace")
-        # Danger: a log that nobody reads would stall the node or fill its memory.
-        if self.size + len(data) > MOST_WAITING:
-            self.dropped += 1
+        # A log that nobody reads must neither block the node nor fill its memory.
+        if self.pending_bytes + len(data) > MAX_PENDING_BYTES:
+            self.dropped_lines += 1
             return
-        self.waiting.append(data)
-        self.size += len(data)
+        self.pending.append(data)
+        self.pending_bytes += len(data)
         self.flush()
 
     def flush(self) -> None:
-        while self.waiting:
-            data = self.waiting[0]
+        while self.pending:
+            data = self.pending[0]
             try:
-                sent = os.write(self.fd, data)
+                written = os.write(self.fd, data)
             except BlockingIOError:
                 return
             except OSError:
-                sent = len(data)  # nobody reads any more
-            self.size -= sent
-            if sent < len(data):
-                self.waiting[0] = data[sent:]
+                written = len(data)  # the reader has gone: the line is dropped
+            self.pending_bytes -= written
+            if written < len(data):
+                self.pending[0] = data[written:]
                 return
-            self.waiting.popleft()
-        if self.dropped:
-            lost, self.dropped = self.dropped, 0
-            logger.warning("log reason=lines-dropped lines={}", lost)
+            self.pending.popleft()
+        if self.dropped_lines:
+            dropped, self.dropped_lines = self.dropped_lines, 0
+            logger.warning("log reason=lines-dropped lines={}", dropped)
 
 
 def start_logging(level: str) -> Sink:
+    """Sends the log, and Twisted's warnings and errors, to standard error."""
     os.set_blocking(2, False)
     sink = Sink(2)
     logger.remove()
     logger.add(sink, format=FORMAT, level=level, colorize=False, backtrace=False, diagnose=False, catch=True)
-    globalLogPublisher.addObserver(_from_twisted)
+    globalLogPublisher.addObserver(_log_twisted_event)
     return sink
 
 
-def one_line(failure: Failure) -> str:
-    return _joined(failure.getTraceback())
+def traceback_line(failure: Failure) -> str:
+    """The traceback of a failure in one line."""
+    return _join_lines(failure.getTraceback())
 
 
-def _joined(text: str) -> str:
+def _join_lines(text: str) -> str:
     return text.strip().replace("\n", " | ")
 
 
-def _from_twisted(event: dict) -> None:
-    """What the network library complains of, in one line."""
+def _log_twisted_event(event: dict) -> None:
+    """Logs a warning or an error of Twisted in one line."""
     failure = event.get("log_failure")
     if failure is not None:
-        logger.error("internal reason=exception {}", one_line(failure))
+        logger.error("internal reason=exception {}", traceback_line(failure))
     elif event.get("log_level") in (LogLevel.error, LogLevel.critical):
-        # an exception in a reader or writer comes as text alone, and ends its connection
-        logger.error("internal reason=exception {}", _joined(formatEvent(event)))
+        # Twisted reports an exception in a reader or writer as text only, and closes its connection.
+        logger.error("internal reason=exception {}", _join_lines(formatEvent(event)))
     elif event.get("log_level") is LogLevel.warn:
-        logger.warning("internal reason=library {}", _joined(formatEvent(event)))
+        logger.warning("internal reason=library {}", _join_lines(formatEvent(event)))
--- a/caperdeck/lifecycle/merge.py
+++ b/caperdeck/lifecycle/merge.py
@@ -1,7 +1,8 @@
-"""A published version's document over a node's own file.
+"""Merges the document of a published version into a node's own configuration file.
 
-The document has the shape of a node's file and may set what is alike at all nodes. Each key of SHARED and of
-SHARED_SETTINGS that it has takes the place of the node's own value, whole; all else stays the node's own.
+The document has the structure of a node's file and may set what is the same on all nodes. Each key of
+PUBLISHED_KEYS and PUBLISHED_SETTINGS_KEYS in it replaces the node's value as a whole; everything else stays
+as the node's file has it.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 from .config import Config, ConfigError, decode
 
-SHARED = frozenset(("discovery", "settings"))
-SHARED_SETTINGS = frozenset((
+PUBLISHED_KEYS = frozenset(("discovery", "settings"))
+PUBLISHED_SETTINGS_KEYS = frozenset((
     "fleetSize", "limits", "invariants", "listeners", "projects", "report", "prices", "specifics", "weights",
     "discovery",
 ))  # fmt: skip
-STAND_IN: dict[str, Any] = {  # a node's own file, for the check of a document where there is no node
+PLACEHOLDER_CONFIG: dict[str, Any] = {  # the file that a document is checked with where there is no node
     "name": "check", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "0",
     "settings": {
         "fleetSize": 1, "limits": {"mostDials": 1},
@@ -29,55 +30,55 @@
 
 
 def check_document(document: Document) -> None:
-    """Raises ConfigError, with the field and the reason, for a document that no node could serve."""
-    _decoded(STAND_IN, document, None)
+    """Raises ConfigError, with the field and the reason, for a document that no node could use."""
+    _decode_merged(PLACEHOLDER_CONFIG, document, None)
 
 
-def with_version(config: Config, document: Document) -> Config:
-    """The configuration of this node under a version; `config` keeps its own file.
+def apply_version(config: Config, document: Document) -> Config:
+    """The node's configuration with the version's document merged in; `config` has the values of its file.
 
-    Raises ConfigError, with the field and the reason, where this node cannot serve the version.
+    Raises ConfigError, with the field and the reason, if this node cannot use the version.
     """
     if not document:
         return config
-    new = _decoded(config.own, document, config.scratch)
-    # What a later file of the node has to have is told by its file, not by versions.
-    return replace(new, keys=config.keys, own=config.own)
+    new = _decode_merged(config.file_values, document, config.shared_folder)
+    # The keys that the next file of the node must have are those of its own file, not those of a version.
+    return replace(new, file_keys=config.file_keys, file_values=config.file_values)
 
 
-def _decoded(own: dict[str, Any], document: Document, scratch: str | None) -> Config:
-    merged = _merged(own, document)
+def _decode_merged(file_values: dict[str, Any], document: Document, shared_folder: str | None) -> Config:
+    merged = _merge(file_values, document)
     try:
-        return decode(merged, scratch)
+        return decode(merged, shared_folder)
     except ConfigError as error:
-        raise ConfigError(f"{_faulty(own, document, scratch)}: {error}") from None
+        raise ConfigError(f"{_faulty_field(file_values, document, shared_folder)}: {error}") from None
 
 
-def _merged(own: dict[str, Any], document: Document) -> dict[str, Any]:
-    _check_keys(document, SHARED, "")
+def _merge(file_values: dict[str, Any], document: Document) -> dict[str, Any]:
+    _check_keys(document, PUBLISHED_KEYS, "")
     settings = document.get("settings", {})
     if not isinstance(settings, dict):
         raise ConfigError("settings: no JSON object")
-    _check_keys(settings, SHARED_SETTINGS, "settings.")
-    return own | document | {"settings": own["settings"] | settings}
+    _check_keys(settings, PUBLISHED_SETTINGS_KEYS, "settings.")
+    return file_values | document | {"settings": file_values["settings"] | settings}
 
 
-def _check_keys(table: Document, shared: frozenset[str], where: str) -> None:
-    if others := sorted(table.keys() - shared):
+def _check_keys(table: Document, allowed: frozenset[str], where: str) -> None:
+    if refused_keys := sorted(table.keys() - allowed):
         raise ConfigError(
-            f"{where}{others[0]}: not for a version to set, it may set {', '.join(sorted(shared))}"
+            f"{where}{refused_keys[0]}: not for a version to set, it may set {', '.join(sorted(allowed))}"
         )
 
 
-def _faulty(own: dict[str, Any], document: Document, scratch: str | None) -> str:
-    """The field of the document that alone makes the node's file one that cannot be served."""
-    parts = [{key: document[key]} for key in sorted(document.keys() - {"settings"})]
+def _faulty_field(file_values: dict[str, Any], document: Document, shared_folder: str | None) -> str:
+    """The first field of the document that is enough to make the node's configuration unusable."""
+    entries = [{key: document[key]} for key in sorted(document.keys() - {"settings"})]
     settings = document.get("settings", {})
-    parts += [{"settings": {key: settings[key]}} for key in sorted(settings)]
-    for part in parts:
+    entries += [{"settings": {key: settings[key]}} for key in sorted(settings)]
+    for entry in entries:
         try:
-            decode(_merged(own, part), scratch)
+            decode(_merge(file_values, entry), shared_folder)
         except ConfigError:
-            (key, value) = next(iter(part.items()))
+            (key, value) = next(iter(entry.items()))
             return f"settings.{next(iter(value))}" if key == "settings" else key
     return "document"
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -17,7 +17,7 @@
 
 from .config import Config, ConfigError
 from .control import Control
-from .merge import with_version
+from .merge import apply_version
 
 NEVER = -1  # in place of an age
 
@@ -46,7 +46,7 @@
             logger.error("version reason=file {}", error)
             return own
         try:
-            config = with_version(own, held.document)
+            config = apply_version(own, held.document)
         except ConfigError as error:
             # Danger: a node that does not start serves nobody; its own file is one that it can serve.
             self.refused = Refusal(held.revision, one_line(str(error)))
@@ -79,13 +79,13 @@
     def reread(self) -> Config:
         """The node's own file anew, with the version in force over it. Raises ConfigError."""
         held = self.held if self.watch is None else self.watch.in_force
-        return with_version(self.read_own(), held.document)
+        return apply_version(self.read_own(), held.document)
 
     # ---- of the watch
 
     def prepare(self, held: Held) -> Config:
         try:
-            return with_version(self.service.config, held.document)
+            return apply_version(self.service.config, held.document)
         except ConfigError as error:
             self.service.desk.figures.invalid += 1
             raise UnservableError(str(error)) from None
--- a/caperdeck/lifecycle/reactor.py
+++ b/caperdeck/lifecycle/reactor.py
@@ -1,7 +1,7 @@
-"""The reactor of every process of the program: its timers run on the monotonic clock.
+"""The Twisted reactor of every process of the program: its timers run on the monotonic clock.
 
-The library sets all timers, connect time-outs and loops by `reactor.seconds`, which is the wall clock unless
-a reactor says otherwise.
+Twisted schedules all timers, connect time-outs and loops by `reactor.seconds`, which is the wall clock unless
+a reactor overrides it.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 from caperdeck.state.errors import call_again
 
-INSTALLED = "twisted.internet.reactor"  # where the library keeps the one of the process
+REACTOR_MODULE = "twisted.internet.reactor"  # where Twisted keeps the reactor of the process
 
 
 class WallClockReactorError(RuntimeError):
-    """Another reactor was installed first, so timers would run on the wall clock."""
+    """Another reactor is installed already, so timers would run on the wall clock."""
 
 
 class MonotonicReactor(EPollReactor):
-    """Waits on epoll; a step of the wall clock neither delays a timer nor runs it early."""
+    """An epoll reactor on which a step of the wall clock neither delays a timer nor fires it early."""
 
-    # Waits, deadlines and graces are spans of real time: on a wall clock set back by an hour no dial is given
-    # up and no host found silent for that hour, set forward all are at once.
+    # On a wall clock set back by an hour, no dial would time out and no silent host would be found for that
+    # hour; on one set forward, all dials would time out and all hosts would seem silent at once.
     seconds = staticmethod(time.monotonic)
 
 
 def install_reactor() -> Any:
-    """The reactor of this process, installed now if there is none; raises WallClockReactorError."""
-    installed = sys.modules.get(INSTALLED)
+    """Returns the reactor of this process, and installs it if there is none; raises WallClockReactorError."""
+    installed = sys.modules.get(REACTOR_MODULE)
     if installed is None:
         installed = call_again(MonotonicReactor)
         installReactor(installed)
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -31,8 +31,8 @@
 from caperdeck.wire.session_handler import Desk
 from caperdeck.wire.discovery import Discovery
 
-from .config import Config, ConfigError, check_kept
-from .logs import Sink, one_line
+from .config import Config, ConfigError, check_keys_kept
+from .logs import Sink, traceback_line
 
 BACKLOG = 4096
 SERVE_ON = 450.0  # after SIGTERM, while clients still come
@@ -48,10 +48,10 @@
 
 def subsets_of(config: Config) -> Subsets | None:
     """By the own number on the list of nodes; None where there is none."""
-    if config.peers.me is None:
+    if config.peers.node_number is None:
         return None
     try:
-        return Subsets(config.peers.me, config.settings.nodes, config.settings.zone)
+        return Subsets(config.peers.node_number, config.settings.nodes, config.settings.zone)
     except SubsetError as error:
         logger.warning("subset reason=unusable {}", error)
         return None
@@ -77,7 +77,7 @@
         self.desk.accepting = self.accept
         self.desk.hosts.start_times.go_by(self.date_watch.ahead)
         self.discovery = Discovery(
-            reactor, config.discovery, config.rev, self.desk.listed, self.discovery_spoke,
+            reactor, config.discovery, config.known_revision, self.desk.listed, self.discovery_spoke,
             self.complain, BackOff(config.settings.seed, config.settings.nodes), self.excused,
             config.limits.list_life / MS,
         )  # fmt: skip
@@ -92,7 +92,7 @@
         self.calls = AdminCalls()
         self.calls.add("readyz", 0, self.readyz)
         self.calls.add("telemetry", 0, self.telemetry)
-        self.bans = Bans(config.scratch)
+        self.bans = Bans(config.shared_folder)
         self.ban_calls = BanCalls(reactor, self.bans, self)
         self.desk.look_for_bans = self.ban_calls.read_file_changes
         self.calls.add("exclude", 1, self.ban_calls.exclude)
@@ -138,7 +138,7 @@
 
     def know_saved(self) -> None:
         """Takes in the hosts of the configuration, a list that was saved some time ago, and the bans."""
-        self.know(self.config.known)
+        self.know(self.config.known_hosts)
         self.desk.hosts.start_times.heard_in_saved_list()
 
     def know(self, rows: list, bans: UpgradeState | None = None) -> None:
@@ -179,9 +179,9 @@
         """Speaks to its peers from now on, where the operator wants it and the settings allow it."""
         if self.uses is None or self.peers is not None or self.stopped_at or not self.takes:
             return
-        from .sharing import make_port
+        from .sharing import create_peer_port
 
-        made = make_port(self.reactor, self.desk, self.config, self.uses)
+        made = create_peer_port(self.reactor, self.desk, self.config, self.uses)
         if made is None:
             return
         port, address = made
@@ -231,7 +231,7 @@
     def keep_sweeping(self, failure: Any = None) -> None:
         # Danger: a loop that has failed once stays still, and nothing would find silent hosts any more.
         if failure is not None:
-            logger.error("internal reason=exception {}", one_line(failure))
+            logger.error("internal reason=exception {}", traceback_line(failure))
         self.desk.turn_at = self.clock()
         loop = LoopingCall(self.sweep)
         loop.clock = self.reactor
@@ -301,7 +301,7 @@
             return
         try:
             new = self.reread()
-            check_kept(self.config, new)
+            check_keys_kept(self.config, new)
         except ConfigError as error:
             # Danger: half a file, or one for another program, must not end a node that serves.
             self.desk.figures.invalid += 1
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -1,4 +1,6 @@
-"""What the node shares with its peers: the operator's file, the configured peers, the parts together."""
+"""Sets up what the node shares with its peers: reads the operator's file and the configured peers, and builds
+the port.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +17,11 @@
 from .config import ConfigError
 from .toml import TomlError, read_toml
 
-MOST_PEERS = 4096
+MAX_PEERS = 4096
 
 
 def load_uses(path: str) -> Uses:
-    """The operator's file: what is done with what is shared, each a yes or no. Raises ConfigError."""
+    """Reads the operator's file, which turns each use of the shared state on or off; raises ConfigError."""
     try:
         raw = read_toml(path)
     except TomlError as error:
@@ -33,45 +35,45 @@
 
 
 class PeersError(ValueError):
-    """The configuration's peers cannot be used; the text says why."""
+    """The configured peers cannot be used; the text says why."""
 
 
-def parse_peers(peers: Any, listen: Any, me: Any) -> tuple[list[Address], Address]:
-    """The members in the order of their numbers, and the own address. Raises PeersError."""
+def parse_peers(peers: Any, listen: Any, node_number: Any) -> tuple[list[Address], Address]:
+    """The peers' addresses, ordered by node number, and the address to listen on; raises PeersError."""
     if not isinstance(peers, list) or not peers:
         raise PeersError("no peers are configured")
-    if len(peers) > MOST_PEERS:
-        raise PeersError(f"{len(peers)} peers, over {MOST_PEERS}")
-    if isinstance(me, bool) or not isinstance(me, int) or not 0 <= me < len(peers):
-        raise PeersError(f"settings.me is no number of a peer: {me!r:.50}")
+    if len(peers) > MAX_PEERS:
+        raise PeersError(f"{len(peers)} peers, over {MAX_PEERS}")
+    if isinstance(node_number, bool) or not isinstance(node_number, int) or not 0 <= node_number < len(peers):
+        raise PeersError(f"settings.me is not the number of a peer: {node_number!r:.50}")
     try:
         addresses = [parse_address(x) for x in peers]
-        own = parse_address(listen)
+        listen_address = parse_address(listen)
     except AddressError as error:
         raise PeersError(str(error)) from None
-    if addresses.count(addresses[me]) > 1:
-        raise PeersError(f"this node's address {peers[me]:.50} stands twice among the peers")
-    return addresses, own
+    if addresses.count(addresses[node_number]) > 1:
+        raise PeersError(f"this node's address {peers[node_number]:.50} is listed twice among the peers")
+    return addresses, listen_address
 
 
-def make_port(
+def create_peer_port(
     reactor: Any, desk: Desk, config: Any, uses: Uses,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
-    """The port, not open yet; None, and a line in the log, where the node has to go on alone."""
-    raw = config.peers
-    if not raw.allowed:
+    """The port, not open yet, and its address; None, with a log line, if the node has to run without peers."""
+    peers = config.peers
+    if not peers.allowed:
         logger.info("peers reason=not-allowed the settings allow no messages between nodes")
         return None
     try:
-        addresses, own = parse_peers(raw.addresses, raw.listen, raw.me)
-        everyone = parse_address(raw.everyone) if raw.everyone else None
+        addresses, listen_address = parse_peers(peers.addresses, peers.listen, peers.node_number)
+        all_peers_address = parse_address(peers.all_peers_address) if peers.all_peers_address else None
     except (PeersError, AddressError) as error:
-        # Danger: a list of peers that cannot be used must not keep a node from serving; it needs none.
+        # A node can serve without peers, so an unusable list of them must not keep it from serving.
         logger.warning("peers reason=unusable {}", error)
         return None
     now, shares = desk.clock(), desk.balancer.fleet_state
     sharing = Sharing(
-        Marked(shares, uses, desk.report), raw.me, len(addresses), life_from(now), config.settings.seed, now,
-        uses, raw.tiers,
+        Marked(shares, uses, desk.report), peers.node_number, len(addresses), life_from(now),
+        config.settings.seed, now, uses, peers.tiers,
     )  # fmt: skip
-    return PeerPort(reactor, desk.clock, sharing, addresses, everyone, desk.age), own
+    return PeerPort(reactor, desk.clock, sharing, addresses, all_peers_address, desk.age), listen_address
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -110,7 +110,7 @@
         if config.admin is None:
             return []
         # one of the two is there whatever the disk lacks, and an older program knows the folder alone
-        in_folder = [FolderAddress(config.scratch)] if config.scratch is not None else []
+        in_folder = [FolderAddress(config.shared_folder)] if config.shared_folder is not None else []
         return [NodeAddress(self.identity()), *in_folder]
 
     def listen_for_successor(self) -> None:
--- a/caperdeck/owner/config.py
+++ b/caperdeck/owner/config.py
@@ -8,7 +8,7 @@
 from caperdeck.leases.census_state import MOST_NODES, alike
 from caperdeck.leases.table import MOST_SPAN
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.lifecycle.toml import TomlError, check_keys, loopback_address, name_of, read_toml
+from caperdeck.lifecycle.toml import TomlError, check_keys, parse_loopback_address, parse_name, read_toml
 from caperdeck.raft.core import ELECTION
 from caperdeck.state.addresses import Address
 
@@ -79,7 +79,7 @@
         raise _Faulty(f"first: {first!r:.50} are not all instances")
     if len(set(first)) < len(first):
         raise _Faulty("first: an instance twice")
-    listen = loopback_address(raw["listen"], "listen") if "listen" in raw else instances[me]
+    listen = parse_loopback_address(raw["listen"], "listen") if "listen" in raw else instances[me]
     return OwnerConfig(
         _cluster(raw), me, folder, listen,
         instances, tuple(first), _nodes(raw), _works(raw), _span(raw),
@@ -92,7 +92,7 @@
 
 
 def _cluster(raw: dict[str, Any]) -> str:
-    return name_of(raw.get("cluster"), "cluster", LONGEST)
+    return parse_name(raw.get("cluster"), "cluster", LONGEST)
 
 
 def _table(raw: dict[str, Any], key: str, most: int) -> dict[str, Any]:
@@ -103,7 +103,7 @@
 
 
 def _addresses(table: dict[str, Any], key: str) -> dict[str, Address]:
-    found = {name: loopback_address(value, f"{key}.{name}") for name, value in table.items()}
+    found = {name: parse_loopback_address(value, f"{key}.{name}") for name, value in table.items()}
     if len(set(found.values())) < len(found):
         # Danger: one process under two names would vote, or be counted, twice.
         raise _Faulty(f"{key}: an address twice")
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -21,7 +21,7 @@
 from caperdeck.leases.table import Table
 from caperdeck.leases.target import CENSUS, HOSTS
 from caperdeck.leases.outlier_ejection import Turning
-from caperdeck.lifecycle.logs import one_line
+from caperdeck.lifecycle.logs import traceback_line
 from caperdeck.raft.core import Raft, Role, Save
 from caperdeck.raft.driver import Driver
 from caperdeck.raft.log import Entry, Members
@@ -358,7 +358,7 @@
         # Danger: whatever rests on a write that may not be there must never be said.
         self.driver.end()
         known = failure.check(StorageError) is not None
-        self.ended(str(failure.value) if known else one_line(failure))
+        self.ended(str(failure.value) if known else traceback_line(failure))
 
     def _receive(self, message: Any) -> None:
         self.driver.receive(message)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 )  # fmt: skip
 from caperdeck.lifecycle.config import ConfigError, load_config
 from caperdeck.lifecycle.control import Instance, load_control
-from caperdeck.lifecycle.merge import check_document, with_version
+from caperdeck.lifecycle.merge import check_document, apply_version
 from caperdeck.state.addresses import Address
 
 # ---- the control file
@@ -59,21 +59,21 @@
 
 @pytest.mark.parametrize("changes, text", [
     ({"colour": 1}, "colour: unknown key, known are cluster, folder, instances, region, zone"),
-    ({"cluster": None}, "cluster: None is no name"), ({"cluster": "x" * 65}, "cluster: .* is no name"),
-    ({"zone": ""}, "zone: '' is no name"), ({"region": 7}, "region: 7 is no name"),
+    ({"cluster": None}, "cluster: None is not a name"), ({"cluster": "x" * 65}, "cluster: .* is not a name"),
+    ({"zone": ""}, "zone: '' is not a name"), ({"region": 7}, "region: 7 is not a name"),
     ({"zone": "a\tb"}, "zone: 'a.*b' cannot be printed"),
-    ({"folder": None}, "folder: no folder is named"),
-    ({"folder": "/nowhere"}, "folder: /nowhere is no folder"),
+    ({"folder": None}, "folder: a path is needed"),
+    ({"folder": "/nowhere"}, "folder: /nowhere is not a folder"),
     ({"instances": ""}, "instances: 1 to 9 tables"), ({"instances": MANY}, "instances: 1 to 9 tables"),
-    ({"instances": "instances = 7"}, "instances: 1 to 9 tables"), ({"instances": "x = ["}, "no TOML"),
-    ({"instances": "[instances]\no0 = 7"}, "instances.o0: no table"),
+    ({"instances": "instances = 7"}, "instances: 1 to 9 tables"), ({"instances": "x = ["}, "not valid TOML"),
+    ({"instances": "[instances]\no0 = 7"}, "instances.o0: not a table"),
     ({"instances": INSTANCES + "port = 7"}, "instances.o1.port: unknown key"),
-    ({"instances": INSTANCES.replace('zone = "z1"', "")}, "instances.o1.zone: None is no name"),
+    ({"instances": INSTANCES.replace('zone = "z1"', "")}, "instances.o1.zone: None is not a name"),
     ({"instances": INSTANCES.replace('address = "127.0.0.1:7101"', "")}, "instances.o1.address: missing"),
-    ({"instances": INSTANCES.replace("7101", "7100")}, "instances.o1.address: that of o0 too"),
+    ({"instances": INSTANCES.replace("7101", "7100")}, "instances.o1.address: o0 has the same"),
     ({"instances": INSTANCES.replace("7101", "70000")}, "instances.o1.address: no address"),
     ({"instances": INSTANCES.replace("127.0.0.1:7101", "10.0.0.1:7101")}, "o1.address: .* off loopback"),
-    ({"instances": INSTANCES.replace("o1", "o0")}, "no TOML: Cannot declare"),
+    ({"instances": INSTANCES.replace("o1", "o0")}, "not valid TOML: Cannot declare"),
 ])  # fmt: skip
 def test_a_control_file_that_cannot_be_used_is_named_in_one_line(tmp_path, capsys, changes, text):
     path = control_file(tmp_path / "control", tmp_path, **changes)
@@ -102,7 +102,7 @@
 
 
 def own(tmp_path, **changes):
-    return load_config(write(tmp_path / "own", CONFIG | changes), keep=True)
+    return load_config(write(tmp_path / "own", CONFIG | changes), keep_file_values=True)
 
 
 ROW = SETUP["listeners"][0]
@@ -111,15 +111,18 @@
 def test_a_version_replaces_what_it_may_set_and_nothing_else(tmp_path):
     config = own(tmp_path)
     rows = [ROW | {"name": "chat2"}]
-    new = with_version(
+    new = apply_version(
         config, {"discovery": "127.0.0.1:8600", "settings": {"listeners": rows, "fleetSize": 9}}
     )
     assert (new.discovery, new.names.listeners, new.settings.nodes) == ("127.0.0.1:8600", {"chat2": 0}, 9)
-    assert (new.name, new.listen, new.sockets, new.keys, new.own) == (
-        config.name, config.listen, config.sockets, config.keys, config.own,
+    assert (new.name, new.listen, new.sockets, new.file_keys, new.file_values) == (
+        config.name, config.listen, config.sockets, config.file_keys, config.file_values,
     )  # fmt: skip
-    assert new.settings.max_dials == config.settings.max_dials and config.own["discovery"] == "127.0.0.1:8500"
-    assert with_version(config, {}) is config
+    assert (
+        new.settings.max_dials == config.settings.max_dials
+        and config.file_values["discovery"] == "127.0.0.1:8500"
+    )
+    assert apply_version(config, {}) is config
 
 
 @pytest.mark.parametrize("document, text", [
@@ -132,7 +135,7 @@
     ({"settings": {"fleetSize": 3, "limits": {"mostDials": 0}}}, "^settings.limits: .*limits.mostDials is 0"),
 ])  # fmt: skip
 def test_a_version_that_cannot_be_served_names_the_field(tmp_path, document, text):
-    for check in (check_document, lambda x: with_version(own(tmp_path), x)):
+    for check in (check_document, lambda x: apply_version(own(tmp_path), x)):
         with pytest.raises(ConfigError, match=text) as caught:
             check(document)
         assert "\n" not in str(caught.value)
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -109,7 +109,7 @@
         place = Place("o0", "z0", "north")
         control = Control("t", Place(name, "z0", "north"), str(folder), {"o0": Instance(place, address)})
         self.published = Published(self.reactor, control, self.read_own, self.disk)
-        config = self.published.first(load_config(self.environment, keep=True))
+        config = self.published.first(load_config(self.environment, keep_file_values=True))
         self.service = Service(
             self.reactor, config, Sink(2), self.published.reread, published=self.published,
         )  # fmt: skip
@@ -118,7 +118,7 @@
         self.connections = []
 
     def read_own(self):
-        return reload_config(self.environment, keep=True)
+        return reload_config(self.environment, keep_file_values=True)
 
     def start(self):
         self.published.start(self.service)
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -445,7 +445,7 @@
         ("rack_machines = 20", "rack_machines = 147", r"assumed\.rack_machines: 147"),
         ("largest_listeners = 1_100_000", "largest_listeners = 36_000_000", r"topics\.largest_listeners"),
         ("part_within = 0.99", "part_within = 0.98", r"deliveries\.part_within: 0\.98 is not measured"),
-        ("[fleet]", "[fleet", "no TOML"),
+        ("[fleet]", "[fleet", "not valid TOML"),
     ],
 )  # fmt: skip
 def test_a_bad_target_is_one_line_with_field_and_reason(tmp_path, capsys, old, new, reason):
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -24,7 +24,7 @@
 )  # fmt: skip
 from caperdeck.core.model import HostState, LoadReport, Outcome, RosterEntry
 from caperdeck.lifecycle.config import ConfigError, load_config
-from caperdeck.lifecycle.logs import MOST_WAITING, Sink
+from caperdeck.lifecycle.logs import MAX_PENDING_BYTES, Sink
 from caperdeck.state.addresses import Address
 
 # ---- the facade
@@ -84,7 +84,7 @@
 
 def test_a_configuration_is_read_whole(tmp_path):
     config = load_config(write(tmp_path / "c", CONFIG))
-    assert (config.listen, config.sockets, config.rev) == (Address("127.0.0.1", 9000), 256, 41)
+    assert (config.listen, config.sockets, config.known_revision) == (Address("127.0.0.1", 9000), 256, 41)
     assert config.settings.seed == 0x8C1F30D27A5BE964 and config.names.listeners == {"chat": 0}
 
 
@@ -115,7 +115,7 @@
     sink = Sink(written)
     for _ in range(3000):
         sink("x" * 1000)
-    assert sink.size <= MOST_WAITING and sink.dropped > 0
+    assert sink.pending_bytes <= MAX_PENDING_BYTES and sink.dropped_lines > 0
     os.close(read)
     os.close(written)
 
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -19,7 +19,7 @@
 from caperdeck.gossip.shared_decisions import Marked
 from caperdeck.gossip.sharing import ROOM, Uses, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
-from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
+from caperdeck.lifecycle.sharing import PeersError, load_uses, create_peer_port, parse_peers
 from caperdeck.ops.show_peers import show_peers
 from caperdeck.state.addresses import Address
 from caperdeck.wire.peers import PeerPort
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("text, reason", [
     ("room = 1", "room is neither true nor false"),
     ("rooms = true", "unknown key rooms"),
-    ("room = ", "no TOML"),
+    ("room = ", "not valid TOML"),
     (None, "No such file"),
 ])  # fmt: skip
 def test_a_bad_file_names_its_reason(text, reason, tmp_path):
@@ -51,8 +51,8 @@
 
 @pytest.mark.parametrize("peers, listen, me, reason", [
     (None, PEERS[0], 0, "no peers"),
-    (PEERS, PEERS[0], 3, "no number of a peer"),
-    (PEERS, PEERS[0], True, "no number of a peer"),
+    (PEERS, PEERS[0], 3, "not the number of a peer"),
+    (PEERS, PEERS[0], True, "not the number of a peer"),
     (PEERS, None, 0, "address"),
     ([*PEERS, "nowhere"], PEERS[0], 0, "nowhere"),
     ([PEERS[0], PEERS[0]], PEERS[0], 0, "twice"),
@@ -93,7 +93,7 @@
 def test_a_node_without_usable_peers_goes_on_alone(changes, line):
     d = desk()
     with logged() as lines:
-        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
+        assert create_peer_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), Uses()) is None
     assert line in lines[0]
 
 
@@ -116,7 +116,7 @@
 
 def made_port(uses=Uses()):  # noqa: B008
     d = desk()
-    port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
+    port, _ = create_peer_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = Out(), object()
     return d, port
 
