--- a/caperdeck/__main__.py
+++ b/caperdeck/__main__.py
@@ -198,8 +198,10 @@
         print(f"caperdeck: {error}", file=sys.stderr)
         return 2
     if arguments["check"]:
-        classes, hosts = len(config.names.listeners), len(config.known_hosts)
-        print(f"node {config.name}: {classes} classes, {hosts} known hosts")
+        print(
+            f"node {config.name}: {len(config.names.listeners)} classes, "
+            f"{len(config.known_hosts)} known hosts"
+        )
         return 0
     return serve(config, level, arguments["--config"], uses, owners, arguments["--subsets"], control)
 
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -59,21 +59,25 @@
 def create_peer_port(
     reactor: Any, desk: Desk, config: Any, uses: Uses,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
-    """The port, not open yet, and its address; None, with a log line, if the node has to run without peers."""
-    peers = config.peers
-    if not peers.allowed:
+    """The port, not open yet, and its address; None, with a log line, if the node runs without peers."""
+    configured = config.peers
+    if not configured.allowed:
         logger.info("peers reason=not-allowed the settings allow no messages between nodes")
         return None
     try:
-        addresses, listen_address = parse_peers(peers.addresses, peers.listen, peers.node_number)
-        all_peers_address = parse_address(peers.all_peers_address) if peers.all_peers_address else None
+        addresses, listen_address = parse_peers(
+            configured.addresses, configured.listen, configured.node_number
+        )
+        all_peers_address = (
+            parse_address(configured.all_peers_address) if configured.all_peers_address else None
+        )
     except (PeersError, AddressError) as error:
         # A node can serve without peers, so an unusable list of them must not keep it from serving.
         logger.warning("peers reason=unusable {}", error)
         return None
     now, shares = desk.clock(), desk.balancer.fleet_state
     sharing = Sharing(
-        Marked(shares, uses, desk.report), peers.node_number, len(addresses), life_from(now),
-        config.settings.seed, now, uses, peers.tiers,
+        Marked(shares, uses, desk.report), configured.node_number, len(addresses), life_from(now),
+        config.settings.seed, now, uses, configured.tiers,
     )  # fmt: skip
     return PeerPort(reactor, desk.clock, sharing, addresses, all_peers_address, desk.age), listen_address
