--- a/caperdeck/__main__.py
+++ b/caperdeck/__main__.py
@@ -29,56 +29,59 @@
   caperdeck (-h | --help)
 
 Commands:
-  serve    Run one node until SIGTERM; SIGHUP makes it read its configuration again.
-  check    Read the configuration and say whether a node could start on it.
-  peers    Print what a node shares with its peers, by the figures of its second address (docs/peers.md).
+  serve    Run one node until SIGTERM; on SIGHUP it reads its configuration again.
+  check    Read the configuration and say whether a node could start with it.
+  peers    Print what a node shares with its peers, as its admin address reports it (docs/peers.md).
   owner    Instances that agree on who owns work on behalf of the fleet (docs/owner.md): serve runs one,
-           status prints all, watch each change of a work's owner, hand-over gives work to another, release
-           ends a lease whatever its owner does, add and remove change who agrees, lead hands the lead to one.
+           status prints the state of all, watch prints each change of a work's owner, hand-over gives work
+           to another owner, release ends a lease whatever its owner does, add and remove change the members,
+           lead transfers the leadership.
   config   Versions of the configuration that the instances agree on (docs/distribution.md): publish commits
-           the file as the next one, status says at which nodes the newest is in force. Exit code 0 done, 1
-           not known or not confirmed, 2 bad input or refused.
+           the file as the next version, status prints at which nodes the newest version is active. Exit code
+           0 done, 1 not known or not confirmed, 2 bad input or refused.
   version  Print the version.
-  lab      Run many copies of the program with faults between them (docs/lab.md): fleet plays a scenario,
-           search looks for faults that break a rule, compare measures one way against another, report draws
-           a history, slopes measures what each part costs at several sizes and fits straight lines, demo
-           shows a small fleet, capacity works out from measured lines what the fleet needs at its target
-           (docs/CAPACITY.md), scale plays hollow nodes beside real ones, up to the whole target, in-force
-           measures how long a version takes from its commit until all nodes have it, soak plays seeded
-           mixtures of faults (docs/lab.md). Exit code 0 all held, 1 broken, 2 bad input, 3 void.
+  lab      Run many copies of the program and inject faults (docs/lab.md): fleet runs a scenario, search looks
+           for faults that break a rule, compare measures one policy against another, report plots a history,
+           slopes measures the cost of each part at several sizes and fits straight lines, demo shows a small
+           fleet, capacity computes from the fitted lines what the fleet needs at its target
+           (docs/CAPACITY.md), scale runs stub nodes beside real ones, up to the whole target, in-force
+           measures how long a version takes from its commit until all nodes use it, soak runs random mixtures
+           of faults, one for each seed (docs/lab.md). Exit code 0 all rules held, 1 a rule was broken, 2 bad
+           input, 3 the run is void.
 
 Options:
-  --config=FILE      The node's configuration, JSON; EDGE_CONFIG names it otherwise.
+  --config=FILE      The node's configuration, JSON; the file that EDGE_CONFIG names if not given.
   --sharing=FILE     What the node shares with its peers, TOML (deploy/sharing.toml); nothing if not given.
   --owners=FILE      The instances whose owners may act on this node, TOML (deploy/owners.toml).
-  --instances=FILE   The instances to ask, TOML (deploy/owners.toml). Of lab in-force, how many there are, 7
-                     if not given.
-  --on=REVISION      Refuse to publish on any other version than this; on the newest if not given.
-  --control=FILE     The instances that publish the configuration, TOML (deploy/control.toml); the node's
-                     file alone if not given (docs/distribution-node.md).
-  --subsets          The node draws the hosts of a subset of its own first (docs/turns.md).
+  --instances=FILE   The instances to ask, TOML (deploy/owners.toml). For lab in-force, the number of
+                     instances, 7 if not given.
+  --on=REVISION      Publish only if this is the newest version; on any version if not given.
+  --control=FILE     The instances that publish the configuration, TOML (deploy/control.toml); the node uses
+                     only its own file if not given (docs/distribution-node.md).
+  --subsets          The node prefers the hosts of its own subset (docs/turns.md).
   --log-level=LEVEL  DEBUG, INFO, WARNING or ERROR [default: INFO].
-  --seed=N           Of all draws of a run; the scenario's own otherwise.
-  --virtual          In virtual time, in this process, instead of real processes.
-  --json=FILE        Keep the history, one event a line, the comparison, or what was worked out.
-  --logs=DIR         Keep the nodes' logs.
-  --runs=N           So many schedules at the most, 100 if not given. Of lab soak, seeds, 50 if not given.
+  --seed=N           The seed of all random numbers of a run; that of the scenario if not given.
+  --virtual          Run in virtual time in this process instead of in real processes.
+  --json=FILE        Write the history (one event per line), the comparison or the computed result to FILE.
+  --logs=DIR         Keep the nodes' logs in DIR.
+  --runs=N           The largest number of schedules, 100 if not given. For lab soak, of seeds, 50 then.
   --out=FILE         The scenario file, page or record to write.
-  --only=PARTS       Measure these parts alone, with commas between; what FILE has of others is kept.
-  --small            At tiny sizes, to see that it works; the figures say nothing.
-  --merge            Into the record FILE, of whatever revision and machine; new lines carry their own.
+  --only=PARTS       Measure only these parts, separated by commas; FILE keeps its results of the others.
+  --small            Measure at tiny sizes, to check that it works; the results are meaningless.
+  --merge            Merge into the record FILE, whatever its revision and machine; new lines state theirs.
   --against=WAY      module, two-by-count, least-loaded, settings:FILE, sharing:USES, subsets, checkout:DIR.
-  --base=WAY         What that is measured against, module if not given.
-  --pairs=N          Seeds that both ways play, 10 if not given.
-  --slopes=FILE      The record of measured lines.
-  --target=FILE      What is asked of the fleet, TOML (docs/capacity/target.toml).
-  --page=FILE        Rewrite the tables of this page, between its marks.
-  --nodes=N          Hollow nodes; the scenario's own otherwise, as with the next two. Of config status, a
-                     file with the names of all nodes, one a line.
-  --processes=N      Processes that the hollow nodes share. Of lab soak, runs at once, 2 if not given.
-  --seconds=N        Of the steady span, in which the cost is measured.
-  --changes=N        So many versions are published, 5 if not given, and a burst of 10 after them.
-  --faults=LIST      With commas between: leader, kill, stop (docs/lab.md); none if not given.
+  --base=WAY         The baseline of the comparison, module if not given.
+  --pairs=N          The number of seeds that both policies run with, 10 if not given.
+  --slopes=FILE      The record of fitted lines.
+  --target=FILE      The required capacity of the fleet, TOML (docs/capacity/target.toml).
+  --page=FILE        Rewrite the tables of this page, between its markers.
+  --nodes=N          The number of stub nodes; that of the scenario if not given, as for the next two. For
+                     config status, a file with the names of all nodes, one per line.
+  --processes=N      The number of processes that run the stub nodes. For lab soak, of runs at once, 2 if not
+                     given.
+  --seconds=N        The length of the steady phase in which the cost is measured.
+  --changes=N        The number of versions to publish, 5 if not given, before a burst of 10.
+  --faults=LIST      leader, kill, stop, separated by commas (docs/lab.md); none if not given.
   --scenario=FILE    Check the rules on the history as well.
   -h --help          Show this text.
 """
@@ -96,13 +99,14 @@
 from caperdeck import __version__
 from caperdeck.lifecycle.config import Config, ConfigError, load_config, reload_config
 
-LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
 def serve(
     config: Config, level: str, path: str | None, uses: Any = None, owners: Any = None,
     subsets: bool = False, control: Any = None,
 ) -> int:  # fmt: skip
+    """Runs a node until it is stopped; returns the exit code."""
     from twisted.internet.error import CannotListenError
 
     from caperdeck.lifecycle.logs import start_logging
@@ -137,47 +141,48 @@
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
-    # Danger: the interpreter puts the signals' defaults back as it ends, and a SIGTERM that comes then would
-    # make a node that has served to its end look killed.
+    # The interpreter restores the default signal handlers as it exits; a SIGTERM at that point would make a
+    # node that has stopped normally look killed.
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     return service.exit_code
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs the command of the arguments; returns the exit code."""
     arguments = docopt(__doc__, argv)
     if arguments["version"]:
         print(f"caperdeck {__version__}")
         return 0
     if arguments["lab"]:
         try:
-            from caperdeck.lab.cli import main as lab
+            from caperdeck.lab.cli import main as run_lab
         except ModuleNotFoundError as error:
             print(f"caperdeck: {error.name} is missing: pip install -r requirements-lab.txt", file=sys.stderr)
             return 2
-        return lab(arguments)
+        return run_lab(arguments)
     if arguments["peers"]:
         from caperdeck.ops.show_peers import show_peers
 
         return show_peers(arguments["ADDRESS"])
     if arguments["config"]:
-        from caperdeck.distribution.commands import main as configuration
+        from caperdeck.distribution.commands import main as run_config_command
 
-        return configuration(arguments)
+        return run_config_command(arguments)
     if arguments["owner"] and not arguments["serve"]:
-        from caperdeck.owner.commands import main as command
+        from caperdeck.owner.commands import main as run_owner_command
 
-        return command(arguments)
+        return run_owner_command(arguments)
     level = arguments["--log-level"].upper()
-    if level not in LEVELS:
-        print(f"caperdeck: --log-level is one of {', '.join(LEVELS)}", file=sys.stderr)
+    if level not in LOG_LEVELS:
+        print(f"caperdeck: --log-level is one of {', '.join(LOG_LEVELS)}", file=sys.stderr)
         return 2
     if arguments["owner"]:
         from caperdeck.owner.process import serve as serve_owner
 
         return serve_owner(arguments["--config"], level)
     if arguments["serve"]:
-        # Danger: a SIGHUP that comes while the node starts would end it; the file is read after this.
+        # A SIGHUP while the node starts would end it. The file is read after this, so no reload is missed.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ, arguments["--config"], keep_file_values=bool(arguments["--control"]))
@@ -187,9 +192,9 @@
 
             uses = load_uses(arguments["--sharing"])
         if arguments["--owners"]:
-            from caperdeck.lifecycle.owners import load
+            from caperdeck.lifecycle.owners import load_owners_for_node
 
-            owners = load(arguments["--owners"], config)
+            owners = load_owners_for_node(arguments["--owners"], config)
         if arguments["--control"]:
             from caperdeck.lifecycle.control import load_control
 
@@ -207,6 +212,7 @@
 
 
 def script() -> None:
+    """The entry point of the `caperdeck` command."""
     sys.exit(main())
 
 
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -24,7 +24,7 @@
 BEHIND = 0.05  # seconds after a host's time that the node looks for it
 
 
-def load(path: str, config: Config) -> Owners:
+def load_owners_for_node(path: str, config: Config) -> Owners:
     """Raises ConfigError."""
     if config.admin is None:
         raise ConfigError(f"owner {path}: the configuration names no admin_addr, by which owners act")
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -26,7 +26,7 @@
 from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import Owned
-from caperdeck.lifecycle.owners import load as load_for_node
+from caperdeck.lifecycle.owners import load_owners_for_node
 from caperdeck.owner.commands import ask
 from caperdeck.leases.census_state import MOST_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
@@ -88,7 +88,7 @@
 
     config = load_config(write(tmp_path / "c", CONFIG))
     with pytest.raises(ConfigError, match="admin_addr"):
-        load_for_node(str(ROOT / "deploy/owners.toml"), config)
+        load_owners_for_node(str(ROOT / "deploy/owners.toml"), config)
 
 
 # ---- frames
