--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -1,4 +1,4 @@
-"""Processes of one node between stand-ins, started with faults of their machine where a test asks."""
+"""Starts processes of one node between a fake discovery and host, with faults of the machine on request."""
 
 import os
 import socket
@@ -10,17 +10,17 @@
 from helpers import CONFIG, at_host, free_ports, opening, row, serve_lines, serve_list, write
 
 TESTS = Path(__file__).parent
-# the fault is in place before the program is loaded
-RUN = (
+# installs the fault before the program is loaded
+RUN_WITH_FAULT = (
     "import sys; import machine_faults; machine_faults.plant(sys.argv[1])\n"
     "from caperdeck.__main__ import main; sys.exit(main(['serve']))"
 )
 
 
-def until(true, seconds=30.0):
-    """Waits for what another process does."""
+def until(condition, seconds=30.0):
+    """Waits for a condition that another process brings about."""
     end = time.monotonic() + seconds
-    while not true():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.02)
 
@@ -29,11 +29,11 @@
     return socket.create_connection(("127.0.0.1", port), 5)
 
 
-class StandIns:
-    """A discovery and its one host s-0, whose start it tells where it is not 0."""
+class FakeFleet:
+    """A discovery with one host, s-0; the list states the host's start if it is not 0."""
 
     def __init__(self, boot=0):
-        self.requests = 0  # first lines that the host has had
+        self.requests = 0  # that the host has received
         self.discovery = serve_list(row("s-0", port=serve_lines(self._at_host), boot=boot))
 
     def _at_host(self, line):
@@ -42,16 +42,16 @@
 
 
 class NodeProcesses:
-    """Processes of one node, and calls to them."""
+    """Processes of one node, and admin calls to them."""
 
-    def __init__(self, folder, stand_ins, scratch=True):
+    def __init__(self, folder, fleet, shared_folder=True):
         self.folder = folder
-        self.scratch = {"TMPDIR": str(folder / "tmp")} if scratch else {}
+        self.shared_folder = {"TMPDIR": str(folder / "tmp")} if shared_folder else {}
         (folder / "tmp").mkdir(exist_ok=True)
         self.port, *self.admin = free_ports(4)
         self.config = CONFIG | {
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{stand_ins.discovery}",
+            "discovery": f"127.0.0.1:{fleet.discovery}",
             "known": {"rev": 41, "targets": []},
         }
         self.started, self.clients = [], []
@@ -65,11 +65,11 @@
         n = len(self.started)
         config = self.config | {"admin_addr": f"127.0.0.1:{self.admin[n]}"}
         environment = {key: value for key, value in os.environ.items() if key != "TMPDIR"}
-        environment |= write(self.folder / f"c{n}", config) | self.scratch
+        environment |= write(self.folder / f"c{n}", config) | self.shared_folder
         words = ["-m", "caperdeck", "serve"]
         if fault:
             environment["PYTHONPATH"] = f"{TESTS.parent}:{TESTS}"
-            words = ["-c", RUN, fault]
+            words = ["-c", RUN_WITH_FAULT, fault]
         with open(self.folder / f"log{n}", "wb") as log:
             self.started.append(subprocess.Popen([sys.executable, *words], env=environment, stderr=log))
         return self.started[-1]
@@ -94,7 +94,7 @@
         return sock, lines
 
     def resting_client(self):
-        """A client that has been let in and has sent no first line."""
+        """A client whose connection was accepted and that has sent no request."""
         sock, lines = self._connect()
         sock.sendall(b"PING\r\n")
         assert lines.readline() == b"PONG\r\n"
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""deploy/venv, which makes the virtual environment for the build and CI, on stand-ins for Python and pip."""
+"""deploy/venv, which creates the virtual environment for the build and CI, run with a fake Python and pip."""
 
 import os
 import shutil
@@ -14,7 +14,7 @@
     "requirements-lab.txt": "rich==1\n",
     "requirements-dev.txt": "-r requirements.txt\n-r requirements-lab.txt\npytest==1\n",
 }
-# Logs each call; `-m venv DIR` leaves a copy of itself there, pip fails while the file `no-network` is there.
+# Logs each call; `-m venv DIR` puts a copy of itself there, and pip fails while the file `no-network` exists.
 PYTHON = """#!/bin/sh
 case "$*" in
     "-m venv .venv") mkdir -p .venv/bin && cp "$0" .venv/bin/python ;;
@@ -27,14 +27,14 @@
 echo "${0##*/} $*" >> calls
 exit $status
 """
-MAKE = "python3 -m venv .venv"
+CREATE = "python3 -m venv .venv"
 INSTALL_RUN = "python -m pip -q install -r requirements.txt"
 INSTALL_DEV = "python -m pip -q install -r requirements-dev.txt"
 COMPILE = "python -m compileall -q caperdeck"
 
 
 class Clone:
-    """A clone of the repository as far as the build sees it."""
+    """A clone of the repository with the files that the build uses."""
 
     def __init__(self, folder: Path):
         self.folder, self.venv = folder, folder / ".venv"
@@ -52,7 +52,7 @@
         return path
 
     def sh(self, command: str) -> tuple[int, list[str], str]:
-        """Runs a command in the root: its exit code, the calls of Python that it made, and standard error."""
+        """Runs a command in the root; returns its exit code, its calls of Python, and standard error."""
         path = f"{self.tools}:{os.environ['PATH']}"
         done = subprocess.run(
             ["/bin/sh", "-c", command], cwd=self.folder, env=os.environ | {"PATH": path}, capture_output=True
@@ -68,7 +68,7 @@
         return calls
 
     def fail(self, level: str) -> None:
-        """Breaks off in the middle of the installation."""
+        """Runs deploy/venv so that it fails in the middle of the installation."""
         self.write("no-network", "")
         assert self.sh(f"sh deploy/venv {level}")[0] != 0
         (self.folder / "no-network").unlink()
@@ -79,94 +79,94 @@
     return Clone(tmp_path)
 
 
-def test_clean_clone_is_built_once_and_left_alone_after_that(clone):
-    assert clone.calls("run") == [MAKE, INSTALL_RUN]
+def test_clean_clone_is_built_once(clone):
+    assert clone.calls("run") == [CREATE, INSTALL_RUN]
     assert clone.calls("run") == []
 
 
 def test_run_dev_run_keeps_one_venv(clone):
-    assert clone.calls("run") == [MAKE, INSTALL_RUN]
+    assert clone.calls("run") == [CREATE, INSTALL_RUN]
     assert clone.calls("dev") == [INSTALL_DEV]
     assert clone.calls("run") == []
     assert clone.calls("dev") == []
 
 
-def test_venv_for_tests_is_good_for_a_node(clone):
-    assert clone.calls("dev") == [MAKE, INSTALL_DEV]
+def test_venv_for_tests_is_also_used_for_a_node(clone):
+    assert clone.calls("dev") == [CREATE, INSTALL_DEV]
     assert clone.calls("run") == []
 
 
 @pytest.mark.parametrize(("level", "install"), [("run", INSTALL_RUN), ("dev", INSTALL_DEV)])
-def test_half_built_venv_is_made_anew(clone, level, install):
+def test_partly_built_venv_is_created_again(clone, level, install):
     clone.fail(level)
-    half = clone.write(".venv/half-a-package", "")
-    assert clone.calls(level) == [MAKE, install]
-    assert not half.exists()
+    partial = clone.write(".venv/half-a-package", "")
+    assert clone.calls(level) == [CREATE, install]
+    assert not partial.exists()
 
 
-def test_venv_broken_off_while_it_was_extended_is_made_anew(clone):
+def test_venv_whose_extension_failed_is_created_again(clone):
     clone.calls("run")
     clone.fail("dev")
-    assert clone.calls("run") == [MAKE, INSTALL_RUN]
+    assert clone.calls("run") == [CREATE, INSTALL_RUN]
 
 
 @pytest.mark.parametrize(("level", "install"), [("run", INSTALL_RUN), ("dev", INSTALL_DEV)])
-def test_changed_requirement_is_installed_into_the_sound_venv(clone, level, install):
+def test_changed_requirement_is_installed_into_the_existing_venv(clone, level, install):
     clone.calls(level)
     clone.write("requirements.txt", "orjson==2\n")
     assert clone.calls(level) == [install]
     assert clone.calls(level) == []
 
 
-def test_changed_requirement_of_tests_is_nothing_to_a_node(clone):
+def test_changed_test_requirement_installs_nothing_for_a_node(clone):
     clone.calls("dev")
     clone.write("requirements-lab.txt", "rich==2\n")
     assert clone.calls("run") == []
     assert clone.calls("dev") == [INSTALL_DEV]
 
 
-def test_requirement_goes_back_and_forth(clone):
-    """The mark forgets what a later installation has replaced."""
+def test_requirement_that_is_changed_back_is_installed_again(clone):
+    """The marker file must not keep a version that a later installation has replaced."""
     clone.calls("run")
     for text in ("orjson==2\n", REQUIREMENTS["requirements.txt"]):
         clone.write("requirements.txt", text)
         assert clone.calls("run") == [INSTALL_RUN]
 
 
-def test_version_is_compared_whole(clone):
+def test_version_is_not_compared_by_its_prefix(clone):
     clone.write("requirements.txt", "orjson==1.1\n")
     clone.calls("run")
     clone.write("requirements.txt", "orjson==1.10\n")
     assert clone.calls("run") == [INSTALL_RUN]
 
 
-def test_dropped_requirement_and_new_comment_install_nothing(clone):
+def test_removed_requirement_and_new_comment_install_nothing(clone):
     clone.write("requirements.txt", "orjson==1\nidna==1\n")
     clone.calls("run")
     clone.write("requirements.txt", "# another comment\n\norjson==1")
     assert clone.calls("run") == []
 
 
-def test_venv_without_python_is_made_anew(clone):
+def test_venv_without_python_is_created_again(clone):
     clone.calls("dev")
     (clone.venv / "bin" / "python").unlink()
-    assert clone.calls("run") == [MAKE, INSTALL_RUN]
+    assert clone.calls("run") == [CREATE, INSTALL_RUN]
 
 
-def test_venv_whose_python_finds_no_pip_is_made_anew(clone):
-    """As after the system's Python has become another version."""
+def test_venv_whose_python_finds_no_pip_is_created_again(clone):
+    """This happens when the system's Python has been upgraded to another version."""
     clone.calls("run")
     clone.write(".venv/bin/python", "#!/bin/sh\nexit 1\n")
-    assert clone.calls("run") == [MAKE, INSTALL_RUN]
+    assert clone.calls("run") == [CREATE, INSTALL_RUN]
 
 
-def test_venv_of_the_build_before_the_common_mark_is_taken_over(clone):
+def test_venv_of_an_earlier_build_with_its_own_marker_is_reused(clone):
     clone.calls("run")
     shutil.copy(clone.folder / "requirements.txt", clone.venv / "installed.txt")
     assert clone.calls("run") == []
 
 
-def test_venv_of_ci_before_the_common_mark_is_taken_over(clone):
+def test_venv_of_an_earlier_ci_run_with_its_own_marker_is_reused(clone):
     clone.calls("dev")
     (clone.venv / "installed.txt").unlink()
     clone.write(".venv/installed-dev.txt", "".join(REQUIREMENTS.values()))
@@ -175,21 +175,21 @@
 
 
 @pytest.mark.parametrize("arguments", ["", "lab", "run dev", "''"])
-def test_bad_argument_is_one_line_and_touches_nothing(clone, arguments):
+def test_bad_argument_gives_one_line_and_changes_nothing(clone, arguments):
     code, calls, errors = clone.sh(f"sh deploy/venv {arguments}")
     assert (code, calls, errors) == (2, [], "usage: deploy/venv run|dev\n")
     assert not clone.venv.exists()
 
 
-def test_build_line_makes_the_venv_and_the_bytecode(clone):
+def test_build_command_creates_the_venv_and_the_bytecode(clone):
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
-    assert clone.sh(build)[:2] == (0, [MAKE, INSTALL_RUN, COMPILE])
+    assert clone.sh(build)[:2] == (0, [CREATE, INSTALL_RUN, COMPILE])
     assert clone.sh(build)[:2] == (0, [COMPILE])
 
 
-def test_build_line_fails_when_the_installation_fails(clone):
+def test_build_command_fails_when_the_installation_fails(clone):
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     clone.write("no-network", "")
     code, calls, _ = clone.sh(build)
     assert code != 0
-    assert calls == [MAKE, INSTALL_RUN]
+    assert calls == [CREATE, INSTALL_RUN]
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -37,7 +37,7 @@
       "from caperdeck.__main__ import main; sys.exit(main(['serve']))"  # fmt: skip
 
 
-class StandIns:
+class FakeFleet:
     """A discovery whose one host answers each line by what the test at hand says."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
 
 @pytest.fixture(scope="module")
 def stand_ins():
-    return StandIns()
+    return FakeFleet()
 
 
 @pytest.fixture
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""A node whose configuration is published: the control file, the file of the version in force, the watch."""
+"""A node with a published configuration: the control file, merging of versions, the file of the version."""
 
 import errno
 import json
@@ -36,14 +36,14 @@
 
 
 def control_file(path, here, instances=INSTANCES, **changes):
-    """The text of a file with these keys in place of the usual ones; without a key that is None."""
+    """Writes a control file with these keys changed; a key that is None is left out."""
     keys = {"cluster": "t", "zone": "z0", "region": "north", "folder": str(here)} | changes
     rows = [f"{key} = {json.dumps(value)}" for key, value in keys.items() if value is not None]
     path.write_text("\n".join(rows) + "\n" + instances)
     return str(path)
 
 
-def test_a_control_file_is_read_whole(tmp_path):
+def test_a_control_file_is_read_completely(tmp_path):
     control = load_control(control_file(tmp_path / "control", tmp_path), "n1")
     assert control == (
         "t", Place("n1", "z0", "north"), str(tmp_path),
@@ -75,7 +75,7 @@
     ({"instances": INSTANCES.replace("127.0.0.1:7101", "10.0.0.1:7101")}, "o1.address: .* off loopback"),
     ({"instances": INSTANCES.replace("o1", "o0")}, "not valid TOML: Cannot declare"),
 ])  # fmt: skip
-def test_a_control_file_that_cannot_be_used_is_named_in_one_line(tmp_path, capsys, changes, text):
+def test_an_unusable_control_file_is_reported_in_one_line(tmp_path, capsys, changes, text):
     path = control_file(tmp_path / "control", tmp_path, **changes)
     with pytest.raises(ConfigError, match=text):
         load_control(path, "n1")
@@ -86,22 +86,22 @@
         assert said.startswith(f"caperdeck: control {path}: ") and said.count("\n") == 1
 
 
-def test_check_takes_a_control_file(tmp_path, capsys):
+def test_check_accepts_a_control_file(tmp_path, capsys):
     write(tmp_path / "c", CONFIG)
     path = control_file(tmp_path / "control", tmp_path)
     assert main(["check", f"--config={tmp_path / 'c'}", f"--control={path}"]) == 0
 
 
-def test_the_file_to_start_from_can_be_used(tmp_path):
+def test_the_example_control_file_is_valid(tmp_path):
     text = (Path(__file__).parent.parent / "deploy" / "control.toml").read_text()
     (tmp_path / "control").write_text(text.replace("/var/lib/caperdeck", str(tmp_path)))
     assert list(load_control(str(tmp_path / "control"), "n1").instances) == ["o0", "o1", "o2"]
 
 
-# ---- a version over the node's own file
+# ---- merging a version into the node's file
 
 
-def own(tmp_path, **changes):
+def load_own(tmp_path, **changes):
     return load_config(write(tmp_path / "own", CONFIG | changes), keep_file_values=True)
 
 
@@ -109,7 +109,7 @@
 
 
 def test_a_version_replaces_what_it_may_set_and_nothing_else(tmp_path):
-    config = own(tmp_path)
+    config = load_own(tmp_path)
     rows = [ROW | {"name": "chat2"}]
     new = apply_version(
         config, {"discovery": "127.0.0.1:8600", "settings": {"listeners": rows, "fleetSize": 9}}
@@ -134,14 +134,14 @@
     ({"settings": {"listeners": 7}}, "^settings.listeners: a value of the wrong kind"),
     ({"settings": {"fleetSize": 3, "limits": {"mostDials": 0}}}, "^settings.limits: .*limits.mostDials is 0"),
 ])  # fmt: skip
-def test_a_version_that_cannot_be_served_names_the_field(tmp_path, document, text):
-    for check in (check_document, lambda x: apply_version(own(tmp_path), x)):
+def test_an_unusable_version_is_reported_with_its_field(tmp_path, document, text):
+    for check in (check_document, lambda x: apply_version(load_own(tmp_path), x)):
         with pytest.raises(ConfigError, match=text) as caught:
             check(document)
         assert "\n" not in str(caught.value)
 
 
-# ---- the file of the version in force
+# ---- the file of the applied version
 
 
 def held(revision, document=None):
@@ -153,7 +153,7 @@
     return VersionFile(str(folder), "t", node)
 
 
-def test_a_version_and_the_numbers_come_back_and_never_go_back(tmp_path):
+def test_the_stored_version_and_the_reserved_numbers_never_decrease(tmp_path):
     assert version_file(tmp_path).read() == (NOTHING, 0)
     first = version_file(tmp_path)
     assert first.reserve(5000.0) == (NOTHING, 5000, 5000 + BLOCK)
@@ -167,7 +167,7 @@
     assert second.read() == (held(8), 5000 + 2 * BLOCK)
 
 
-def test_a_file_with_any_byte_changed_or_cut_off_counts_as_nothing_held(tmp_path):
+def test_a_file_with_a_changed_byte_or_truncated_counts_as_empty(tmp_path):
     file = version_file(tmp_path)
     file.reserve(0.0)
     file.keep(held(7))
@@ -182,8 +182,9 @@
     assert version_file(tmp_path).reserve(9000.0).held == NOTHING
 
 
-def test_a_node_that_loses_its_file_soon_after_a_restart_begins_above_its_earlier_lives(tmp_path):
-    # Danger: until its older words are forgotten, instances would not hear it, and status not tell of it.
+def test_a_node_that_loses_its_file_soon_after_a_restart_uses_numbers_above_its_earlier_ones(tmp_path):
+    # With lower numbers the instances would ignore the node until they had forgotten its earlier messages,
+    # and status would not list it.
     start, restart, lost = 1e12, 1e12 + 9000.0, 1e12 + 15_000.0
     version_file(tmp_path).reserve(start)
     used = version_file(tmp_path).reserve(restart).first + 100
@@ -191,7 +192,7 @@
     assert version_file(tmp_path).reserve(lost).first > used
 
 
-def test_another_nodes_file_is_not_taken_and_not_written_over(tmp_path):
+def test_another_nodes_file_is_neither_used_nor_overwritten(tmp_path):
     version_file(tmp_path).keep(held(7))
     other = version_file(tmp_path, "n2")
     for call in (other.read, lambda: other.reserve(0.0), lambda: other.keep(held(9))):
@@ -201,7 +202,7 @@
 
 
 @pytest.mark.parametrize("call", ["fsync", "replace"])
-def test_a_write_that_fails_leaves_the_version_before(tmp_path, monkeypatch, call):
+def test_a_failed_write_leaves_the_version_before(tmp_path, monkeypatch, call):
     file = version_file(tmp_path)
     file.keep(held(7))
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""A node as a process under versions that three real instances agree on."""
+"""A node process whose configuration is published by three real instances."""
 
 import os
 import signal
@@ -15,7 +15,7 @@
 
 
 class ServedNode:
-    """`serve --control`, by its file and its second address."""
+    """A process of `serve --control`, observed through its admin address."""
 
     def __init__(self, folder, instances):
         self.folder = folder
@@ -35,12 +35,12 @@
         self.process = subprocess.Popen(words, cwd=ROOT, env=environment, stderr=subprocess.PIPE)
         assert b"start node=n1" in next(x for x in self.process.stderr if b"version " not in x)
 
-    def figures(self):
+    def metrics(self):
         said = call_admin("127.0.0.1", self.admin, b"telemetry\n").splitlines()
         return dict(line.rpartition(" ")[::2] for line in said if line.startswith("app_config_"))
 
     def is_current_at(self, revision):
-        said = self.figures()
+        said = self.metrics()
         current = said['app_config_state{state="current"}'] == "1"
         return current and said["app_config_revision"] == str(revision)
 
@@ -51,16 +51,16 @@
 
 
 def settings(**changes):
-    """What is alike at all nodes."""
-    own = ("dcs", "locality")
-    return {key: value for key, value in (SETUP | changes).items() if key not in own}
+    """The settings that are the same on all nodes."""
+    node_settings = ("dcs", "locality")
+    return {key: value for key, value in (SETUP | changes).items() if key not in node_settings}
 
 
 def document(**changes):
     return {"discovery": "127.0.0.1:8500", "settings": settings(**changes)}
 
 
-def test_a_served_node_takes_versions_keeps_them_over_a_kill_and_refuses_what_it_cannot_serve(tmp_path):
+def test_a_node_applies_versions_keeps_them_over_a_kill_and_refuses_what_it_cannot_use(tmp_path):
     instances = Instances(tmp_path)
     node = None
     try:
@@ -75,13 +75,13 @@
         assert time.monotonic() - committed < 9.0
         node.kill()
         node.start()
-        assert node.figures()["app_config_revision"] == "2"
+        assert node.metrics()["app_config_revision"] == "2"
         until(lambda: node.is_current_at(2), 9.0)
-        refusable = document(fleetSize=7) | {"seed": "1"}
-        assert commands.publish(instances.owners, refusable, None) == 0
+        unusable = document(fleetSize=7) | {"seed": "1"}
+        assert commands.publish(instances.owners, unusable, None) == 0
         reason = 'app_config_refused{revision="3",reason="seed: not for a version to set'
-        until(lambda: any(name.startswith(reason) for name in node.figures()), 9.0)
-        assert node.figures()["app_config_revision"] == "2"
+        until(lambda: any(name.startswith(reason) for name in node.metrics()), 9.0)
+        assert node.metrics()["app_config_revision"] == "2"
         assert commands.publish(instances.owners, document(fleetSize=8), None) == 0
         until(lambda: node.is_current_at(4), 9.0)
         node.process.send_signal(signal.SIGTERM)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""No module of the package needs itself to be loaded or understood, directly or by way of others."""
+"""The package has no circular imports, and a node does not import the parts that it does not use."""
 
 import ast
 import subprocess
@@ -18,7 +18,7 @@
 
 
 def module_level(node: ast.AST) -> Iterator[ast.AST]:
-    """All nodes below one that are not inside a function."""
+    """All descendants of a node that are not inside a function."""
     for child in ast.iter_child_nodes(node):
         if not isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda):
             yield child
@@ -26,7 +26,7 @@
 
 
 def imported_names(path: Path, root: Path) -> set[str]:
-    """What a file imports outside its functions, also for type checkers alone.
+    """The names that a file imports outside its functions, including imports for type checkers only.
 
     `from a import b` gives both a and a.b, as b may be a module.
     """
@@ -43,22 +43,22 @@
 
 
 def import_order(root: Path, package: str) -> list[str]:
-    """The modules of a package, each after those that it imports; raises CycleError in a circle."""
+    """The modules of a package, each after those that it imports; raises CycleError for circular imports."""
     files = {module_name(path, root): path for path in (root / package).rglob("*.py")}
     graph = {name: (imported_names(path, root) & files.keys()) - {name} for name, path in files.items()}
     return list(TopologicalSorter(graph).static_order())
 
 
-def test_no_module_of_the_package_is_in_a_circle_of_imports():
+def test_the_package_has_no_circular_imports():
     try:
         order = import_order(ROOT, "caperdeck")
     except CycleError as error:
-        pytest.fail(f"circle of imports: {' <- '.join(error.args[1])}")
+        pytest.fail(f"circular imports: {' <- '.join(error.args[1])}")
     assert {"caperdeck.wire.client", "caperdeck.wire.session_handler", "caperdeck.wire.host"} <= set(order)
 
 
-def reached(root: Path, package: str, names: set[str]) -> set[str]:
-    """All modules that loading these loads, of the package and of others."""
+def imported_modules(root: Path, package: str, names: set[str]) -> set[str]:
+    """All modules that importing these imports, of the package and of others."""
     files = {module_name(path, root): path for path in (root / package).rglob("*.py")}
     found, left = set(), set(names)
     while left:
@@ -69,31 +69,33 @@
     return found
 
 
-OFF = ("distribution", "gossip", "leases", "owner", "peers", "raft")  # in `run`
-PURE = (
+OPTIONAL_PACKAGES = ("distribution", "gossip", "leases", "owner", "peers", "raft")  # off in `run`
+PURE_MODULES = (
     "publisher_selection", "confirmation", "document", "messages", "publisher", "status", "stream",
     "subscriber", "table",
 )  # fmt: skip
 
 
-def test_a_node_in_service_loads_none_of_the_parts_that_are_off():
-    serves = ("__main__", "lifecycle.logs", "lifecycle.reactor", "lifecycle.service", "ops.bans")
-    loaded = reached(ROOT, "caperdeck", {f"caperdeck.{name}" for name in serves})
+def test_a_serving_node_imports_no_optional_package():
+    serving = ("__main__", "lifecycle.logs", "lifecycle.reactor", "lifecycle.service", "ops.bans")
+    loaded = imported_modules(ROOT, "caperdeck", {f"caperdeck.{name}" for name in serving})
     assert "caperdeck.wire.session_handler" in loaded
-    assert [name for name in loaded if name.startswith(tuple(f"caperdeck.{part}." for part in OFF))] == []
+    assert [
+        name for name in loaded if name.startswith(tuple(f"caperdeck.{part}." for part in OPTIONAL_PACKAGES))
+    ] == []
 
 
-def test_what_is_decided_in_distribution_knows_no_network_and_no_process():
-    loaded = reached(ROOT, "caperdeck", {f"caperdeck.distribution.{name}" for name in PURE})
+def test_the_decisions_of_distribution_import_no_network_and_no_process():
+    loaded = imported_modules(ROOT, "caperdeck", {f"caperdeck.distribution.{name}" for name in PURE_MODULES})
     assert "caperdeck.raft.codec" in loaded and "orjson" in loaded
     banned = ("twisted", "socket", "loguru", "caperdeck.wire", "caperdeck.lifecycle", "caperdeck.owner")
     assert [name for name in loaded if name.startswith(banned)] == []
 
 
-OFF_HERE = ("control", "merge", "published", "owners", "sharing", "toml")  # of lifecycle
+OPTIONAL_LIFECYCLE_MODULES = ("control", "merge", "published", "owners", "sharing", "toml")
 
 
-def test_a_node_without_flags_loads_nothing_of_what_is_off():
+def test_a_node_without_flags_imports_nothing_optional():
     code = """
 import sys
 import caperdeck.__main__
@@ -105,14 +107,14 @@
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
     loaded = done.stdout.split()
-    off = [f"caperdeck.{name}" for name in (*OFF, "lab")] + [
-        f"caperdeck.lifecycle.{name}" for name in OFF_HERE
+    optional = [f"caperdeck.{name}" for name in (*OPTIONAL_PACKAGES, "lab")] + [
+        f"caperdeck.lifecycle.{name}" for name in OPTIONAL_LIFECYCLE_MODULES
     ]
     assert "caperdeck.lifecycle.service" in loaded
-    assert [name for name in loaded if any(name == x or name.startswith(f"{x}.") for x in off)] == []
+    assert [name for name in loaded if any(name == x or name.startswith(f"{x}.") for x in optional)] == []
 
 
-CIRCLES = {
+CIRCULAR_IMPORTS = {
     "absolute": ("import p.b", "import p.a"),
     "absolute name": ("from p.b import X", "from p.a import Y"),
     "module of a package": ("from p import b", "from p import a"),
@@ -125,8 +127,8 @@
 }
 
 
-@pytest.mark.parametrize("imports", CIRCLES.values(), ids=CIRCLES.keys())
-def test_each_kind_of_circle_is_found(tmp_path, imports):
+@pytest.mark.parametrize("imports", CIRCULAR_IMPORTS.values(), ids=CIRCULAR_IMPORTS.keys())
+def test_each_kind_of_circular_import_is_found(tmp_path, imports):
     package = tmp_path / "p"
     package.mkdir()
     for name, text in zip(("a", "b", "c"), (*imports, "from .a import Y"), strict=True):
@@ -136,7 +138,7 @@
         import_order(tmp_path, "p")
 
 
-def test_import_on_first_use_closes_no_circle(tmp_path):
+def test_an_import_inside_a_function_is_not_circular(tmp_path):
     package = tmp_path / "p"
     (package / "q").mkdir(parents=True)
     late = "def f():\n    from .a import Y"
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -23,7 +23,7 @@
 from helpers import (
     OPEN, START, accept, ask, connect, desk, dials, entry, figures, logged, opening, service_over, settings,
 )  # fmt: skip
-from node_processes import NodeProcesses, StandIns, until
+from node_processes import NodeProcesses, FakeFleet, until
 from test_upgrade import PortNumber, names, raised, sides
 
 from caperdeck.core.decide import Node
@@ -42,17 +42,17 @@
 
 
 @pytest.fixture(scope="module")
-def stand_ins():
-    return StandIns()
+def fake_fleet():
+    return FakeFleet()
 
 
 @pytest.fixture
-def run_nodes(tmp_path, stand_ins):
+def run_nodes(tmp_path, fake_fleet):
     made = []
 
     def run(folder=True):
-        stand_ins.requests = 0
-        made.append(NodeProcesses(tmp_path, stand_ins, scratch=folder))
+        fake_fleet.requests = 0
+        made.append(NodeProcesses(tmp_path, fake_fleet, shared_folder=folder))
         return made[-1]
 
     yield run
@@ -61,7 +61,7 @@
 
 
 def test_a_process_that_knows_of_starts_of_hosts_hands_its_connections_on(tmp_path):
-    nodes = NodeProcesses(tmp_path, StandIns(boot=1_790_000_000_000))
+    nodes = NodeProcesses(tmp_path, FakeFleet(boot=1_790_000_000_000))
     try:
         old = nodes.start()
         # the host counts as cold, and takes a session once its budget has one saved up
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("old, new, folder", LACKS)
 def test_the_old_process_sends_nothing_to_a_host_that_the_new_one_was_told_to_take_out(
-    run_nodes, stand_ins, old, new, folder
+    run_nodes, fake_fleet, old, new, folder
 ):
     nodes = run_nodes(folder)
     first = nodes.start(old)
@@ -87,12 +87,12 @@
     for number, (sock, _) in enumerate(resting):
         sock.sendall(opening(number) + b"\r\n")
     assert [lines.readline()[:4] for _, lines in resting] == [b"BUSY"] * 3
-    assert stand_ins.requests == 0
+    assert fake_fleet.requests == 0
 
 
 @pytest.mark.parametrize("old, new, folder", LACKS[:4])
 def test_the_new_process_sends_nothing_to_a_host_that_the_old_one_was_told_to_take_out(
-    run_nodes, stand_ins, old, new, folder
+    run_nodes, fake_fleet, old, new, folder
 ):
     nodes = run_nodes(folder)
     first = nodes.start(old)
@@ -103,7 +103,7 @@
     assert first.wait(30) == 0
     resting[0].close()
     _, lines = nodes.client(1)
-    assert lines.readline().startswith(b"BUSY") and stand_ins.requests == 0
+    assert lines.readline().startswith(b"BUSY") and fake_fleet.requests == 0
 
 
 def test_a_link_that_fails_for_a_moment_leaves_the_processes_one_node(run_nodes):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 from helpers import (
     connect, desk, opening, row, service_over, up,
 )  # fmt: skip
-from node_processes import NodeProcesses, StandIns, until
+from node_processes import NodeProcesses, FakeFleet, until
 from twisted.internet.task import Clock
 
 from caperdeck.ops.link import (
@@ -446,7 +446,7 @@
 
 @pytest.fixture
 def nodes(tmp_path):
-    nodes = NodeProcesses(tmp_path, StandIns())
+    nodes = NodeProcesses(tmp_path, FakeFleet())
     yield nodes
     nodes.end()
 
