--- a/caperdeck/__main__.py
+++ b/caperdeck/__main__.py
@@ -117,13 +117,13 @@
     reactor = install_reactor()
     sink, reread, published = start_logging(level), lambda: reload_config(os.environ, path), None
     if control is not None:
-        from caperdeck.lifecycle.published import Published
+        from caperdeck.lifecycle.published import PublishedConfig
 
-        published = Published(
+        published = PublishedConfig(
             reactor, control, lambda: reload_config(os.environ, path, keep_file_values=True)
         )
         try:
-            config, reread = published.first(config), published.reread
+            config, reread = published.initial_config(config), published.reread
         except ConfigError as error:
             print(f"caperdeck: {error}", file=sys.stderr)
             return 2
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -27,7 +27,7 @@
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.merge import PLACEHOLDER_CONFIG
-from caperdeck.lifecycle.published import Published
+from caperdeck.lifecycle.published import PublishedConfig
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.owner.process import steady
 from caperdeck.state.addresses import parse_address
@@ -42,7 +42,7 @@
 
 
 class Figures:
-    """What `Published` counts at a service."""
+    """What `PublishedConfig` counts at a service."""
 
     invalid = 0
 
@@ -52,7 +52,7 @@
         self.figures = Figures()
 
 
-class ControlledNode(Published):
+class ControlledNode(PublishedConfig):
     """Stands for the service too: takes a configuration by keeping it."""
 
     clock = staticmethod(steady)
@@ -63,7 +63,7 @@
             own |= {"settings": own["settings"] | ONE_AIM}
         super().__init__(reactor, control, lambda: replace(decode(own, None), file_values=own), disk)
         self.put, self.desk = put, Desk()
-        self.config = self.first(self.read_own())
+        self.config = self.initial_config(self.read_file())
 
     @property
     def name(self) -> str:
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -1,5 +1,5 @@
-"""A node under published versions: its own file with the version in force over it, at the start, at SIGHUP
-and whenever a version comes; and the figures of that.
+"""The configuration of a node under published versions: its own file with the active version merged in, at
+the start, on SIGHUP and whenever a version arrives; and the metrics of that.
 """
 
 from __future__ import annotations
@@ -19,52 +19,55 @@
 from .control import Control
 from .merge import apply_version
 
-NEVER = -1  # in place of an age
+NEVER_CONFIRMED = -1  # is printed in place of an age in milliseconds
 
 
-class Published:
-    """`read_own` gives the node's own file as it is now, kept for merging; it raises ConfigError."""
+class PublishedConfig:
+    """Merges versions into the node's file, and watches for new ones while the node takes clients.
+
+    `read_file` reads the node's file with its values kept for merging; it raises ConfigError.
+    """
 
     def __init__(
-        self, reactor: Any, control: Control, read_own: Callable[[], Config], disk: Disk | None = None,
+        self, reactor: Any, control: Control, read_file: Callable[[], Config], disk: Disk | None = None,
     ) -> None:  # fmt: skip
-        self.reactor, self.control, self.read_own, self.disk = reactor, control, read_own, disk
-        self.file = VersionFile(control.folder, control.cluster, control.place.name)
-        self.held, self.refused = NOTHING, None  # at the start
+        self.reactor, self.control, self.read_file, self.disk = reactor, control, read_file, disk
+        self.version_file = VersionFile(control.folder, control.cluster, control.place.name)
+        self.initial_version, self.initial_refusal = NOTHING, None
         self.watch: NodeWatch | None = None
         self.service: Any = None
 
     # ---- before the node serves
 
-    def first(self, own: Config) -> Config:
-        """What the node starts with. Raises ConfigError where the folder is another node's."""
+    def initial_config(self, file_config: Config) -> Config:
+        """The configuration that the node starts with; raises ConfigError if the folder is another node's."""
         try:
-            held = self.file.read().held
+            held = self.version_file.read().held
         except ForeignFileError as error:
             raise ConfigError(f"control folder: {error}") from None
         except VersionFileError as error:
             logger.error("version reason=file {}", error)
-            return own
+            return file_config
         try:
-            config = apply_version(own, held.document)
+            config = apply_version(file_config, held.document)
         except ConfigError as error:
-            # Danger: a node that does not start serves nobody; its own file is one that it can serve.
-            self.refused = Refusal(held.revision, one_line(str(error)))
-            logger.error("version refused revision={} {}", held.revision, self.refused.reason)
-            return own
-        self.held = held
+            # A node that does not start serves nobody, and its own file is known to be usable.
+            self.initial_refusal = Refusal(held.revision, one_line(str(error)))
+            logger.error("version refused revision={} {}", held.revision, self.initial_refusal.reason)
+            return file_config
+        self.initial_version = held
         return config
 
-    # ---- the node's calls
+    # ---- called by the node
 
     def start(self, service: Any) -> None:
-        """The node takes clients: it watches from now on."""
+        """The node takes clients: watches for versions from now on."""
         if self.watch is None:
             self.service = service
             control, disk = self.control, self.disk or DiskThread(self.reactor)
             self.watch = NodeWatch(
-                self.reactor, service.clock, control.cluster, control.place, control.instances, self.file,
-                disk, self, self.held, self.refused,
+                self.reactor, service.clock, control.cluster, control.place, control.instances,
+                self.version_file, disk, self, self.initial_version, self.initial_refusal,
             )  # fmt: skip
         self.watch.start()
 
@@ -72,18 +75,19 @@
         if self.watch is not None:
             self.watch.stop()
 
-    def busy(self, reload: Callable[[], None]) -> bool:
-        """A version is on its way into force; the call is made after that."""
+    def defer_reload(self, reload: Callable[[], None]) -> bool:
+        """Whether a version is being applied; the reload is then called after that."""
         return self.watch is not None and self.watch.after_writing(reload)
 
     def reread(self) -> Config:
-        """The node's own file anew, with the version in force over it. Raises ConfigError."""
-        held = self.held if self.watch is None else self.watch.in_force
-        return apply_version(self.read_own(), held.document)
+        """Reads the node's file again and merges the active version into it; raises ConfigError."""
+        held = self.initial_version if self.watch is None else self.watch.in_force
+        return apply_version(self.read_file(), held.document)
 
-    # ---- of the watch
+    # ---- called by the watch
 
     def prepare(self, held: Held) -> Config:
+        """The configuration under the version; raises UnservableError."""
         try:
             return apply_version(self.service.config, held.document)
         except ConfigError as error:
@@ -91,18 +95,20 @@
             raise UnservableError(str(error)) from None
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
+        """Makes the node use a configuration that `prepare` returned."""
         self.service.take(prepared)
 
-    # ---- figures
+    # ---- metrics
 
     def lines(self) -> list[str]:
+        """The metrics in the text format, one per line."""
         watch = self.watch
         if watch is None:
-            return [f"app_config_revision {self.held.revision}", *_state_lines(State.STARTING)]
+            return [f"app_config_revision {self.initial_version.revision}", *_state_lines(State.STARTING)]
         age = watch.clock() - watch.confirmed_at()
         lines = [
             f"app_config_revision {watch.in_force.revision}", *_state_lines(watch.state()),
-            f"app_config_confirmed_ms {NEVER if age == float('inf') else round(age)}",
+            f"app_config_confirmed_ms {NEVER_CONFIRMED if age == float('inf') else round(age)}",
         ]  # fmt: skip
         if watch.refused is not None:
             revision, reason = watch.refused
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -297,7 +297,7 @@
 
     def reload(self) -> None:
         """Takes the file whole or not at all; what needs a restart is named and stays as it is."""
-        if self.published is not None and self.published.busy(self.reload):
+        if self.published is not None and self.published.defer_reload(self.reload):
             return
         try:
             new = self.reread()
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -1,4 +1,7 @@
-"""A node under published versions: a real service and subscriber, a real publisher, transports in memory."""
+"""A node with published versions of its configuration.
+
+Service, subscriber and publisher are real; transports and disk are in memory, except where a test says so.
+"""
 
 import socket
 import subprocess
@@ -24,7 +27,7 @@
 from caperdeck.lifecycle.config import load_config, reload_config
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import Sink
-from caperdeck.lifecycle.published import Published
+from caperdeck.lifecycle.published import PublishedConfig
 from caperdeck.lifecycle.service import Service
 from caperdeck.raft.codec import unwrap
 from caperdeck.state.addresses import Address
@@ -37,16 +40,16 @@
     return {"settings": {"fleetSize": nodes}}
 
 
-class Socket(Wire):
+class FakeTransport(Wire):
     def setsockopt(self, *_):
         pass
 
 
-class Disk:
-    """Makes calls at once; keeps what came of them while it is held up, or makes none while it is full."""
+class FakeDisk:
+    """Makes calls at once. While delayed it keeps their results back; while it is full all calls fail."""
 
     def __init__(self):
-        self.held_up, self.full, self.told = False, False, []
+        self.delayed, self.full, self.pending_results = False, False, []
 
     def __call__(self, call, then):
         try:
@@ -55,18 +58,18 @@
             result = call()
         except VersionFileError as error:
             result = error
-        self.told.append((then, result))
-        if not self.held_up:
-            self.tell()
+        self.pending_results.append((then, result))
+        if not self.delayed:
+            self.deliver_results()
 
-    def tell(self):
-        told, self.told = self.told, []
-        for then, result in told:
+    def deliver_results(self):
+        results, self.pending_results = self.pending_results, []
+        for then, result in results:
             then(result)
 
 
-class Instances:
-    """One publisher over a table that is agreed on at once; it confirms itself unless told otherwise."""
+class FakeInstances:
+    """One publisher over a table without consensus; it confirms itself unless `confirms` is off."""
 
     def __init__(self, clock):
         self.clock, self.table, self.confirms = clock, Versions(), True
@@ -77,9 +80,9 @@
     def publish(self, document):
         newest = self.table.newest.revision
         assert self.table.apply(propose(self.table, newest, document, 1)).get("ok")
-        self.turn()
+        self.step()
 
-    def turn(self):
+    def step(self):
         if self.confirms:
             self.publisher.confirmed(self.clock(), self.table.newest.revision)
         self.send(self.publisher.changed(self.clock()))
@@ -91,7 +94,7 @@
                 self.send_to[send.node](encode(send.message, "t"))
 
     def receive(self, frame, write):
-        """The frame of a node without its length, and what writes to that node."""
+        """Takes a node's frame without its length prefix, and the function that writes to that node."""
         message = message_from_node(*unwrap(frame, "t"), len(frame))
         self.heard.append(message)
         if isinstance(message, Subscribe):
@@ -99,17 +102,17 @@
         self.send(self.publisher.receive(self.clock(), message))
 
 
-class Node:
-    """One life of a node: its service, with everything around it in memory but the folder."""
+class NodeUnderTest:
+    """One process of a node: its service, with everything around it in memory except the folder."""
 
     def __init__(self, folder, name="n1", reactor=None, address=ADDRESS, **own):
-        self.folder, self.disk = folder, Disk()
+        self.folder, self.disk = folder, FakeDisk()
         self.reactor = reactor or MemoryReactorClock()
         self.environment = write(folder / "c", CONFIG | own | {"name": name})
         place = Place("o0", "z0", "north")
         control = Control("t", Place(name, "z0", "north"), str(folder), {"o0": Instance(place, address)})
-        self.published = Published(self.reactor, control, self.read_own, self.disk)
-        config = self.published.first(load_config(self.environment, keep_file_values=True))
+        self.published = PublishedConfig(self.reactor, control, self.read_file, self.disk)
+        config = self.published.initial_config(load_config(self.environment, keep_file_values=True))
         self.service = Service(
             self.reactor, config, Sink(2), self.published.reread, published=self.published,
         )  # fmt: skip
@@ -117,7 +120,7 @@
         self.service.clock, self.service.knows = d.clock, True
         self.connections = []
 
-    def read_own(self):
+    def read_file(self):
         return reload_config(self.environment, keep_file_values=True)
 
     def start(self):
@@ -132,18 +135,18 @@
     def revision(self):
         return self.watch.in_force.revision
 
-    def play(self, instances, seconds=3.0):
-        """What the node and the instances say goes to and fro while the clock goes on."""
+    def run(self, instances, seconds=3.0):
+        """Advances the clock and carries the messages between the node and the instances."""
         for _ in range(round(seconds / 0.1)):
             self.reactor.advance(0.1)
-            instances.turn()
+            instances.step()
             for _ in range(4):
                 self.exchange(instances)
         return self
 
     def exchange(self, instances):
         for *_, factory, _, _ in self.reactor.tcpClients[len(self.connections) :]:
-            connection, wire = factory.buildProtocol(None), Socket()
+            connection, wire = factory.buildProtocol(None), FakeTransport()
             self.connections.append((connection, wire))
             connection.makeConnection(wire)
         for connection, wire in self.connections:
@@ -155,28 +158,28 @@
                 data = data[4 + size :]
 
     def lines(self):
-        told = []
-        self.service.telemetry(told.extend)
-        return [line for line in told if line.startswith("app_config_")]
+        answer = []
+        self.service.telemetry(answer.extend)
+        return [line for line in answer if line.startswith("app_config_")]
 
 
-def clocked(node):
-    return Instances(node.service.clock)
+def instances_for(node):
+    return FakeInstances(node.service.clock)
 
 
-def served(folder, *documents, **parts):
-    """A node that has the newest of these versions in force, and its instances."""
-    node = Node(folder, **parts).start()
-    instances = clocked(node)
+def node_with_versions(folder, *documents, **parts):
+    """A node on which the newest of these versions is active, and its instances."""
+    node = NodeUnderTest(folder, **parts).start()
+    instances = instances_for(node)
     for document in documents:
         instances.publish(document)
-        node.play(instances)
+        node.run(instances)
     assert node.revision == len(documents)
     return node, instances
 
 
-def test_a_version_is_kept_put_in_force_and_told_of(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5), fleet_size(6))
+def test_a_version_is_stored_applied_and_reported(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5), fleet_size(6))
     assert node.service.config.settings.nodes == 6 and node.watch.state() is State.CURRENT
     assert VersionFile(str(tmp_path), "t", "n1").read().held.document == fleet_size(6)
     (row,) = instances.publisher.status(instances.clock()).rows
@@ -184,8 +187,8 @@
     assert node.service.desk.figures.accepted == 2
 
 
-def test_the_figures_say_what_is_in_force_and_what_is_not(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
+def test_the_metrics_report_the_active_and_the_refused_version(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     lines = node.lines()
     assert [line for line in lines if "confirmed" not in line] == [
         "app_config_revision 1",
@@ -198,88 +201,88 @@
     assert name == "app_config_confirmed_ms" and 0 <= int(age) <= 1500
     instances.publish({"listen": "127.0.0.1:1"})
     instances.confirms = False
-    node.play(instances, 9.0)
+    node.run(instances, 9.0)
     said = "\n".join(node.lines())
     assert 'refused{revision="2",reason="listen: not for a version to set' in said
     assert 'state="stale"} 1' in said and "publisher" not in said
 
 
-def test_without_control_nothing_is_told_of_versions(tmp_path):
-    node = Node(tmp_path)
+def test_without_a_control_file_there_are_no_metrics_of_versions(tmp_path):
+    node = NodeUnderTest(tmp_path)
     node.service.published = None
     assert node.lines() == []
 
 
-def test_a_version_that_one_of_two_nodes_refuses_is_kept_out_there_and_the_next_goes_to_both(tmp_path):
+def test_a_version_refused_by_one_of_two_nodes_is_skipped_there_and_the_next_reaches_both(tmp_path):
     nodes, reactor = [], MemoryReactorClock()
     for name, specifics in (("n1", {}), ("n2", {"specifics": {"messageAim": [0.3, "none"]}})):
         (tmp_path / name).mkdir()
         own = {"settings": SETUP | specifics}
-        nodes.append(Node(tmp_path / name, name, reactor, **own).start())
-    instances = clocked(nodes[0])
-    nodes[1].connections = nodes[0].connections  # of one reactor
+        nodes.append(NodeUnderTest(tmp_path / name, name, reactor, **own).start())
+    instances = instances_for(nodes[0])
+    nodes[1].connections = nodes[0].connections  # both nodes are on one reactor
     instances.publish(fleet_size(5))
-    nodes[0].play(instances)
+    nodes[0].run(instances)
     row = SETUP["listeners"][0]
     instances.publish({"settings": {"listeners": [row, row | {"name": "second"}]}})
-    nodes[0].play(instances)
+    nodes[0].run(instances)
     assert [node.revision for node in nodes] == [2, 1]
     refused = {r.node: r.refused for r in instances.publisher.status(instances.clock()).rows}
     assert refused["n1"] is None and refused["n2"].revision == 2
     assert refused["n2"].reason.startswith("settings.listeners: a value of the wrong kind")
     assert nodes[1].service.config.settings.nodes == 5 and nodes[1].service.desk.figures.invalid == 1
     instances.publish(fleet_size(7))
-    nodes[0].play(instances)
+    nodes[0].run(instances)
     assert [node.revision for node in nodes] == [3, 3]
 
 
-def test_a_restarted_node_serves_from_its_file_and_is_current_once_confirmed(tmp_path):
-    _, instances = served(tmp_path, fleet_size(5))
-    node = Node(tmp_path)
+def test_a_restarted_node_serves_from_its_stored_version_and_is_current_once_confirmed(tmp_path):
+    _, instances = node_with_versions(tmp_path, fleet_size(5))
+    node = NodeUnderTest(tmp_path)
     assert node.service.config.settings.nodes == 5
     node.start()
     assert (node.revision, node.watch.state()) == (1, State.STARTING)
     instances.clock = node.service.clock
     instances.publisher = Publisher("o0", instances.table, instances.clock())
-    node.play(instances)
+    node.run(instances)
     assert node.watch.state() is State.CURRENT
 
 
-def test_a_node_that_dies_between_write_and_apply_starts_with_the_newer_version(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
-    node.disk.held_up = True
+def test_a_node_that_dies_between_storing_and_applying_starts_with_the_newer_version(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
+    node.disk.delayed = True
     instances.publish(fleet_size(6))
-    node.play(instances)
+    node.run(instances)
     assert node.revision == 1 and node.service.config.settings.nodes == 5
     assert all(message.revision < 2 for message in instances.heard)
-    assert Node(tmp_path).service.config.settings.nodes == 6
+    assert NodeUnderTest(tmp_path).service.config.settings.nodes == 6
 
 
-def test_a_version_in_the_file_that_cannot_be_served_now_is_refused_and_told_of(tmp_path):
+def test_a_stored_version_that_has_become_unusable_is_refused_and_reported(tmp_path):
     row = SETUP["listeners"][0]
-    served(tmp_path, {"settings": {"listeners": [row, row | {"name": "second"}]}})
+    node_with_versions(tmp_path, {"settings": {"listeners": [row, row | {"name": "second"}]}})
     aims = {"settings": SETUP | {"specifics": {"messageAim": [0.3, "none"]}}}
     with logged() as log:
-        node = Node(tmp_path, **aims).start()
+        node = NodeUnderTest(tmp_path, **aims).start()
     assert any("version refused revision=1 settings.listeners: " in line for line in log)
     assert node.revision == 0 and node.watch.subscriber.refusal.revision == 1
-    assert node.watch.subscriber.highest == 1  # nothing older is taken in its place
+    assert node.watch.subscriber.highest == 1  # no older version may replace it
 
 
-def test_a_reload_beside_a_version_waits_for_it_and_both_are_in_force(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
-    node.disk.held_up = True
+def test_a_reload_during_an_update_waits_for_it_and_both_take_effect(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
+    node.disk.delayed = True
     instances.publish(fleet_size(6))
-    node.play(instances)
+    node.run(instances)
     write(tmp_path / "c", CONFIG | {"limits": {"sockets": 512}})
     node.service.reload()
     assert node.service.config.sockets == 256
-    node.disk.tell()
+    node.disk.deliver_results()
     assert (node.service.config.sockets, node.service.config.settings.nodes, node.revision) == (512, 6, 2)
 
 
-def test_a_reload_puts_the_version_over_the_nodes_file_again(tmp_path):
-    node, _ = served(tmp_path, fleet_size(5))
+def test_a_reload_merges_the_version_into_the_nodes_file_again(tmp_path):
+    node, _ = node_with_versions(tmp_path, fleet_size(5))
     write(tmp_path / "c", CONFIG | {"discovery": "127.0.0.1:8600", "limits": {"sockets": 512}})
     node.service.reload()
     config = node.service.config
@@ -289,11 +292,11 @@
     assert node.service.config is config and node.service.desk.figures.invalid == 1
     write(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
     node.service.reload()
-    assert node.service.config is config  # a file that was cut short
+    assert node.service.config is config  # the file was truncated
 
 
-def test_a_file_that_was_cut_short_is_not_made_whole_by_the_version(tmp_path):
-    node, _ = served(tmp_path, {"settings": {"projects": [{"name": "acme"}]}})
+def test_a_version_does_not_supply_the_missing_keys_of_a_truncated_file(tmp_path):
+    node, _ = node_with_versions(tmp_path, {"settings": {"projects": [{"name": "acme"}]}})
     config = node.service.config
     short = {key: value for key, value in SETUP.items() if key != "projects"}
     write(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
@@ -301,30 +304,30 @@
     assert node.service.config is config and node.service.desk.figures.invalid == 1
 
 
-def test_a_disk_that_is_full_refuses_the_version_and_the_node_serves_on(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
+def test_with_a_full_disk_the_version_is_refused_and_the_node_goes_on_serving(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
     instances.publish(fleet_size(6))
-    node.play(instances)
+    node.run(instances)
     (row,) = instances.publisher.status(instances.clock()).rows
     assert (row.revision, row.refused) == (1, (2, "version: No space left on device"))
     assert node.service.config.settings.nodes == 5 and node.watch.state() is not State.STARTING
     node.disk.full = False
     instances.publish(fleet_size(7))
-    node.play(instances)
+    node.run(instances)
     assert (node.revision, node.service.config.settings.nodes) == (3, 7)
 
 
-def test_a_version_that_the_disk_did_not_take_is_tried_again_ever_more_slowly_until_it_does(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
+def test_a_version_that_could_not_be_written_is_retried_with_growing_delays(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
     with logged() as log:
         instances.publish(fleet_size(6))
-        node.play(instances, 200.0)
+        node.run(instances, 200.0)
     tries = [line for line in log if "version refused revision=2" in line]
-    assert len(tries) == 7  # at once and after 5, 15, 35, 75, 135, 195 s
+    assert len(tries) == 7  # at 0, 5, 15, 35, 75, 135 and 195 s
     node.disk.full = False
-    node.play(instances, LONGEST_RETRY / 1000.0)
+    node.run(instances, LONGEST_RETRY / 1000.0)
     assert (node.revision, node.service.config.settings.nodes) == (2, 6)
     assert node.watch.refused is None and node.watch.state() is State.CURRENT
     (row,) = instances.publisher.status(instances.clock()).rows
@@ -332,27 +335,27 @@
     assert VersionFile(str(tmp_path), "t", "n1").read().held.revision == 2
 
 
-def test_a_version_is_written_again_so_many_times_and_not_once_there_is_a_newer_one(tmp_path, monkeypatch):
+def test_write_retries_are_limited_and_end_with_a_newer_version(tmp_path, monkeypatch):
     monkeypatch.setattr("caperdeck.distribution.node.MOST_RETRIES", 2)
-    node, instances = served(tmp_path, fleet_size(5))
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
     with logged() as log:
         instances.publish(fleet_size(6))
-        node.play(instances, 60.0)
+        node.run(instances, 60.0)
         assert sum("version refused revision=2" in line for line in log) == 3
         instances.publish(fleet_size(7))
-        node.play(instances, 2.0)
+        node.run(instances, 2.0)
         node.disk.full = False
         instances.publish(fleet_size(8))
-        node.play(instances, 30.0)
+        node.run(instances, 30.0)
     assert sum("version refused revision=3" in line for line in log) == 1
     assert (node.revision, node.service.config.settings.nodes) == (4, 8)
 
 
 @pytest.mark.parametrize("step", ["prepare", "put_in_force"])
-def test_a_fault_of_the_program_refuses_the_version_and_the_next_one_is_taken(step, tmp_path, monkeypatch):
-    # Danger: a version that is neither applied nor refused would keep out all later ones.
-    node, instances = served(tmp_path, fleet_size(5))
+def test_after_an_internal_error_the_version_is_refused_and_the_next_one_applied(step, tmp_path, monkeypatch):
+    # A version that is neither applied nor refused would block all later ones.
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
 
     def fails(*_):
         raise TypeError("a fault")
@@ -360,61 +363,61 @@
     with monkeypatch.context() as patched:
         patched.setattr(node.published, step, fails)
         instances.publish(fleet_size(6))
-        node.play(instances)
+        node.run(instances)
     (row,) = instances.publisher.status(instances.clock()).rows
     assert row.refused == (2, "internal: TypeError('a fault')")
     instances.publish(fleet_size(7))
-    node.play(instances)
+    node.run(instances)
     assert (node.revision, node.service.config.settings.nodes) == (3, 7)
 
 
-def test_a_node_without_a_disk_at_its_start_serves_and_watches_once_there_is_one(tmp_path):
-    node = Node(tmp_path)
+def test_a_node_whose_disk_fails_at_the_start_watches_once_it_works(tmp_path):
+    node = NodeUnderTest(tmp_path)
     node.disk.full = True
     node.start()
-    instances = clocked(node)
+    instances = instances_for(node)
     instances.publish(fleet_size(5))
-    node.play(instances)
+    node.run(instances)
     assert not instances.heard and node.watch.state() is State.STARTING
     node.disk.full = False
-    node.play(instances, 8.0)
+    node.run(instances, 8.0)
     assert node.revision == 1
 
 
-def test_a_damaged_file_is_told_of_and_counts_as_nothing_held(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
+def test_a_damaged_file_is_reported_and_counts_as_empty(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     (tmp_path / "version").write_bytes(b"{}")
     with logged() as log:
-        second = Node(tmp_path)
+        second = NodeUnderTest(tmp_path)
     assert len([line for line in log if "version reason=file" in line and "damaged" in line]) == 1
     second.reactor.advance(node.reactor.seconds())
     second.start()
     instances.clock = second.service.clock
-    second.play(instances)
+    second.run(instances)
     assert second.revision == 1
 
 
-def test_no_number_is_used_twice_and_none_that_is_not_reserved(tmp_path):
-    node, instances = served(tmp_path, fleet_size(5))
+def test_no_message_number_is_used_twice_or_without_being_reserved(tmp_path):
+    node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.watch.subscriber.number_from(node.watch.end - 1)
     node.disk.full = True
     before = len(instances.heard)
-    node.play(instances)
+    node.run(instances)
     assert len(instances.heard) == before and node.watch.dropped["no-numbers"]
     node.disk.full = False
-    node.play(instances, 8.0)
+    node.run(instances, 8.0)
     numbers = [message.number for message in instances.heard]
     assert numbers == sorted(set(numbers)) and len(numbers) > before
     assert numbers[-1] >= START + BLOCK
-    highest, node = numbers[-1], Node(tmp_path).start()
+    highest, node = numbers[-1], NodeUnderTest(tmp_path).start()
     assert node.watch.subscriber.number > highest
 
 
-def test_a_process_that_takes_a_node_over_takes_its_version_over(tmp_path):
-    old, instances = served(tmp_path, fleet_size(5))
-    new = Node(tmp_path)
+def test_a_successor_process_takes_over_the_version(tmp_path):
+    old, instances = node_with_versions(tmp_path, fleet_size(5))
+    new = NodeUnderTest(tmp_path)
     instances.publish(fleet_size(6))
-    old.play(instances)
+    old.run(instances)
     old.published.stop()
     assert (new.service.config.settings.nodes, old.watch.subscriber) == (5, None)
     new.start()
@@ -424,16 +427,16 @@
     assert old.revision == 2
 
 
-def test_what_a_process_writes_late_does_not_undo_its_successors_version(tmp_path):
-    old, _ = served(tmp_path, fleet_size(5))
+def test_a_late_write_does_not_undo_the_successors_version(tmp_path):
+    old, _ = node_with_versions(tmp_path, fleet_size(5))
     new = VersionFile(str(tmp_path), "t", "n1")
     new.keep(Held(3, digest(fleet_size(7)), fleet_size(7)))
     with pytest.raises(VersionFileError, match="revision 3 is there already"):
-        old.published.file.keep(Held(2, digest(fleet_size(6)), fleet_size(6)))
+        old.published.version_file.keep(Held(2, digest(fleet_size(6)), fleet_size(6)))
     assert new.read().held.revision == 3
 
 
-def test_a_part_of_a_message_counts_as_an_answer_for_a_while():
+def test_a_partial_message_counts_as_an_answer_for_a_limited_time():
     one = Subscriber(Place("n", "z", "r"), [Place("o0", "z", "r")], Held(0, digest({}), {}), 1, 7, 0.0)
     one.tick(one.due)
     start = one.tried_at
@@ -444,17 +447,27 @@
     assert one.due == start + 700.0 + ANSWER
 
 
-# ---- the revision in force never goes back
+# ---- the active revision never decreases
 
-EVENTS = ["publish", "refusable", "restart", "die-writing", "full", "free", "older", "reload", "take-over"]
+EVENT_KINDS = [
+    "publish",
+    "refusable",
+    "restart",
+    "die-writing",
+    "full",
+    "free",
+    "older",
+    "reload",
+    "take-over",
+]
 
 
 @settings(max_examples=30, derandomize=True, database=None, deadline=None)
-@given(st.lists(st.sampled_from(EVENTS), min_size=3, max_size=10))
-def test_the_revision_in_force_never_goes_back_over_restarts(tmp_path_factory, events):
+@given(st.lists(st.sampled_from(EVENT_KINDS), min_size=3, max_size=10))
+def test_the_active_revision_never_decreases_over_restarts(tmp_path_factory, events):
     folder = tmp_path_factory.mktemp("node")
-    node = Node(folder).start()
-    instances, seconds, highest = clocked(node), 0.0, 0
+    node = NodeUnderTest(folder).start()
+    instances, seconds, highest = instances_for(node), 0.0, 0
     for count, event in enumerate(events):
         match event:
             case "publish":
@@ -463,7 +476,7 @@
                 instances.publish({"settings": {"fleetSize": count + 2, "limits": {"mostDials": 0}}})
             case "full" | "free":
                 node.disk.full = event == "full"
-            case "older":  # an instance that has forgotten all but its first version
+            case "older":  # an instance that has lost all but its first version
                 instances.table = Versions()
                 instances.publisher = Publisher("o0", instances.table, instances.clock())
                 instances.publish(fleet_size(99))
@@ -471,17 +484,17 @@
                 node.service.reload()
             case "restart" | "die-writing" | "take-over":
                 if event == "die-writing":
-                    node.disk.held_up = True
+                    node.disk.delayed = True
                     instances.publish(fleet_size(count + 2))
-                    node.play(instances)
+                    node.run(instances)
                 if event == "take-over":
                     node.published.stop()
                 seconds = node.reactor.seconds()
-                node = Node(folder)
+                node = NodeUnderTest(folder)
                 node.reactor.advance(seconds)
                 node.start()
                 instances.clock = node.service.clock
-        node.play(instances, 1.5)
+        node.run(instances, 1.5)
         assert node.revision >= highest
         highest = node.revision
         assert (
@@ -493,29 +506,29 @@
 # ---- over sockets
 
 
-class Watched(Int32StringReceiver):
-    """An instance's end of a watch."""
+class InstanceConnection(Int32StringReceiver):
+    """An instance's end of a watch connection."""
 
     def stringReceived(self, data):
         self.factory.instances.receive(data, self.transport.write)
 
 
-def test_versions_come_over_loopback_sockets(tmp_path):
+def test_versions_arrive_over_loopback_sockets(tmp_path):
     reactor = Stepped()
-    factory = ServerFactory.forProtocol(Watched)
+    factory = ServerFactory.forProtocol(InstanceConnection)
     port = reactor.listenTCP(0, factory, interface="127.0.0.1")
     address = Address("127.0.0.1", port.getHost().port)
-    node = Node(tmp_path, reactor=reactor, address=address).start()
-    factory.instances = instances = clocked(node)
+    node = NodeUnderTest(tmp_path, reactor=reactor, address=address).start()
+    factory.instances = instances = instances_for(node)
     instances.publish(fleet_size(5))
 
     def until(done):
         for _ in range(400):
             if done():
                 return
-            instances.turn()
+            instances.step()
             reactor.pass_time(0.05)
-        raise AssertionError("it never came to that")
+        raise AssertionError("the condition never became true")
 
     until(lambda: node.revision == 1 and node.watch.state() is State.CURRENT)
     assert node.service.config.settings.nodes == 5
@@ -529,24 +542,24 @@
     reactor.close()
 
 
-def test_a_write_in_its_thread_is_told_of_in_the_reactor(tmp_path):
+def test_a_write_in_the_disk_thread_calls_back_in_the_reactor_thread(tmp_path):
     code = f"""
 from twisted.internet import reactor
 from caperdeck.distribution.node import DiskThread
 from caperdeck.distribution.version_file import VersionFile
 import threading
-disk, file, told = DiskThread(reactor), VersionFile({str(tmp_path)!r}, "t", "n1"), []
+disk, file, results = DiskThread(reactor), VersionFile({str(tmp_path)!r}, "t", "n1"), []
 def second(result):
-    told.append((type(result).__name__, threading.current_thread() is threading.main_thread()))
+    results.append((type(result).__name__, threading.current_thread() is threading.main_thread()))
     reactor.stop()
 def first(result):
-    told.append((result.first, threading.current_thread() is threading.main_thread()))
+    results.append((result.first, threading.current_thread() is threading.main_thread()))
     file.path = "/nowhere/version"
     file.folder = "/nowhere"
     disk(lambda: file.reserve(9.0), second)
 reactor.callWhenRunning(disk, lambda: file.reserve(7.0), first)
 reactor.run()
-print(told)
+print(results)
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
     assert done.stdout == "[(7, True), ('DiskError', True)]\n", done.stderr
