--- a/caperdeck/execution/resumption.py
+++ b/caperdeck/execution/resumption.py
@@ -33,7 +33,7 @@
 
     def dial(self, s: Session, dial: int, host: int, until: float, connect_time_out: float) -> None: ...
 
-    def give_up(self, s: Session, reason: str) -> None: ...
+    def fail_session(self, s: Session, reason: str) -> None: ...
 
 
 class Resumption:
@@ -44,7 +44,7 @@
         self.waiting: dict[Session, str] = {}  # without a host's side, and for what they wait
 
     def begin(self, s: Session) -> None:
-        s.deadline = min(s.deadline, s.since + LONGEST)
+        s.deadline = min(s.deadline, s.requested_at + LONGEST)
         self._try(s)
 
     def ended(self, s: Session) -> None:
@@ -55,13 +55,13 @@
         self._later(s, reason)
 
     def _try(self, s: Session) -> None:
-        if s.over:
+        if s.finished:
             return
         carrier = self.carrier
-        host = carrier.hosts.index.get(s.request.at, -1)
-        if host < 0 or carrier.hosts.address[host] is None:
+        host = carrier.hosts.index_by_uid.get(s.request.resume_host, -1)
+        if host < 0 or carrier.hosts.addresses[host] is None:
             self._later(s, "unknown-host")
-        elif not carrier.budget.free:
+        elif not carrier.budget.free_descriptors:
             self._later(s, "no-sockets")
         else:
             self._waits(s, None)
@@ -73,7 +73,7 @@
         if now + AGAIN < self._answer_by(s):
             self.carrier.reactor.callLater(AGAIN / MS, self._try, s)
         else:
-            self.carrier.give_up(s, "host-lost")
+            self.carrier.fail_session(s, "host-lost")
 
     def _answer_by(self, s: Session) -> float:
         return s.deadline - ANSWER_MARGIN
@@ -83,5 +83,5 @@
         if reason is not None:
             self.waiting[s] = reason
             if reason != before:
-                logger.info("resume id={} host={} waits={}", s.request.id, s.request.at, reason)
-        self.carrier.budget.undialed = len(self.waiting)
+                logger.info("resume id={} host={} waits={}", s.request.id, s.request.resume_host, reason)
+        self.carrier.budget.undialed_sessions = len(self.waiting)
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -41,15 +41,15 @@
 ONE_AIM = {"specifics": {"messageAim": [0.3, "none"]}}
 
 
-class Figures:
+class Metrics:
     """What `PublishedConfig` counts at a service."""
 
-    invalid = 0
+    rejected_configs = 0
 
 
-class Desk:
+class SessionHandler:
     def __init__(self) -> None:
-        self.figures = Figures()
+        self.metrics = Metrics()
 
 
 class ControlledNode(PublishedConfig):
@@ -62,7 +62,7 @@
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
         super().__init__(reactor, control, lambda: replace(decode(own, None), file_values=own), disk)
-        self.put, self.desk = put, Desk()
+        self.put, self.handler = put, SessionHandler()
         self.config = self.initial_config(self.read_file())
 
     @property
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -91,7 +91,7 @@
         try:
             return apply_version(self.service.config, held.document)
         except ConfigError as error:
-            self.service.desk.figures.invalid += 1
+            self.service.handler.metrics.rejected_configs += 1
             raise UnservableError(str(error)) from None
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
--- a/caperdeck/lifecycle/reactor.py
+++ b/caperdeck/lifecycle/reactor.py
@@ -13,7 +13,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 
 REACTOR_MODULE = "twisted.internet.reactor"  # where Twisted keeps the reactor of the process
 
@@ -34,7 +34,7 @@
     """Returns the reactor of this process, and installs it if there is none; raises WallClockReactorError."""
     installed = sys.modules.get(REACTOR_MODULE)
     if installed is None:
-        installed = call_again(MonotonicReactor)
+        installed = call_with_retries(MonotonicReactor)
         installReactor(installed)
     if not isinstance(installed, MonotonicReactor):
         raise WallClockReactorError(f"{type(installed).__name__} is installed already")
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -11,7 +11,7 @@
 from caperdeck.gossip.shared_decisions import Marked
 from caperdeck.gossip.sharing import Sharing, Uses, life_from
 from caperdeck.state.addresses import Address, AddressError, parse_address
-from caperdeck.wire.session_handler import Desk
+from caperdeck.wire.session_handler import SessionHandler
 from caperdeck.wire.peers import PeerPort
 
 from .config import ConfigError
@@ -57,7 +57,7 @@
 
 
 def create_peer_port(
-    reactor: Any, desk: Desk, config: Any, uses: Uses,
+    reactor: Any, handler: SessionHandler, config: Any, uses: Uses,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
     """The port, not open yet, and its address; None, with a log line, if the node runs without peers."""
     configured = config.peers
@@ -75,9 +75,11 @@
         # A node can serve without peers, so an unusable list of them must not keep it from serving.
         logger.warning("peers reason=unusable {}", error)
         return None
-    now, shares = desk.clock(), desk.balancer.fleet_state
+    now, shares = handler.clock(), handler.balancer.fleet_state
     sharing = Sharing(
-        Marked(shares, uses, desk.report), configured.node_number, len(addresses), life_from(now),
+        Marked(shares, uses, handler.report_event), configured.node_number, len(addresses), life_from(now),
         config.settings.seed, now, uses, configured.tiers,
     )  # fmt: skip
-    return PeerPort(reactor, desk.clock, sharing, addresses, all_peers_address, desk.age), listen_address
+    return PeerPort(
+        reactor, handler.clock, sharing, addresses, all_peers_address, handler.read_delay
+    ), listen_address
--- a/caperdeck/ops/admin_server.py
+++ b/caperdeck/ops/admin_server.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from caperdeck.state.addresses import Address
-from caperdeck.state.errors import call_again
+from caperdeck.state.errors import call_with_retries
 from caperdeck.state.timers import cancel
 from caperdeck.wire.lines import BoundedPort, LineConnection
 
@@ -43,7 +43,7 @@
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        self.send_at_once()
+        self.disable_nagle()
         self.timer = self.server.reactor.callLater(CALLER_TIMEOUT_S, self.transport.abortConnection)
         self.server.connection_opened(self)
 
@@ -75,7 +75,7 @@
         if self.peer_closed:
             self.transport.loseConnection()
         else:
-            self.end_sending(self.server.reactor)
+            self.half_close(self.server.reactor)
 
     def keep_open(self) -> None:
         """Waits for the next call."""
@@ -98,7 +98,7 @@
 
     def connectionLost(self, reason) -> None:
         cancel(self.timer)
-        cancel(self.lingers)
+        cancel(self.linger_timer)
         self.server.connection_closed(self)
 
 
@@ -114,11 +114,11 @@
 
     def listen(self, address: Address) -> BoundedPort:
         port = BoundedPort(address.port, self, LISTEN_BACKLOG, address.host, self.reactor)
-        call_again(port.startListening)
+        call_with_retries(port.startListening)
         return port
 
     @property
-    def acceptable(self) -> int:
+    def acceptable_connections(self) -> int:
         """How many connections may be accepted now; others wait in the kernel's queue."""
         return max(MAX_CONNECTIONS - len(self.connections), 1)
 
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -9,11 +9,11 @@
 from caperdeck.wire.client import ClientConnection
 from caperdeck.wire.request import parse_request
 from caperdeck.wire.host import HostConnection
-from caperdeck.wire.lines import OneConnection
+from caperdeck.wire.lines import SingleConnectionFactory
 
 if TYPE_CHECKING:
     from caperdeck.state.sessions import Session
-    from caperdeck.wire.session_handler import Desk
+    from caperdeck.wire.session_handler import SessionHandler
 
 MAX_BUFFERED_BYTES = 32 << 10  # per connection; a session with more is handed over once they have been sent
 
@@ -30,8 +30,15 @@
 
 def can_hand_over(s: Session) -> bool:
     """Whether the session is established, both sides are open, and neither has begun to close."""
-    client, conn = s.client, s.conn
-    if not s.up_at or s.over or client.closing or conn is None or conn.ended or conn.farewell:
+    client, conn = s.client, s.host_connection
+    if (
+        not s.established_at
+        or s.finished
+        or client.closing
+        or conn is None
+        or conn.ended
+        or conn.announced_end
+    ):
         return False
     if not client.connected or not conn.connected:
         return False
@@ -39,13 +46,13 @@
     return max(map(len, buffers)) <= MAX_BUFFERED_BYTES
 
 
-def encode_session(desk: Desk, s: Session) -> tuple[dict[str, Any], list[int]]:
+def encode_session(handler: SessionHandler, s: Session) -> tuple[dict[str, Any], list[int]]:
     """The message that hands the session over, and the descriptors that go with it: client, then host."""
-    client, conn = s.client, s.conn
+    client, conn = s.client, s.host_connection
     message = {
-        "say": "session", "line": decode_text(s.request.line), "host": desk.hosts.uid[s.host], "dial": s.dial,
-        "since": s.since, "deadline": s.deadline, "up_at": s.up_at, "heard_at": s.heard_at,
-        "asked": bool(s.asked_at),
+        "say": "session", "line": decode_text(s.request.line), "host": handler.hosts.uids[s.host],
+        "dial": s.dial, "since": s.requested_at, "deadline": s.deadline, "up_at": s.established_at,
+        "heard_at": s.client_heard_at, "asked": bool(s.unanswered_since),
         "read": [decode_text(client._buffer), decode_text(conn._buffer)],
         "unsent": [decode_text(unsent_bytes(client.transport)), decode_text(unsent_bytes(conn.transport))],
     }  # fmt: skip
@@ -74,21 +81,23 @@
     return True
 
 
-def adopt_session(desk: Desk, message: dict[str, Any], fds: list[int]) -> bool:
+def adopt_session(handler: SessionHandler, message: dict[str, Any], fds: list[int]) -> bool:
     """Takes over a session that another process of this node handed over; False if a side has gone."""
     try:
         if len(fds) != 2 or not all(map(is_connected, fds)):
             return False
-        client = ClientConnection(desk)
-        adopt_connection(desk, fds[0], client)
-        s = desk.sessions.new(parse_request(message["line"].encode("latin-1")), client, message["since"])
-        conn = HostConnection(desk, s, message["deadline"])
+        client = ClientConnection(handler)
+        adopt_connection(handler, fds[0], client)
+        s = handler.sessions.create(
+            parse_request(message["line"].encode("latin-1")), client, message["since"]
+        )
+        conn = HostConnection(handler, s, message["deadline"])
         conn.taken_up = True
-        adopt_connection(desk, fds[1], conn)
-        s.host, s.dial, s.conn = desk.hosts.know(message["host"]), message["dial"], conn
-        desk.sessions.stands(s, message["up_at"])
-        s.deadline, s.heard_at = message["deadline"], message["heard_at"]
-        desk.took_up(s, message["asked"])
+        adopt_connection(handler, fds[1], conn)
+        s.host, s.dial, s.host_connection = handler.hosts.index_of(message["host"]), message["dial"], conn
+        handler.sessions.mark_established(s, message["up_at"])
+        s.deadline, s.client_heard_at = message["deadline"], message["heard_at"]
+        handler.session_taken_over(s, message["asked"])
     finally:
         for fd in fds:
             os.close(fd)
@@ -102,5 +111,5 @@
     return True
 
 
-def adopt_connection(desk: Desk, fd: int, protocol: Any) -> None:
-    desk.reactor.adoptStreamConnection(fd, socket.AF_INET, OneConnection(protocol))
+def adopt_connection(handler: SessionHandler, fd: int, protocol: Any) -> None:
+    handler.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleConnectionFactory(protocol))
--- a/caperdeck/ops/link.py
+++ b/caperdeck/ops/link.py
@@ -17,7 +17,7 @@
 from twisted.internet.interfaces import IReadWriteDescriptor
 from zope.interface import implementer
 
-from caperdeck.state.errors import TRY_AGAIN_AFTER, call_again, is_momentary
+from caperdeck.state.errors import RETRY_DELAY_S, call_with_retries, is_transient
 from caperdeck.state.timers import cancel
 
 SOCKET_FILE = "caperdeck.sock"
@@ -95,7 +95,7 @@
     for address in addresses:
         try:
             # If the serving process were taken for gone, both would serve without knowing of each other.
-            return call_again(lambda address=address: _connect(address), passes=_is_transient)
+            return call_with_retries(lambda address=address: _connect(address), is_retryable=_is_transient)
         except OSError as error:
             # Most starts have no incumbent.
             level = "DEBUG" if error.errno in NO_LISTENER_ERRNOS else "WARNING"
@@ -128,7 +128,7 @@
 
 def _is_transient(error: BaseException) -> bool:
     """Whether resources of the machine, or room in a socket's queue, were lacking for a moment."""
-    return is_momentary(error) or getattr(error, "errno", 0) in (errno.EAGAIN, errno.ETOOMANYREFS)
+    return is_transient(error) or getattr(error, "errno", 0) in (errno.EAGAIN, errno.ETOOMANYREFS)
 
 
 @implementer(IReadWriteDescriptor)
@@ -160,7 +160,7 @@
             return
         except OSError:
             self.reactor.removeReader(self)
-            self.retry_timer = self.reactor.callLater(TRY_AGAIN_AFTER, self.reactor.addReader, self)
+            self.retry_timer = self.reactor.callLater(RETRY_DELAY_S, self.reactor.addReader, self)
             return
         sock.setblocking(False)
         if _is_same_user(sock):
@@ -250,7 +250,7 @@
 
     def _write_later(self) -> None:
         if not self._paused:
-            self.retry_timer = self.reactor.callLater(TRY_AGAIN_AFTER, self.doWrite)
+            self.retry_timer = self.reactor.callLater(RETRY_DELAY_S, self.doWrite)
 
     def doWrite(self) -> None:
         while self.open and self.unsent and not self._paused:
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from helpers import CONFIG, SETUP, START, Stepped, Wire, desk, logged, write
+from helpers import CONFIG, SETUP, START, Stepped, Wire, make_handler, logged, write
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.protocol import ServerFactory
@@ -116,7 +116,7 @@
         self.service = Service(
             self.reactor, config, Sink(2), self.published.reread, published=self.published,
         )  # fmt: skip
-        self.service.desk = d = desk(reactor=self.reactor)
+        self.service.handler = d = make_handler(reactor=self.reactor)
         self.service.clock, self.service.knows = d.clock, True
         self.connections = []
 
@@ -184,7 +184,7 @@
     assert VersionFile(str(tmp_path), "t", "n1").read().held.document == fleet_size(6)
     (row,) = instances.publisher.status(instances.clock()).rows
     assert (row.node, row.revision, row.stale) == ("n1", 2, False)
-    assert node.service.desk.figures.accepted == 2
+    assert node.service.handler.metrics.accepted_configs == 2
 
 
 def test_the_metrics_report_the_active_and_the_refused_version(tmp_path):
@@ -230,7 +230,9 @@
     refused = {r.node: r.refused for r in instances.publisher.status(instances.clock()).rows}
     assert refused["n1"] is None and refused["n2"].revision == 2
     assert refused["n2"].reason.startswith("settings.listeners: a value of the wrong kind")
-    assert nodes[1].service.config.settings.nodes == 5 and nodes[1].service.desk.figures.invalid == 1
+    assert (
+        nodes[1].service.config.settings.nodes == 5 and nodes[1].service.handler.metrics.rejected_configs == 1
+    )
     instances.publish(fleet_size(7))
     nodes[0].run(instances)
     assert [node.revision for node in nodes] == [3, 3]
@@ -289,7 +291,7 @@
     assert (config.discovery, config.sockets, config.settings.nodes) == ("127.0.0.1:8600", 512, 5)
     write(tmp_path / "c", "{")
     node.service.reload()
-    assert node.service.config is config and node.service.desk.figures.invalid == 1
+    assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
     write(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
     node.service.reload()
     assert node.service.config is config  # the file was truncated
@@ -301,7 +303,7 @@
     short = {key: value for key, value in SETUP.items() if key != "projects"}
     write(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
     node.service.reload()
-    assert node.service.config is config and node.service.desk.figures.invalid == 1
+    assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
 
 
 def test_with_a_full_disk_the_version_is_refused_and_the_node_goes_on_serving(tmp_path):
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from helpers import desk, row
+from helpers import make_handler, row
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -133,7 +133,7 @@
     assert {x.host % 3 for x in subsets.select(in_zone=True)} == {1} and len(
         subsets.select(in_zone=True)
     ) >= MIN_SUBSET_HOSTS
-    assert subsets.update([host for host in ring_hosts([1.0] * 30, zones=3) if host.zone != 1]) is None
+    assert subsets.update([row for row in ring_hosts([1.0] * 30, zones=3) if row.zone != 1]) is None
     assert subsets.select(in_zone=True) == [] and len(subsets.select(in_zone=False)) >= MIN_SUBSET_HOSTS
 
 
@@ -154,25 +154,25 @@
 
 
 def test_a_node_gets_its_subset_with_each_list_and_none_where_that_has_all_hosts():
-    d = desk(hosts=30)
+    d = make_handler(hosts=30)
     d.subsets = Subsets(3, 40)
-    d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(30)])
+    d.update_roster(True, [row(f"s-{h}", port=9000 + h) for h in range(30)])
     first = d.balancer._node.preferred
     assert len(first) in (8, 9) and first == d.subsets.restricted_hosts(False)
-    gone = d.hosts.uid[first[0]]
-    d.listed(False, [row(gone, state="Gone")])
+    gone = d.hosts.uids[first[0]]
+    d.update_roster(False, [row(gone, state="Gone")])
     assert first[0] not in d.balancer._node.preferred and len(d.balancer._node.preferred) in (8, 9)
-    d.listed(True, [row(f"s-{h}", port=9000 + h) for h in range(5)])
+    d.update_roster(True, [row(f"s-{h}", port=9000 + h) for h in range(5)])
     assert d.balancer._node.preferred == []
 
 
 def test_a_list_with_a_duplicate_id_leaves_the_last_subset_and_is_served():
-    d = desk(hosts=30)
+    d = make_handler(hosts=30)
     d.subsets = Subsets(3, 40)
-    d.narrow()
+    d.update_subsets()
     first = d.balancer._node.preferred
-    d.hosts.entry[2] = d.hosts.entry[2]._replace(stable_id=d.hosts.entry[1].stable_id)
-    d.narrow()
+    d.hosts.entries[2] = d.hosts.entries[2]._replace(stable_id=d.hosts.entries[1].stable_id)
+    d.update_subsets()
     assert d.balancer._node.preferred == first and d.subsets.refusal
 
 
