--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -72,7 +72,7 @@
     def refusal(self) -> Refused:
         return Refused(self.name, *self.watch.refused)
 
-    def take(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         self.config = config
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -55,16 +55,16 @@
     """A service that takes no clients, minds no signals and leaves its process's log alone."""
 
     def start_control(self, traffic: Traffic) -> None:
-        self.know(self.config.known_hosts)
+        self.load_hosts(self.config.known_hosts)
         self.discovery.start()
         CountedAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
-        self.keep_sweeping()
-        self.takes = True
-        self.join()
+        self.start_sweeping()
+        self.takes_clients = True
+        self.join_peers()
         if self.peers is not None:
             count_received_datagrams(traffic, self.peers)
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """There is no port for clients."""
 
     def exit(self, code: int = 0) -> None:
@@ -173,7 +173,7 @@
         return Sample(
             nodes=len(views), ready=self.ready, know_most=sum(share >= MOST for share in shares),
             known=sum(shares) / max(len(shares), 1),
-            told=sum(node.owned.target.epoch > 0 for node in self.nodes),
+            told=sum(node.owned_node.target.epoch > 0 for node in self.nodes),
             watched_dead=sum(holds_dead(swim, watched) for swim in views),
             watched_alive=sum(map(holds_alive, views, lives)),
             cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.beats.late,
--- a/caperdeck/lab/slopes/configuration.py
+++ b/caperdeck/lab/slopes/configuration.py
@@ -88,7 +88,7 @@
             MemoryReactorClock(), config, Sink(STANDARD_ERROR),
             lambda: reload_config(environment, str(self.path)),
         )  # fmt: skip
-        self.service.know(config.known_hosts)
+        self.service.load_hosts(config.known_hosts)
 
     def reload(self) -> float:
         """Seconds; raises ReloadError."""
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -38,7 +38,7 @@
 class Copy(Service):
     """The service as it is, but for signals and the port that only a real reactor has."""
 
-    def mind_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         pass
 
     def listen(self, fd: int = -1) -> None:
--- a/caperdeck/lifecycle/owners.py
+++ b/caperdeck/lifecycle/owners.py
@@ -34,7 +34,7 @@
         raise ConfigError(str(error)) from None
 
 
-class Owned:
+class OwnedNode:
     longest = LONGEST_ACT
 
     def __init__(
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -96,7 +96,7 @@
 
     def put_in_force(self, held: Held, prepared: Config) -> None:
         """Makes the node use a configuration that `prepare` returned."""
-        self.service.take(prepared)
+        self.service.apply_config(prepared)
 
     # ---- metrics
 
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -1,4 +1,4 @@
-"""The node as a service: start, SIGHUP, SIGTERM, exit."""
+"""The node as a service: its start, its reload on SIGHUP, its stop on SIGTERM and its exit."""
 
 from __future__ import annotations
 
@@ -34,20 +34,20 @@
 from .config import Config, ConfigError, check_keys_kept
 from .logs import Sink, traceback_line
 
-BACKLOG = 4096
-SERVE_ON = 450.0  # after SIGTERM, while clients still come
-LONGEST_STOP = 3000.0  # the longest wait of a client, or this if that is longer, and
-STOP_AFTER = 200.0  # so much more, until when all are moved
-MOVING = 1200.0  # the last part of that, in which they are moved, evenly
-SHORT_EVERY = 1000.0  # the log says so often at the most that sockets are short
-JOIN_AGAIN = 1.0  # seconds until the port for peers is tried again
-KILLED_AFTER = 700.0  # SIGKILL may come the longest wait of a client and so much more after SIGTERM
-ANSWER_BEFORE = 250.0  # so long before that everybody has been answered
-LINGER = 150.0  # from the last end until the exit
+LISTEN_BACKLOG = 4096
+MIN_SERVING_MS = 450.0  # after SIGTERM, as clients still arrive
+MAX_WAIT_MS = 3000.0  # upper limit of the clients' longest wait, for the duration of a stop
+STOP_MARGIN_MS = 200.0  # a stop lasts for the clients' longest wait and this long
+REDIRECT_SPAN_MS = 1200.0  # sessions are redirected evenly over this last part of a stop
+SHORTAGE_LOG_INTERVAL_MS = 1000.0  # between two log lines about missing sockets
+JOIN_RETRY_S = 1.0  # until the port for peers is opened again
+KILL_MARGIN_MS = 700.0  # SIGKILL may come this long after SIGTERM plus the clients' longest wait
+ANSWER_MARGIN_MS = 250.0  # every client has been answered this long before SIGKILL
+EXIT_LINGER_MS = 150.0  # between the last connection and the exit
 
 
-def subsets_of(config: Config) -> Subsets | None:
-    """By the own number on the list of nodes; None where there is none."""
+def create_subsets(config: Config) -> Subsets | None:
+    """The subsets of this node's number; None without a number, or with one that cannot be used."""
     if config.peers.node_number is None:
         return None
     try:
@@ -58,36 +58,39 @@
 
 
 class Service:
+    """A node: creates its parts, connects them to the reactor, and starts, reloads and stops them."""
+
     def __init__(
-        self, reactor: Any, config: Config, sink: Sink, reread: Callable[[], Config],
+        self, reactor: Any, config: Config, sink: Sink, read_config: Callable[[], Config],
         clock: Callable[[], float] = node_clock, date: Callable[[], float] = unix_time, uses: Any = None,
         owners: Any = None, subsets: bool = False, published: Any = None,
     ) -> None:  # fmt: skip
         self.reactor = reactor
         self.config = config
-        self.reread = reread
+        self.read_config = read_config
         self.sink = sink
         self.clock = clock
-        self.date_watch = WallClockMonitor(clock, date)
+        self.wall_clock_monitor = WallClockMonitor(clock, date)
         balancer = Balancer(config.settings, self.clock())
         budget = SocketBudget(config.sockets, 0)
         self.handler = SessionHandler(
             reactor, self.clock, balancer, config.names, config.limits, Hosts(config.names.zones), budget,
         )  # fmt: skip
-        self.handler.set_accepting = self.accept
-        self.handler.hosts.start_times.set_wall_clock_offset(self.date_watch.offset)
+        self.handler.set_accepting = self.set_accepting
+        self.handler.hosts.start_times.set_wall_clock_offset(self.wall_clock_monitor.offset)
         self.discovery = Discovery(
             reactor, config.discovery, config.known_revision, self.handler.update_roster,
-            self.discovery_heard, self.complain, BackOff(config.settings.seed, config.settings.nodes),
-            self.excused, config.limits.list_lifetime / MS,
+            self.discovery_heard, self.log_discovery_problem,
+            BackOff(config.settings.seed, config.settings.nodes), self.has_stalled,
+            config.limits.list_lifetime / MS,
         )  # fmt: skip
         self.handler.source = self.discovery
-        self.narrows = subsets
-        self.handler.subsets = subsets_of(config) if subsets else None
-        self.uses = uses  # None: it says nothing to its peers
-        self.peers: Any = None  # its port for datagrams
-        self.published = published  # None: its file alone says what it serves under
-        self.owned: Any = None  # what owners of work on behalf of the fleet have done here
+        self.use_subsets = subsets
+        self.handler.subsets = create_subsets(config) if subsets else None
+        self.uses = uses  # what is shared with peers; None for nothing
+        self.peers: Any = None  # the port for datagrams to and from peers
+        self.published = published  # None if the configuration is the node's file alone
+        self.owned_node: Any = None  # carries out the acts of owners, if there are any
         self.port = None
         self.calls = AdminCalls()
         self.calls.add("readyz", 0, self.readyz)
@@ -98,56 +101,60 @@
         self.calls.add("exclude", 1, self.ban_calls.exclude)
         self.calls.add("include", 1, self.ban_calls.include)
         if owners is not None:
-            from .owners import Owned
+            from .owners import OwnedNode
 
-            self.owned = Owned(
-                reactor, self.handler, owners, config.name, config.settings.nodes, self.bans_of,
+            self.owned_node = OwnedNode(
+                reactor, self.handler, owners, config.name, config.settings.nodes, self.excluded_hosts,
             )  # fmt: skip
-            self.calls.add("act", 3, self.owned.act, self.owned.longest, keep_open=True)
-        self.accepts = True
-        self.short_at = 0.0  # when the log last said that sockets are short
+            self.calls.add("act", 3, self.owned_node.act, self.owned_node.longest, keep_open=True)
+        self.accepting = True
+        self.shortage_logged_at = 0.0
         self.exit_code = 0
         self.stopped_at = 0.0
-        self.stop_span = self._stop_span()  # from then until all clients are moved
-        self.left = False
-        self.takes = False  # this process accepts clients
-        self.accepts_more = True  # until the end of a stop
+        self.stop_duration = self._stop_duration()  # until all clients have been redirected
+        self.exited = False
+        self.takes_clients = False  # False before the start, and once a successor has taken over
+        self.port_open = True  # until the end of a stop
         self.upgrade = Upgrade(reactor, self)
 
     def start(self) -> None:
+        """Starts serving, or takes over from a process of this node that serves; raises OSError, BansError or
+        CannotListenError.
+        """
         config = self.config
-        self.mind_signals()
+        self.install_signal_handlers()
         alone = not self.upgrade.contact_incumbent()
         if alone:
-            self.know_saved()
+            self.load_saved_hosts()
             self.discovery.start()
             self.handler.wait_for_list()
             self.listen()
         if config.admin is not None:
             AdminServer(self.reactor, self.calls).listen(config.admin)
-        self.keep_sweeping()
+        self.start_sweeping()
         self.handler.budget.used = open_descriptors() + 8 + RESERVED_DESCRIPTORS * (config.admin is not None)
         if alone:
             self.begin()
 
-    def mind_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         for number, do in (
-            (signal.SIGTERM, self.stop), (signal.SIGINT, self.stop), (signal.SIGHUP, self.told_to_reload),
+            (signal.SIGTERM, self.stop), (signal.SIGINT, self.stop),
+            (signal.SIGHUP, self.handle_reload_signal),
         ):  # fmt: skip
             signal.signal(number, lambda *_, do=do: self.reactor.callFromThread(do))
 
-    def know_saved(self) -> None:
-        """Takes in the hosts of the configuration, a list that was saved some time ago, and the bans."""
-        self.know(self.config.known_hosts)
+    def load_saved_hosts(self) -> None:
+        """Loads the hosts of the configuration, a list that was saved some time ago, and the bans."""
+        self.load_hosts(self.config.known_hosts)
         self.handler.hosts.start_times.mark_as_saved()
 
-    def know(self, rows: list, bans: UpgradeState | None = None) -> None:
-        """Takes in the hosts, and the bans, those of the file if none are given, before anything is sent."""
+    def load_hosts(self, rows: list, bans: UpgradeState | None = None) -> None:
+        """Loads the hosts and the bans, by default those of the file, before anything is sent to a host."""
         if bans is None:
             self.bans.load()
         else:
             self.bans.adopt(bans["bans"], bans.get("unsaved_bans", {}))
-            # Danger: a disk that is full for a moment must not end an upgrade half way; they hold in memory.
+            # A disk that is full for a moment must not abort an upgrade; the bans also apply from memory.
             self.ban_calls.save()
         self.handler.update_roster(True, rows)
         for uid in self.bans.uids:
@@ -155,10 +162,10 @@
         self.ban_calls.begin()
 
     def listen(self, fd: int = -1) -> None:
-        """Opens the clients' port, or goes on with one that was handed on; accepts nobody yet."""
+        """Opens the clients' port, or adopts the one of that descriptor, without accepting yet."""
         address, factory = self.config.listen, ClientFactory(self.handler)
         if fd < 0:
-            self.port = ClientPort(address.port, factory, BACKLOG, address.host, self.reactor)
+            self.port = ClientPort(address.port, factory, LISTEN_BACKLOG, address.host, self.reactor)
             call_with_retries(self.port.startListening)
         else:
             self.port = ClientPort._fromListeningDescriptor(self.reactor, fd, socket.AF_INET, factory)
@@ -167,18 +174,18 @@
         self.port.stopReading()
 
     def begin(self) -> None:
-        """From now on this process takes clients, and can be succeeded."""
+        """Accepts clients from now on, and can be found by a successor."""
         config = self.config
-        self.take_clients()
-        self.join()
+        self.start_accepting()
+        self.join_peers()
         self.upgrade.listen_for_successor()
         logger.info("start node={} listen={}:{} hosts={} sockets={} {}", config.name, *config.listen,
                     self.handler.hosts.running_count(), config.sockets,
                     self.handler.budget.summary)  # fmt: skip
 
-    def join(self) -> None:
-        """Speaks to its peers from now on, where the operator wants it and the settings allow it."""
-        if self.uses is None or self.peers is not None or self.stopped_at or not self.takes:
+    def join_peers(self) -> None:
+        """Opens the port for peers, if the operator wants sharing and the settings allow it."""
+        if self.uses is None or self.peers is not None or self.stopped_at or not self.takes_clients:
             return
         from .sharing import create_peer_port
 
@@ -189,28 +196,28 @@
         try:
             port.listen(address)
         except (OSError, CannotListenError) as error:
-            # the process before this one may not have gone yet
+            # The process before this one may not have closed its port yet.
             logger.warning("peers reason=cannot-listen {}", error)
-            self.reactor.callLater(JOIN_AGAIN, self.join)
+            self.reactor.callLater(JOIN_RETRY_S, self.join_peers)
             return
         self.peers = port
 
-    def part(self) -> None:
+    def leave_peers(self) -> None:
         if self.peers is not None:
             self.peers.stop()
             self.peers = None
 
-    def take_clients(self) -> None:
-        self.takes = self.accepts = True
+    def start_accepting(self) -> None:
+        self.takes_clients = self.accepting = True
         self.port.startReading()
         if self.published is not None:
             self.published.start(self)
 
     def stop_accepting(self) -> None:
-        """Another process of this node takes clients from now on."""
-        self.takes = False
-        # Danger: two processes under one name would both answer for it; the successor opens the port anew.
-        self.part()
+        """Leaves the clients' port to another process of this node."""
+        self.takes_clients = False
+        # Two processes would answer to peers under one node number; the successor opens that port again.
+        self.leave_peers()
         if self.published is not None:
             self.published.stop()
         if self.port is not None:
@@ -219,28 +226,29 @@
     def discovery_heard(self) -> None:
         self.handler.discovery_heard()
         if self.upgrade.waiting_to_begin:
-            # what the line holds is taken in first
+            # The line that arrived is to be processed first.
             self.reactor.callLater(0, self.upgrade.discovery_answered)
 
-    def excused(self) -> bool:
+    def has_stalled(self) -> bool:
+        """Whether the process was stalled, and input that arrived meanwhile may not have been read yet."""
         self.handler.clock()
         return bool(self.handler.stall)
 
-    def complain(self, reason: str, text: str) -> None:
+    def log_discovery_problem(self, reason: str, text: str) -> None:
         logger.warning("discovery reason={} {}", reason, text)
 
-    def keep_sweeping(self, failure: Any = None) -> None:
-        # Danger: a loop that has failed once stays still, and nothing would find silent hosts any more.
+    def start_sweeping(self, failure: Any = None) -> None:
+        # A LoopingCall that has failed does not run again, and silent hosts would no longer be found.
         if failure is not None:
             logger.error("internal reason=exception {}", traceback_line(failure))
         self.handler.last_turn_at = self.clock()
         loop = LoopingCall(self.sweep)
         loop.clock = self.reactor
-        loop.start(SWEEP / MS, now=False).addErrback(self.keep_sweeping)
+        loop.start(SWEEP / MS, now=False).addErrback(self.start_sweeping)
 
     def sweep(self) -> None:
-        if (step := self.date_watch.detect_step()) is not None:
-            # nothing is timed by the date, but the lines before and after this one carry it
+        if (step := self.wall_clock_monitor.detect_step()) is not None:
+            # No timer uses the wall clock, but the time stamps before and after this log line do.
             logger.warning("clock reason=date-stepped ms={:.0f}", step)
             self.handler.metrics.date_steps += 1
         self.handler.sweep()
@@ -248,72 +256,72 @@
         self.ban_calls.save()
         self.sink.flush()
 
-    def accept(self, on: bool) -> None:
-        """Takes new clients in, or leaves them to the kernel while sockets are short."""
-        if on is not self.accepts and self.port is not None:
-            self.accepts = on
-            if not self.takes:
+    def set_accepting(self, on: bool) -> None:
+        """Accepts new clients, or leaves them in the kernel's queue while sockets are short."""
+        if on is not self.accepting and self.port is not None:
+            self.accepting = on
+            if not self.takes_clients:
                 return
             (self.port.startReading if on else self.port.stopReading)()
-            if not on and self.clock() - self.short_at > SHORT_EVERY:
-                self.short_at = self.clock()
+            if not on and self.clock() - self.shortage_logged_at > SHORTAGE_LOG_INTERVAL_MS:
+                self.shortage_logged_at = self.clock()
                 budget = self.handler.budget
                 logger.warning(
                     "accept reason=no-sockets open={} {}", budget.client_connections, budget.summary
                 )
 
-    # ---- calls to the second address
+    # ---- calls to the admin address
 
-    def readyz(self, then: AnswerCallback) -> None:
-        if not self.takes or self.stopped_at:
+    def readyz(self, on_answer: AnswerCallback) -> None:
+        if not self.takes_clients or self.stopped_at:
             raise CallError("stopping" if self.stopped_at else "not-taking-clients")
-        then(ack())
+        on_answer(ack())
 
     def knows_host(self, uid: str) -> bool:
         return uid in self.handler.hosts.index_by_uid
 
-    def apply_ban(self, ban: BanChange) -> None:
-        """Takes a host out, or lets it serve again, at this process."""
-        owned_out = self.owned is not None and self.owned.is_out(ban.uid)
-        self.handler.set_ban(ban.uid, ban.excluded or owned_out)
+    def apply_ban(self, change: BanChange) -> None:
+        """Excludes a host in this process, or includes it again unless the owner of hosts excludes it."""
+        owned_out = self.owned_node is not None and self.owned_node.is_out(change.uid)
+        self.handler.set_ban(change.uid, change.excluded or owned_out)
 
-    def notify_other_process(self, ban: BanChange, then: Callable[[], None]) -> None:
-        self.upgrade.send_ban(ban.uid, ban.excluded, then)
+    def notify_other_process(self, change: BanChange, on_answer: Callable[[], None]) -> None:
+        self.upgrade.send_ban(change.uid, change.excluded, on_answer)
 
-    def bans_of(self) -> Iterable[str]:
-        """Hosts that an operator has taken out here."""
+    def excluded_hosts(self) -> Iterable[str]:
+        """Hosts that an operator has excluded."""
         return self.bans.uids
 
-    def telemetry(self, then: AnswerCallback) -> None:
+    def telemetry(self, on_answer: AnswerCallback) -> None:
         shared = self.peers.sharing.lines(self.handler.clock()) if self.peers is not None else []
-        owned = self.owned.lines() if self.owned is not None else []
+        owned = self.owned_node.lines() if self.owned_node is not None else []
         published = self.published.lines() if self.published is not None else []
-        then([*self.handler.metrics.lines(self.handler.gauges()), *shared, *owned, *published, "--"])
+        on_answer([*self.handler.metrics.lines(self.handler.gauges()), *shared, *owned, *published, "--"])
 
     # ---- a new configuration
 
-    def told_to_reload(self) -> None:
-        """By a signal, which comes to one process of the node."""
-        # Danger: the one that was not told would go on by the old file, and turn the new classes away.
+    def handle_reload_signal(self) -> None:
+        """Reloads on a signal, which only one process of the node gets."""
+        # Without the message the other process would keep the old file and refuse the new classes.
         self.upgrade.send_reload()
         self.reload()
 
     def reload(self) -> None:
-        """Takes the file whole or not at all; what needs a restart is named and stays as it is."""
+        """Applies the file as a whole or not at all; the log names changed keys that need a restart."""
         if self.published is not None and self.published.defer_reload(self.reload):
             return
         try:
-            new = self.reread()
+            new = self.read_config()
             check_keys_kept(self.config, new)
         except ConfigError as error:
-            # Danger: half a file, or one for another program, must not end a node that serves.
+            # A truncated file, or one of another program, must not stop a node that serves.
             self.handler.metrics.rejected_configs += 1
             logger.error("reload reason=unusable {}", error)
             return
-        self.take(new)
+        self.apply_config(new)
 
-    def take(self, new: Config) -> None:
-        """Serves under it from now on; it was checked whole."""
+    def apply_config(self, new: Config) -> None:
+        """Serves with a configuration that has been checked."""
         old = self.config
         self.handler.metrics.accepted_configs += 1
         kept = [key for key in ("name", "listen", "admin") if getattr(new, key) != getattr(old, key)]
@@ -324,77 +332,82 @@
             settings=replace(new.settings, seed=old.settings.seed, zone=old.settings.zone),
         )  # fmt: skip
         self.handler.budget.resize(new.sockets)
-        self.handler.subsets = subsets_of(self.config) if self.narrows else None
+        self.handler.subsets = create_subsets(self.config) if self.use_subsets else None
         self.handler.apply_settings(new.settings, new.names, new.limits)
         if new.peers != old.peers:
-            # Danger: the numbers of members mean others in another list.
-            self.part()
-            self.join()
+            # Node numbers refer to other nodes in another list of peers.
+            self.leave_peers()
+            self.join_peers()
         self.discovery.list_lifetime = new.limits.list_lifetime / MS
         if new.discovery != old.discovery:
             self.discovery.move_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
-                    ",".join(new.names.listeners), ",".join(kept) or "-")  # fmt: skip
+                    ",".join_peers(new.names.listeners), ",".join_peers(kept) or "-")  # fmt: skip
 
     # ---- the stop
 
     def stop(self) -> None:
-        """Serves on while clients come, then moves every standing session, evenly, and exits."""
+        """Goes on serving while clients arrive, then redirects all sessions evenly over time, and exits."""
         if self.stopped_at:
             return
         self.stopped_at = self.clock()
-        # frozen here: a SIGHUP that comes after it must not put off an end that SIGKILL does not wait for
-        self.stop_span = self._stop_span()
+        # Fixed now, as a later SIGHUP must not extend a stop for which SIGKILL does not wait.
+        self.stop_duration = self._stop_duration()
         self.handler.stopping = True
-        answer_after = self._longest_wait() + KILLED_AFTER - ANSWER_BEFORE
+        answer_after = self._longest_wait() + KILL_MARGIN_MS - ANSWER_MARGIN_MS
         self.handler.answer_by = self.stopped_at + answer_after
         self.reactor.callLater(answer_after / MS, self.handler.answer_pending)
-        # Danger: a successor that ends must not take over a port and connections that it would end with it.
+        # A successor that ends must not take over the port and the connections, as they would end with it.
         if self.upgrade.waiting_to_begin:
             self.exit()
             return
         logger.info("stop sessions={}", len(self.handler.sessions.by_index))
-        # Danger: in a rolling restart the node before may not be back; who is moved early has nowhere to go.
-        self.reactor.callLater(max(self.stop_span - MOVING, SERVE_ON) / MS, self.move_some)
+        # In a rolling restart the node before this one may not be back yet, so that clients that are
+        # redirected early could not go to it.
+        self.reactor.callLater(
+            max(self.stop_duration - REDIRECT_SPAN_MS, MIN_SERVING_MS) / MS, self.redirect_some
+        )
 
     def _longest_wait(self) -> float:
-        return min(self.config.limits.max_client_wait, LONGEST_STOP)
+        return min(self.config.limits.max_client_wait, MAX_WAIT_MS)
 
-    def _stop_span(self) -> float:
-        return max(self._longest_wait(), SERVE_ON) + STOP_AFTER
+    def _stop_duration(self) -> float:
+        return max(self._longest_wait(), MIN_SERVING_MS) + STOP_MARGIN_MS
 
-    def move_some(self) -> None:
+    def redirect_some(self) -> None:
         try:
-            self._move_share()
+            self._redirect_share()
         finally:
-            # Danger: one session that fails to move must not keep the process from ending.
-            self._go_on_stopping()
+            # A failure to redirect one session must not keep the process from ending.
+            self._continue_stop()
 
-    def _move_share(self) -> None:
-        """The sessions whose turn it is, so that all are moved evenly by the end of the span."""
+    def _redirect_share(self) -> None:
+        """Redirects as many sessions as it takes to be done evenly by the end of the stop."""
         standing = self.handler.sessions.established()
-        left = self.stopped_at + self.stop_span - self.clock()
-        steps = max(int(left / 50.0), 1)
+        remaining = self.stopped_at + self.stop_duration - self.clock()
+        steps = max(int(remaining / 50.0), 1)
         for s in standing[: -(-len(standing) // steps)]:
             self.handler.redirect(s, "stop")
-        self.handler.close_idle_clients(self.clock() - SERVE_ON)
-
-    def _go_on_stopping(self) -> None:
-        if self.handler.budget.client_connections or self.clock() < self.stopped_at + 2 * SERVE_ON:
-            self.reactor.callLater(0.05, self.move_some)
-        elif self.accepts_more:
-            self.accepts_more = not self.shut_port()
-            self.reactor.callLater(LINGER / MS, self.move_some)
+        self.handler.close_idle_clients(self.clock() - MIN_SERVING_MS)
+
+    def _continue_stop(self) -> None:
+        if self.handler.budget.client_connections or self.clock() < self.stopped_at + 2 * MIN_SERVING_MS:
+            self.reactor.callLater(0.05, self.redirect_some)
+        elif self.port_open:
+            self.port_open = not self.close_port()
+            self.reactor.callLater(EXIT_LINGER_MS / MS, self.redirect_some)
         else:
             self.exit()
 
-    def shut_port(self) -> bool:
-        """Takes in who has connected by now, and nobody who comes later; whether that could be done."""
+    def close_port(self) -> bool:
+        """Accepts the clients in the kernel's queue and closes the port; False if some are still queued."""
         if self.port is None:
             return True
-        # Danger: who lies in the queue of a port that closes is reset, with the request that is on the way.
-        takes = self.takes and self.handler.budget.may_accept() and self.clock() < self.handler.answer_by
-        if takes and not self.port.accept_pending():
+        # A client in the queue of a port that closes is reset, and loses the request that it has sent.
+        drains_queue = (
+            self.takes_clients and self.handler.budget.may_accept() and self.clock() < self.handler.answer_by
+        )
+        if drains_queue and not self.port.accept_pending():
             return False
         port, self.port = self.port, None
         self.upgrade.stop_listening()
@@ -402,14 +415,14 @@
         return True
 
     def exit(self, code: int = 0) -> None:
-        if self.left:
+        if self.exited:
             return
-        self.left, self.exit_code = True, code
+        self.exited, self.exit_code = True, code
         self.ban_calls.save()
-        self.part()
-        for part in (self.owned, self.published):
-            if part is not None:
-                part.stop()
+        self.leave_peers()
+        for component in (self.owned_node, self.published):
+            if component is not None:
+                component.stop()
         self.upgrade.detach()
         logger.info("exit ms={:.0f}", self.clock() - self.stopped_at if self.stopped_at else 0)
         self.sink.flush()
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -28,35 +28,49 @@
     return b"".join((bytes(transport.dataBuffer)[transport.offset :], *transport._tempDataBuffer))
 
 
-def can_hand_over(s: Session) -> bool:
+def can_hand_over(session: Session) -> bool:
     """Whether the session is established, both sides are open, and neither has begun to close."""
-    client, conn = s.client, s.host_connection
+    client, host_side = session.client, session.host_connection
     if (
-        not s.established_at
-        or s.finished
+        not session.established_at
+        or session.finished
         or client.closing
-        or conn is None
-        or conn.ended
-        or conn.announced_end
+        or host_side is None
+        or host_side.ended
+        or host_side.announced_end
     ):
         return False
-    if not client.connected or not conn.connected:
+    if not client.connected or not host_side.connected:
         return False
-    buffers = (client._buffer, conn._buffer, unsent_bytes(client.transport), unsent_bytes(conn.transport))
+    buffers = (
+        client._buffer,
+        host_side._buffer,
+        unsent_bytes(client.transport),
+        unsent_bytes(host_side.transport),
+    )
     return max(map(len, buffers)) <= MAX_BUFFERED_BYTES
 
 
-def encode_session(handler: SessionHandler, s: Session) -> tuple[dict[str, Any], list[int]]:
+def encode_session(handler: SessionHandler, session: Session) -> tuple[dict[str, Any], list[int]]:
     """The message that hands the session over, and the descriptors that go with it: client, then host."""
-    client, conn = s.client, s.host_connection
+    client, host_side = session.client, session.host_connection
     message = {
-        "say": "session", "line": decode_text(s.request.line), "host": handler.hosts.uids[s.host],
-        "dial": s.dial, "since": s.requested_at, "deadline": s.deadline, "up_at": s.established_at,
-        "heard_at": s.client_heard_at, "asked": bool(s.unanswered_since),
-        "read": [decode_text(client._buffer), decode_text(conn._buffer)],
-        "unsent": [decode_text(unsent_bytes(client.transport)), decode_text(unsent_bytes(conn.transport))],
-    }  # fmt: skip
-    return message, [client.transport.fileno(), conn.transport.fileno()]
+        "say": "session",
+        "line": decode_text(session.request.line),
+        "host": handler.hosts.uids[session.host],
+        "dial": session.dial,
+        "since": session.requested_at,
+        "deadline": session.deadline,
+        "up_at": session.established_at,
+        "heard_at": session.client_heard_at,
+        "asked": bool(session.unanswered_since),
+        "read": [decode_text(client._buffer), decode_text(host_side._buffer)],
+        "unsent": [
+            decode_text(unsent_bytes(client.transport)),
+            decode_text(unsent_bytes(host_side.transport)),
+        ],
+    }
+    return message, [client.transport.fileno(), host_side.transport.fileno()]
 
 
 def release_connection(protocol: Any) -> None:
@@ -72,8 +86,8 @@
     sock.close()
 
 
-def is_connected(fd: int) -> bool:
-    with socket.socket(fileno=os.dup(fd)) as sock:
+def is_connected(descriptor: int) -> bool:
+    with socket.socket(fileno=os.dup(descriptor)) as sock:
         try:
             sock.getpeername()
         except OSError:
@@ -81,27 +95,31 @@
     return True
 
 
-def adopt_session(handler: SessionHandler, message: dict[str, Any], fds: list[int]) -> bool:
+def adopt_session(handler: SessionHandler, message: dict[str, Any], descriptors: list[int]) -> bool:
     """Takes over a session that another process of this node handed over; False if a side has gone."""
     try:
-        if len(fds) != 2 or not all(map(is_connected, fds)):
+        if len(descriptors) != 2 or not all(map(is_connected, descriptors)):
             return False
         client = ClientConnection(handler)
-        adopt_connection(handler, fds[0], client)
-        s = handler.sessions.create(
+        adopt_connection(handler, descriptors[0], client)
+        session = handler.sessions.create(
             parse_request(message["line"].encode("latin-1")), client, message["since"]
         )
-        conn = HostConnection(handler, s, message["deadline"])
-        conn.taken_up = True
-        adopt_connection(handler, fds[1], conn)
-        s.host, s.dial, s.host_connection = handler.hosts.index_of(message["host"]), message["dial"], conn
-        handler.sessions.mark_established(s, message["up_at"])
-        s.deadline, s.client_heard_at = message["deadline"], message["heard_at"]
-        handler.session_taken_over(s, message["asked"])
+        host_side = HostConnection(handler, session, message["deadline"])
+        host_side.taken_up = True
+        adopt_connection(handler, descriptors[1], host_side)
+        session.host, session.dial, session.host_connection = (
+            handler.hosts.index_of(message["host"]),
+            message["dial"],
+            host_side,
+        )
+        handler.sessions.mark_established(session, message["up_at"])
+        session.deadline, session.client_heard_at = message["deadline"], message["heard_at"]
+        handler.session_taken_over(session, message["asked"])
     finally:
-        for fd in fds:
-            os.close(fd)
-    sides = (client, conn)
+        for descriptor in descriptors:
+            os.close(descriptor)
+    sides = (client, host_side)
     for side, data in zip(sides, message["unsent"], strict=True):
         if data:
             side.transport.write(data.encode("latin-1"))
@@ -111,5 +129,5 @@
     return True
 
 
-def adopt_connection(handler: SessionHandler, fd: int, protocol: Any) -> None:
-    handler.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleConnectionFactory(protocol))
+def adopt_connection(handler: SessionHandler, descriptor: int, protocol: Any) -> None:
+    handler.reactor.adoptStreamConnection(descriptor, socket.AF_INET, SingleConnectionFactory(protocol))
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -1,6 +1,7 @@
-"""This process's part in an upgrade: the successor of one that serves, later the incumbent of the next.
+"""This process's part in upgrades: at first as the successor of a serving process, later as the incumbent of
+the next one.
 
-What is said and when stands in upgrade_protocol.py; here is what a node does at each word of it.
+The messages and their order are in upgrade_protocol.py; this module has what a node does at each of them.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 )  # fmt: skip
 from .upgrade_protocol import Incumbent, Successor
 
-UpgradeState = dict[str, Any]  # what an incumbent tells its successor of itself
+UpgradeState = dict[str, Any]  # the state that an incumbent sends to its successor
 
-BUSY_RETRY_S = 0.25  # seconds until a successor asks again that found its incumbent busy
+BUSY_RETRY_S = 0.25  # until a successor asks a busy incumbent again
 MAX_BUSY_RETRIES = 24
-BIND_RETRY_S = 0.25  # seconds until an address that could not be had is tried again
+BIND_RETRY_S = 0.25  # until an address that could not be bound is tried again
 
 
 class UpgradingNode(Protocol):
-    """The node of this process."""
+    """The node of this process; implemented by `Service`."""
 
     config: Any
     handler: Any
@@ -40,28 +41,30 @@
     bans: Any
     ban_calls: Any
     port: Any
-    takes: bool
+    takes_clients: bool
 
-    def know(self, rows: list, bans: UpgradeState | None = None) -> None: ...
-    def know_saved(self) -> None: ...
+    def load_hosts(self, rows: list, bans: UpgradeState | None = None) -> None: ...
+    def load_saved_hosts(self) -> None: ...
     def listen(self, fd: int = -1) -> None: ...
     def begin(self) -> None: ...
-    def take_clients(self) -> None: ...
+    def start_accepting(self) -> None: ...
     def stop_accepting(self) -> None: ...
     def reload(self) -> None: ...
     def exit(self, code: int = 0) -> None: ...
 
 
 class Upgrade:
+    """The upgrades of a node, seen from this process; implements `UpgradeNode` for both sides."""
+
     def __init__(self, reactor: Any, node: UpgradingNode) -> None:
         self.reactor = reactor
         self.node = node
         self.side: Incumbent | Successor | None = None
         self.rendezvous_sockets: dict[UnixAddress, RendezvousSocket] = {}
-        self.bind_timer: Any = None  # the timer after which the addresses that failed are tried again
-        self.busy_answers = 0  # so often one that was busy
-        self.addresses: list[UnixAddress] = []  # where this process is to be found
-        self.reported_addresses: set[UnixAddress] = set()  # of those that could not be had
+        self.bind_timer: Any = None  # until the addresses that could not be bound are tried again
+        self.busy_answers = 0
+        self.addresses: list[UnixAddress] = []  # where a successor looks for this process
+        self.reported_addresses: set[UnixAddress] = set()  # their failure to bind has been logged
 
     @property
     def in_progress(self) -> bool:
@@ -69,7 +72,7 @@
 
     @property
     def waiting_to_begin(self) -> bool:
-        """A successor that has not begun; an incumbent that has given its port hands on what it has."""
+        """Whether this process is a successor that does not serve yet."""
         return isinstance(self.side, Successor) and not self.side.began
 
     def send_ban(self, uid: str, excluded: bool, on_done: Callable[[], None]) -> None:
@@ -83,11 +86,11 @@
             self.side.send_reload()
 
     def reload(self) -> None:
-        """The other process was told to."""
+        """Reloads because the other process was told to."""
         self.node.reload()
 
     def discovery_answered(self) -> None:
-        """Discovery has spoken to this process."""
+        """Discovery has sent something to this process."""
         if isinstance(self.side, Successor):
             self.side.discovery_answered()
 
@@ -99,22 +102,22 @@
         return [self.node.config.name, "{}:{}".format(*self.node.config.listen)]
 
     def apply_ban(self, uid: str, excluded: bool) -> None:
-        """The other process was told so, and has kept it."""
+        """Applies a ban that the other process was called with and has saved."""
         self.node.ban_calls.apply_notified(BanChange(uid, excluded))
 
     # ---- the incumbent
 
     def _addresses(self) -> list[UnixAddress]:
-        """Where a successor looks, in its order; none without a second address, and so without upgrades."""
+        """Where a successor looks, in this order; empty without an admin address, as upgrades need one."""
         config = self.node.config
         if config.admin is None:
             return []
-        # one of the two is there whatever the disk lacks, and an older program knows the folder alone
+        # The first works whatever the state of the disk; older versions know only the folder.
         in_folder = [FolderAddress(config.shared_folder)] if config.shared_folder is not None else []
         return [NodeAddress(self.identity()), *in_folder]
 
     def listen_for_successor(self) -> None:
-        """Lets a successor find this process, at every address that can be had; the others follow."""
+        """Lets a successor find this process at every address that can be bound; retries the others later."""
         if not self.addresses:
             self.addresses = self._addresses()
         missing = [address for address in self.addresses if address not in self.rendezvous_sockets]
@@ -133,35 +136,35 @@
     def handle_connection(self, sock: socket.socket) -> None:
         link = UpgradeLink(self.reactor, sock)
         if self.in_progress:
-            # the upgrade before may still hand on, or another one be under way
+            # An earlier upgrade may still hand over connections, or another successor may be taking over.
             link.send({"say": "busy"})
             self.reactor.callLater(1.0, link.close)
             return
         self.side = Incumbent(self.reactor, link, self)
 
     def stop_listening(self) -> None:
-        """No successor finds this process any more."""
+        """Keeps successors from finding this process."""
         cancel(self.bind_timer)
-        for rendezvous_socket in self.rendezvous_sockets.values():
-            rendezvous_socket.close()
+        for listener in self.rendezvous_sockets.values():
+            listener.close()
         self.rendezvous_sockets.clear()
 
     def export_state(self) -> tuple[list[dict], dict, list[int]]:
         node = self.node
-        memory = node.handler.balancer.learned_state()
-        # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
-        able, rows = memory.pop("able"), node.handler.hosts.export_rows()
+        learned = node.handler.balancer.learned_state()
+        # For a large fleet, values of each host do not fit into one packet; they go into the hosts' rows.
+        capacities, rows = learned.pop("able"), node.handler.hosts.export_rows()
         for row in rows:
-            h = node.handler.hosts.index_by_uid[row["uid"]]
-            row["able"] = able[h] if h < len(able) else 0.0
-        called_back = node.handler.balancer.readmitted
+            host = node.handler.hosts.index_by_uid[row["uid"]]
+            row["able"] = capacities[host] if host < len(capacities) else 0.0
+        readmissions = node.handler.balancer.readmitted
         state = {
             "rev": node.discovery.rev,
             "bans": list(node.bans.uids),
             "unsaved_bans": node.bans.unsaved,
-            "called_back": {node.handler.hosts.uids[h]: at for h, at in called_back.items()},
+            "called_back": {node.handler.hosts.uids[host]: at for host, at in readmissions.items()},
             "told_at": node.handler.discovery_heard_at,
-            "memory": memory | {"able": []},  # which an older program takes with the names beside it
+            "memory": learned | {"able": []},  # an older version reads `able` together with `uids`
             "uids": [],
             "starts": (node.handler.hosts.start_times.offset, {}),
         }
@@ -176,19 +179,19 @@
         node = self.node
         logger.error("upgrade reason=successor-lost sessions={}", len(node.handler.sessions.by_index))
         node.handler.balancer.take_slots_back()
-        node.take_clients()
-        node.join()
+        node.start_accepting()
+        node.join_peers()
         self.listen_for_successor()
 
     def hand_over_connections(self, limit: int) -> bool:
-        """Hands some of what stands on; True once nothing is left here."""
+        """Hands over up to `limit` connections; True once none is left here."""
         handler = self.node.handler
-        for s in islice(filter(can_hand_over, handler.sessions.established()), limit):
-            message, fds = encode_session(handler, s)
+        for session in islice(filter(can_hand_over, handler.sessions.established()), limit):
+            message, fds = encode_session(handler, session)
             if not self.side.link.try_send(message, fds):
                 break
-            client, conn = s.client, s.host_connection
-            handler.session_handed_over(s)
+            client, conn = session.client, session.host_connection
+            handler.session_handed_over(session)
             release_connection(client)
             release_connection(conn)
         return not handler.sessions.by_index and not handler.budget.client_connections
@@ -196,7 +199,7 @@
     def hand_over_slots(self) -> dict[str, float]:
         handler = self.node.handler
         slots = handler.balancer.hand_over_slots(handler.clock())
-        return {handler.hosts.uids[h]: saved for h, saved in slots.items()}
+        return {handler.hosts.uids[host]: saved for host, saved in slots.items()}
 
     def take_over_slots(self, slots: dict[str, float]) -> None:
         handler = self.node.handler
@@ -217,11 +220,11 @@
     # ---- the successor
 
     def contact_incumbent(self) -> bool:
-        """Asks the process that serves, if there is one."""
-        before = connect_to_incumbent(self._addresses())
-        if before is not None:
-            self.side = Successor(self.reactor, UpgradeLink(self.reactor, before), self)
-        return before is not None
+        """Contacts the serving process; False if there is none."""
+        incumbent = connect_to_incumbent(self._addresses())
+        if incumbent is not None:
+            self.side = Successor(self.reactor, UpgradeLink(self.reactor, incumbent), self)
+        return incumbent is not None
 
     def retry_busy_incumbent(self) -> None:
         self.busy_answers += 1
@@ -233,19 +236,19 @@
     def import_state(self, rows: list, state: dict, fds: list[int]) -> None:
         node = self.node
         hosts = node.handler.hosts
-        ahead, starts = state["starts"]
+        offset, starts = state["starts"]
         in_rows = {row["uid"]: row["start"] for row in rows if row.get("start") is not None}
-        hosts.import_starts(ahead, starts | in_rows)
-        # Danger: a host that was called back counts as cold though discovery may not have told its start yet.
-        called_back = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
-        node.handler.balancer.readmitted.update(called_back)
-        node.know(rows, state)
+        hosts.import_starts(offset, starts | in_rows)
+        # A host that an operator included again is in slow start even if its start is not on the list yet.
+        readmissions = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
+        node.handler.balancer.readmitted.update(readmissions)
+        node.load_hosts(rows, state)
         for row in rows:
             hosts.redirected_at[hosts.index_of(row["uid"])] = row["sent_away"]
-        # Danger: a process that knows no host's measure yet takes the cold ones' for all, and starves them.
-        able = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # of an older program
-        able |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
-        node.handler.restore_learned_state(state["memory"], able)
+        # Without learned capacities this process would take those of cold hosts for all, and starve them.
+        capacities = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # from an older version
+        capacities |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
+        node.handler.restore_learned_state(state["memory"], capacities)
         node.handler.discovery_heard_at, node.discovery.rev = state["told_at"], state["rev"]
         node.listen(fds[0])
         node.discovery.start()
@@ -266,12 +269,12 @@
         self.node.begin()
 
     def begin_alone(self) -> None:
-        """The process before has gone, or never answered."""
+        """Starts serving because the incumbent has gone or never answered."""
         node = self.node
         logger.warning("upgrade reason=alone")
         try:
             if node.port is None:
-                node.know_saved()
+                node.load_saved_hosts()
                 node.discovery.start()
                 node.handler.wait_for_list()
                 node.listen()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -243,7 +243,7 @@
     service.stopped_at, d.stopping = d.clock(), True
     sessions = [up(d) for _ in range(20)]
     front = connect(d)
-    service.move_some()
+    service.redirect_some()
     first = sum(client.transport.lines() == [b"MOVE"] for client, _ in sessions)
     d.reactor.pump([0.05] * 24)
     late, _ = up(d)
@@ -270,7 +270,7 @@
     service = service_over(d, tmp_path)
     swept = []
     monkeypatch.setattr(service, "sweep", lambda: swept.append(1) or 1 // (len(swept) - 1))
-    service.keep_sweeping()
+    service.start_sweeping()
     d.reactor.pump([0.25] * 5)
     assert len(swept) > 2
 
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -222,7 +222,7 @@
     """A service that has just started on loopback with an old list of hosts; the test is its surroundings."""
 
     def __init__(self, folder, monkeypatch, hosts=2):
-        monkeypatch.setattr(Service, "mind_signals", lambda self: None)
+        monkeypatch.setattr(Service, "install_signal_handlers", lambda self: None)
         self.reactor, self.agent, self.hosts = Stepped(), Peer(), [Peer() for _ in range(hosts)]
         (port,) = free_ports(1)
         environment = write(folder / "c", CONFIG | {
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -25,7 +25,7 @@
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
 from caperdeck.lifecycle.config import ConfigError
-from caperdeck.lifecycle.owners import Owned
+from caperdeck.lifecycle.owners import OwnedNode
 from caperdeck.lifecycle.owners import load_owners_for_node
 from caperdeck.owner.commands import ask
 from caperdeck.leases.census_state import MOST_NODES
@@ -274,7 +274,7 @@
     d = make_handler(hosts=8)
     service = service_over(d, tmp_path)
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
-    owned = service.owned = Owned(d.reactor, d, owners, "n0", 4, service.bans_of)
+    owned = service.owned_node = OwnedNode(d.reactor, d, owners, "n0", 4, service.excluded_hosts)
     for work in ("hosts", "census"):
         owned.target.fence.learned(work, 0)
     return d, service, owned
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -426,8 +426,8 @@
     """A service over a loopback desk that has been told to end, and when it has ended."""
     lo = loop()
     service = service_over(lo.handler, tmp_path)
-    service.port, service.takes, service.ended = lo.port, True, []
-    lo.handler.set_accepting = service.accept
+    service.port, service.takes_clients, service.ended = lo.port, True, []
+    lo.handler.set_accepting = service.set_accepting
     lo.reactor.stop = lambda: service.ended.append(lo.reactor.now)
     service.stop()
     return lo, service
@@ -472,7 +472,7 @@
     with lo.reactor.unwatched(lo.port):
         clients = [lo.client(opening(n)) for n in range(5)]
         service.stopped_at -= 10_000
-        service.move_some()
+        service.redirect_some()
         serve_all(lo, 0.1)
     lo.reactor.removeReader(lo.port)
     serve_all(lo, 2.0)
@@ -485,7 +485,7 @@
     lo.reactor.now += 0.6
     lo.handler.last_turn_at = lo.handler.read_clock()
     client.sendall(OPEN + b"\r\n")
-    service.move_some()
+    service.redirect_some()
     serve_all(lo, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and service.ended
 
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -144,9 +144,9 @@
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
     d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
-    service.uses, service.takes = Uses(), True
+    service.uses, service.takes_clients = Uses(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
-    service.join()
+    service.join_peers()
     first = service.peers
     assert first.sharing.swim.members == 3
     longer = SHARED | {"peers": [*PEERS, "127.0.0.1:7004"]}
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -90,7 +90,7 @@
 def test_a_queue_that_cannot_be_let_in_just_now_is_not_closed_over_its_clients(loop, monkeypatch, tmp_path):
     lo = loop()
     service = service_over(lo.handler, tmp_path)
-    service.port, service.takes, ended = lo.port, True, []
+    service.port, service.takes_clients, ended = lo.port, True, []
     lo.reactor.stop = lambda: ended.append(lo.reactor.now)
     service.stop()
     serve_all(lo, 0.8)
@@ -98,7 +98,7 @@
         client = lo.client(OPEN)
         Faulty(monkeypatch, "accept", [errno.ENFILE])
         service.stopped_at -= 10_000
-        service.move_some()
+        service.redirect_some()
     serve_all(lo, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and ended
 
@@ -213,7 +213,7 @@
     service = service_over(d, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with logged() as lines:
-        service.know([row("s-0"), row("s-1")], {"bans": ["s-1"]})
+        service.load_hosts([row("s-0"), row("s-1")], {"bans": ["s-1"]})
     assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned
     assert "reason=bans-unwritable" in "".join(lines)
 
@@ -244,7 +244,7 @@
     """A service over a loopback desk that has been told to end; the longest wait of a client is 1.2 s."""
     lo = loop(mostDials=1)
     service = service_over(lo.handler, tmp_path)
-    service.port, service.takes = lo.port, True
+    service.port, service.takes_clients = lo.port, True
     lo.reactor.stop = lambda: None
     service.stop()
     return lo, service
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -199,7 +199,7 @@
     here, there = both(tmp_path)
     rows, state, _ = tell_state(here)
     assert say(here, b"exclude s-0") == "ACK"
-    there.know(rows, json.loads(orjson.dumps(state)))
+    there.load_hosts(rows, json.loads(orjson.dumps(state)))
     here.sweep()
     assert not here.handler.balancer.accepts_sessions(0) and not there.handler.balancer.accepts_sessions(0)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -359,7 +359,7 @@
     assert rows == {"s-0": "Ready", "s-1": "Terminating"}
     later = make_handler(hosts=0)
     successor = service_over(later, tmp_path)
-    successor.know(d.hosts.export_rows(), {"bans": ["s-0"]})
+    successor.load_hosts(d.hosts.export_rows(), {"bans": ["s-0"]})
     assert not later.balancer.accepts_sessions(later.hosts.index_by_uid["s-0"])
     assert not later.balancer.accepts_sessions(later.hosts.index_by_uid["s-1"])
 
@@ -382,7 +382,7 @@
     service.calls.call(b"exclude s-0", said.append)
     service.calls.call(b"include s-9", said.append)
     assert not said
-    service.know([row("s-0")])
+    service.load_hosts([row("s-0")])
     assert said == [["ACK"], ["NAK unknown-host"]] and not d.balancer.accepts_sessions(0)
 
 
@@ -390,7 +390,7 @@
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path)
     service.port = Port()
-    service.take_clients()
+    service.start_accepting()
     ended = []
     d.reactor.stop = lambda: ended.append(d.clock())
     client, _ = up(d)
@@ -419,14 +419,14 @@
     d = make_handler(hosts=1)
     service = service_over(d, tmp_path, admin_addr=None)
     service.port = Port()
-    service.take_clients()
+    service.start_accepting()
     service.upgrade.stop_accepting()
-    service.accept(False)
-    service.accept(True)
-    assert not service.port.reads and not service.takes
+    service.set_accepting(False)
+    service.set_accepting(True)
+    assert not service.port.reads and not service.takes_clients
     service.upgrade.resume_accepting()
-    assert service.port.reads and service.takes
-    service.accept(False)
+    assert service.port.reads and service.takes_clients
+    service.set_accepting(False)
     assert not service.port.reads
 
 
