--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -342,7 +342,7 @@
         if new.discovery != old.discovery:
             self.discovery.move_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
-                    ",".join_peers(new.names.listeners), ",".join_peers(kept) or "-")  # fmt: skip
+                    ",".join(new.names.listeners), ",".join(kept) or "-")  # fmt: skip
 
     # ---- the stop
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -86,7 +86,7 @@
                 sent, source.sent = source.sent, []
                 for message in sent:
                     fds, source.fds = (source.fds, []) if message["say"] == "state" else ([], source.fds)
-                    target.handle_message(json.loads(json.dumps(message)), fds)
+                    target.on_message(json.loads(json.dumps(message)), fds)
 
     return clock, incumbent, successor, old, new, carry
 
