--- a/caperdeck/distribution/connection.py
+++ b/caperdeck/distribution/connection.py
@@ -1,4 +1,4 @@
-"""A node's connection to one publisher: one TCP connection for one watch."""
+"""A node's connection to one publisher: one TCP connection per watch."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from caperdeck.state.addresses import Address
 from caperdeck.wire.lines import SingleConnectionFactory
 
-from .messages import FromNode
-from .stream import LONGEST_FROM_PUBLISHER, decode_from_publisher, encode
+from .messages import NodeMessage
+from .stream import MAX_PUBLISHER_FRAME_BYTES, decode_from_publisher, encode
 
-CONNECT = 0.8  # seconds; within the time that a node waits for a publisher's first answer
-VANISHED = 5000  # milliseconds that written bytes may go unconfirmed
-MOST_UNSENT = 16 << 10  # bytes
+CONNECT_TIMEOUT_S = 0.8  # shorter than the time that a node waits for a publisher's first answer
+TCP_USER_TIMEOUT_MS = 5000  # how long written bytes may stay unacknowledged
+MAX_UNSENT_BYTES = 16 << 10
 
 
-class WatchUser(Protocol):
-    """Who is told what happens on a connection."""
+class WatchListener(Protocol):
+    """Receives the events of a connection."""
 
     def opened(self, connection: WatchConnection) -> None:
-        """It is up; the Subscribe is to be sent now."""
+        """The connection is established and the Subscribe message may be sent."""
 
-    def received(self, connection: WatchConnection) -> None:
-        """Bytes came, a whole message or a part of one: the publisher is there."""
+    def data_received(self, connection: WatchConnection) -> None:
+        """Bytes arrived, a whole message or part of one, so the publisher is alive."""
 
-    def message(self, connection: WatchConnection, message: Any) -> None:
-        """One FromPublisher."""
+    def message_received(self, connection: WatchConnection, message: Any) -> None:
+        """A message from the publisher arrived."""
 
     def lost(self, connection: WatchConnection, reason: str) -> None:
-        """Once, whatever its end was: `not-connected`, `ended`, `unsent`, or why a frame was not taken.
+        """The connection ended or was never established. Called once, and not after `close`.
 
-        Not called after `close`.
+        `reason` is `not-connected`, `ended`, `unsent`, or why a frame was rejected.
         """
 
 
@@ -46,27 +46,27 @@
 
 
 class WatchConnection(Int32StringReceiver):
-    """Connects at once. What cannot be taken ends the connection, and nothing of it is handed on."""
+    """Connects at once. An invalid frame ends the connection and is not passed on."""
 
-    MAX_LENGTH = LONGEST_FROM_PUBLISHER
+    MAX_LENGTH = MAX_PUBLISHER_FRAME_BYTES
 
-    def __init__(self, reactor: Any, address: Address, cluster: str, user: WatchUser) -> None:
-        self.cluster, self.user = cluster, user
+    def __init__(self, reactor: Any, address: Address, cluster: str, listener: WatchListener) -> None:
+        self.cluster, self.listener = cluster, listener
         self.phase = Phase.CONNECTING
-        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), CONNECT)
+        self.connector = reactor.connectTCP(*address, SingleConnectionFactory(self), CONNECT_TIMEOUT_S)
 
-    def send(self, message: FromNode) -> bool:
-        """Whether it was written; not while it connects or after its end."""
+    def send(self, message: NodeMessage) -> bool:
+        """Whether the message was written; False while connecting and after the end."""
         if self.phase is Phase.OPEN:
             self.transport.write(encode(message, self.cluster))
         return self.phase is Phase.OPEN
 
     def close(self) -> None:
-        """Ended by this side, at once; the user hears nothing more of it."""
+        """Closes the connection at once, without a call to the listener."""
         if self.phase is not Phase.CLOSED:
             self._abort()
 
-    # ---- of the transport
+    # ---- called by the transport
 
     def connectionMade(self) -> None:
         if self.phase is Phase.CLOSED:
@@ -74,58 +74,60 @@
             return
         self.phase = Phase.OPEN
         self.transport.setTcpNoDelay(True)
-        # Danger: bytes for a machine that has vanished would hold the connection for a quarter of an hour.
-        self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, VANISHED)
-        self.transport.bufferSize = MOST_UNSENT
+        # Without this, unsent bytes keep the connection to a lost machine open for a quarter of an hour.
+        self.transport.getHandle().setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+        )
+        self.transport.bufferSize = MAX_UNSENT_BYTES
         self.transport.registerProducer(self, True)
-        self.user.opened(self)
+        self.listener.opened(self)
 
     def dataReceived(self, data: bytes) -> None:
         if self.phase is Phase.OPEN:
-            self.user.received(self)
+            self.listener.data_received(self)
         if self.phase is Phase.OPEN:
             super().dataReceived(data)
 
     def stringReceived(self, data: bytes) -> None:
         if self.phase is not Phase.OPEN:
-            return  # closed by what the user did with the message before, of the same bytes
+            return  # closed by the listener during the previous message of the same read
         try:
             message = decode_from_publisher(data, self.cluster)
         except FrameError as error:
             self._fail(str(error))
         else:
-            self.user.message(self, message)
+            self.listener.message_received(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
         self._fail("too-long")
 
     def pauseProducing(self) -> None:
-        # Danger: a publisher that does not read would be kept words for that are old when it does.
+        # Messages buffered for a publisher that does not read would be out of date when it does.
         self._fail("unsent")
 
     def resumeProducing(self) -> None:
-        """Nothing was held back."""
+        """Nothing was paused."""
 
     def stopProducing(self) -> None:
         self.transport.unregisterProducer()
 
     def failed(self) -> None:
-        """Of the factory: it did not come up."""
+        """The connection could not be established. Called by the factory."""
         self._lost("not-connected")
 
     def connectionLost(self, reason: Any) -> None:
         self._lost("ended")
 
-    # ---- its end
+    # ---- closing
 
     def _fail(self, reason: str) -> None:
         if self.phase is not Phase.CLOSED:
             self._abort()
-            self.user.lost(self, reason)
+            self.listener.lost(self, reason)
 
     def _abort(self) -> None:
-        before, self.phase = self.phase, Phase.CLOSED
-        if before is Phase.OPEN:
+        previous, self.phase = self.phase, Phase.CLOSED
+        if previous is Phase.OPEN:
             self.transport.abortConnection()
         else:
             self.connector.disconnect()
@@ -133,4 +135,4 @@
     def _lost(self, reason: str) -> None:
         if self.phase is not Phase.CLOSED:
             self.phase = Phase.CLOSED
-            self.user.lost(self, reason)
+            self.listener.lost(self, reason)
--- a/caperdeck/distribution/stream.py
+++ b/caperdeck/distribution/stream.py
@@ -1,7 +1,7 @@
-"""Messages of a watch as frames on the instances' port. Pure: bytes and values in, values and bytes out.
+"""Watch messages as frames on the instances' port. No I/O.
 
-A frame is the instances' own (raft/codec.py: version, name of the cluster, kind, JSON value), behind its
-length in four bytes. A node may send little; a publisher a whole version.
+The frame is that of the instances (raft/codec.py: version, cluster, kind, JSON value) after a length of four
+bytes. Frames from a node are small; one from a publisher may hold a whole version.
 """
 
 from __future__ import annotations
@@ -11,44 +11,44 @@
 
 import orjson
 
-from caperdeck.raft.codec import FrameError, frame, unwrap
+from caperdeck.raft.codec import FrameError, encode_frame, decode_frame
 
-from .document import LARGEST_DOCUMENT
-from .messages import FromNode, FromPublisher, Message, MessageError, message_of
+from .document import MAX_DOCUMENT_BYTES
+from .messages import NodeMessage, PublisherMessage, Message, MessageError, message_from_json
 from .messages import encode as encode_message
 
 WATCH = "watch"  # kind of frame
-LENGTH = struct.Struct("!I")
-LONGEST_FROM_NODE = 8 << 10  # bytes of a frame
-LONGEST_FROM_PUBLISHER = LARGEST_DOCUMENT + (64 << 10)
+LENGTH_PREFIX = struct.Struct("!I")
+MAX_NODE_FRAME_BYTES = 8 << 10
+MAX_PUBLISHER_FRAME_BYTES = MAX_DOCUMENT_BYTES + (64 << 10)
 
 
 def encode(message: Message, cluster: str) -> bytes:
-    """The whole frame, its length first."""
-    data = frame(cluster, WATCH, orjson.Fragment(encode_message(message)))
-    return LENGTH.pack(len(data)) + data
+    """The whole frame, with its length."""
+    data = encode_frame(cluster, WATCH, orjson.Fragment(encode_message(message)))
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
-def decode_from_publisher(data: bytes, cluster: str) -> FromPublisher:
-    """The message of a frame without its length; raises FrameError."""
-    if len(data) > LONGEST_FROM_PUBLISHER:
+def decode_from_publisher(data: bytes, cluster: str) -> PublisherMessage:
+    """The message in a frame without its length. Raises FrameError."""
+    if len(data) > MAX_PUBLISHER_FRAME_BYTES:
         raise FrameError("too-long")
-    name, fields = unwrap(data, cluster)
-    return _message(name, fields, FromPublisher)
+    name, fields = decode_frame(data, cluster)
+    return _message(name, fields, PublisherMessage)
 
 
-def message_from_node(name: Any, fields: Any, size: int) -> FromNode:
-    """The message of an unwrapped frame that had so many bytes; raises FrameError."""
-    if size > LONGEST_FROM_NODE:
+def message_from_node(name: Any, fields: Any, size: int) -> NodeMessage:
+    """The message in a decoded frame of `size` bytes. Raises FrameError."""
+    if size > MAX_NODE_FRAME_BYTES:
         raise FrameError("too-long")
-    return _message(name, fields, FromNode)
+    return _message(name, fields, NodeMessage)
 
 
 def _message(name: Any, fields: Any, allowed: Any) -> Any:
     if name != WATCH:
         raise FrameError("unknown-kind")
     try:
-        message = message_of(fields)
+        message = message_from_json(fields)
     except MessageError:
         raise FrameError("bad-message") from None
     if not isinstance(message, allowed):
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from caperdeck.leases.fence import Fence
-from caperdeck.leases.expiry import Holder, Warden
-from caperdeck.leases.table import LEAST_SPAN, Table
+from caperdeck.leases.expiry import LeaseHolder, LeaseExpiryMonitor
+from caperdeck.leases.table import MIN_SPAN_MS, LeaseTable
 
 from .exploration import BrokenError
 
-TICK = LEAST_SPAN / 2
+TICK = MIN_SPAN_MS / 2
 WORK = "w"
 
 
@@ -26,26 +26,28 @@
     def __init__(
         self, ticks: int = 4, asks: int = 3, acts: int = 2, deaths: int = 1, snapshots: int = 0,
         rates: tuple[float, float, float] = (1.0, 1.0, 1.0), disk: bool = False,
-        holder: type[Holder] = Holder, fence: type[Fence] = Fence, table: type[Table] = Table,
+        holder: type[LeaseHolder] = LeaseHolder, fence: type[Fence] = Fence,
+        table: type[LeaseTable] = LeaseTable,
     ) -> None:  # fmt: skip
         self.time, self.rates, self.disk = 0.0, rates, disk
         self.left = {"tick": ticks, "ask": asks, "check": acts, "die": deaths, "snapshot": snapshots}
-        self.holders = [holder(WORK, name, LEAST_SPAN) for name in "ab"]
+        self.holders = [holder(WORK, name, MIN_SPAN_MS) for name in "ab"]
         self.ready = [0, 0]  # the token that an owner has just checked, before its act leaves
         self.table = table()
-        self.warden = Warden(self.table, 0.0)
+        self.expiry_monitor = LeaseExpiryMonitor(self.table, 0.0)
         self.target = fence({})
         self.flying: list[tuple] = []
         self.highest = 0  # among the acts taken
         self.given: list[int] = []
 
     def key(self) -> Any:
-        holders = tuple((h.token, h.until, h.asked_at) for h in self.holders)
+        holders = tuple((h.token, h.expires_at, h.requested_at) for h in self.holders)
         row = self.table.works.get(WORK)
         return (
             self.time, tuple(self.left.values()), holders, tuple(self.ready), self.table.token,
-            tuple(row.items()) if row else None, tuple(self.warden.since.items()), self.target.remembers,
-            tuple(self.target.highest.items()), tuple(sorted(map(repr, self.flying))), self.highest,
+            tuple(row.items()) if row else None, tuple(self.expiry_monitor.observed.items()),
+            self.target.remembers, tuple(self.target.highest.items()), tuple(sorted(map(repr, self.flying))),
+            self.highest,
         )  # fmt: skip
 
     def clone(self) -> LeaseModel:
@@ -81,7 +83,7 @@
         self.time += TICK
 
     def ask(self, i: int) -> None:
-        command = self.holders[i].ask(self.now(i))
+        command = self.holders[i].next_command(self.now(i))
         if command is not None:
             self.flying.append(("ask", i, command, self.now(i)))
 
@@ -103,26 +105,26 @@
             self.watch()
             self.flying.append(("answer", i, answer, asked))
         elif what == "answer":
-            self.holders[i].answered(self.now(i), asked, value)
+            self.holders[i].handle_answer(self.now(i), asked, value)
         elif self.target.check(WORK, value) is None:
             if value < self.highest:
                 raise BrokenError(f"an act with token {value} is taken after one with {self.highest}")
             self.highest = value
 
     def watch(self) -> None:
-        for command in self.warden.look(self.now(2)):
+        for command in self.expiry_monitor.check(self.now(2)):
             self.table.apply(command)
-        self.warden.look(self.now(2))
+        self.expiry_monitor.check(self.now(2))
 
     def die(self) -> None:
         """The target starts again."""
         self.target = type(self.target)(self.target.highest if self.disk else None)
 
     def learn(self) -> None:
-        self.target.learned(WORK, self.table.token)
+        self.target.record_token(WORK, self.table.token)
 
     def snapshot(self) -> None:
         state = copy.deepcopy(self.table.dump())
         self.table = type(self.table)()
         self.table.load(state)
-        self.warden = Warden(self.table, self.now(2))
+        self.expiry_monitor = LeaseExpiryMonitor(self.table, self.now(2))
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 
 from caperdeck.core.quotas import Quotas
-from caperdeck.gossip.quota_transfers import LOAN
-from caperdeck.gossip.sharing import Sharing, Shown, Uses
+from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
+from caperdeck.gossip.sharing import Sharing, LocalObservations, SharingFeatures
 
 from .events import Events
 
-ALL = Uses(*[True] * len(Uses._fields))
+ALL = SharingFeatures(*[True] * len(SharingFeatures._fields))
 RATE, SAVED = 1.0, 500.0  # rights that a node mints in a millisecond, and for how long it saves
 
 
@@ -35,14 +35,14 @@
     ill: bool = False
     full: list = field(default_factory=list)
 
-    def show(self, now: float) -> Shown:
-        return Shown([(0, self.dialled)], self.figures, self.words, self.ill, 20)
+    def observations(self, now: float) -> LocalObservations:
+        return LocalObservations([(0, self.dialled)], self.figures, self.words, self.ill, 20)
 
-    def wants(self, now: float) -> list[tuple[int, float]]:
+    def wanted_quota(self, now: float) -> list[tuple[int, float]]:
         return [(0, SAVED * RATE)] if self.short else []
 
     def mint(self, now: float) -> float:
-        return self.rights.mint(now, 0, RATE, RATE * SAVED)
+        return self.rights.accrue(now, 0, RATE, RATE * SAVED)
 
     def lend(self, now: float, budget: int, most: float) -> float:
         self.mint(now)
@@ -51,19 +51,19 @@
     def borrow(self, now: float, budget: int, amount: float, until: float) -> None:
         self.rights.borrow(now, budget, amount, until)
 
-    def told(self, now: float, host: int, figure: float, seen: float) -> None:
+    def take_peer_load(self, now: float, host: int, figure: float, seen: float) -> None:
         self.priors[host] = figure, seen
 
-    def told_lost(self, now: float, host: int, until: float) -> None:
+    def take_unreachable_report(self, now: float, host: int, until: float) -> None:
         self.lost[host] = until
 
-    def overfull(self, now: float, since: float) -> list[tuple[int, float, float]]:
+    def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
         return [row for row in self.figures if row[2] > since]
 
-    def told_full(self, now: float, host: int, figure: float) -> None:
+    def relieve_overloaded_host(self, now: float, host: int, figure: float) -> None:
         self.full.append((now, host, figure))
 
-    def others_send(self, alike: float | None) -> None:
+    def set_sender_count(self, alike: float | None) -> None:
         self.alike = alike
 
 
@@ -71,8 +71,8 @@
     """Members by number; `loss`, `double` as shares, `late` in milliseconds, `cut(a, b)` is one-way."""
 
     def __init__(
-        self, members: int, seed: int = 1, uses: Uses = ALL, loss: float = 0.0, double: float = 0.0,
-        late: tuple[float, float] = (0.2, 5.0), rates: list[float] | None = None,
+        self, members: int, seed: int = 1, uses: SharingFeatures = ALL, loss: float = 0.0,
+        double: float = 0.0, late: tuple[float, float] = (0.2, 5.0), rates: list[float] | None = None,
     ) -> None:  # fmt: skip
         super().__init__()
         self.random = random.Random(seed)
@@ -93,7 +93,7 @@
     def start(self, i: int) -> None:
         self.lives[i] += 1
         stub = self.stubs[i] = Stub()
-        stub.rights.grow(self.clock(i), 0)
+        stub.rights.add_budget(self.clock(i), 0)
         seed = self.seed * 1009 + i * 31 + self.lives[i]
         self.nodes[i] = Sharing(stub, i, self.members, 100 + self.lives[i], seed, self.clock(i), self.uses)
         self.at(0.0, self.tick, i, self.lives[i])
@@ -134,7 +134,7 @@
         if i in self.suspended:
             self.inbox[i].append((data, sender))
         elif self.nodes[i] is not None:
-            self.send(i, self.nodes[i].datagram(self.clock(i), data, sender))
+            self.send(i, self.nodes[i].receive_datagram(self.clock(i), data, sender))
 
 
 class Spending:
@@ -197,4 +197,4 @@
 def bound(net: Net, window: float) -> float:
     """docs/ledger-design.md: what all mint in the window and the spans of saving and lending before it."""
     slow, fast = min(net.rates), max(net.rates)
-    return net.members * RATE * fast * (window + (SAVED + LOAN) / slow)
+    return net.members * RATE * fast * (window + (SAVED + TRANSFER_VALIDITY_MS) / slow)
--- a/caperdeck/leases/census_state.py
+++ b/caperdeck/leases/census_state.py
@@ -1,12 +1,14 @@
-"""What an owner of the census keeps: an epoch with its shares, as the text that the instances agree on.
+"""Serialized state of the census: an epoch with its shares, as the text that the instances replicate.
 
-Two forms, and a reader tells them apart by their keys:
+There are two formats, which a reader distinguishes by their keys:
 
 - names: JSON objects of shares by name. Written wherever it fits, as older instances read no other.
-- rows: for fleets whose names do not fit. A row a node, ROW bytes: a digest of its name, the share that it is
-  to have (0 for none) and the most that it may hold, in parts of the whole. Rows are base85, as one string.
+- rows: for fleets whose names do not fit. One row of ROW bytes per node: a digest of its name, the wanted
+  share (0 for none) and the upper bound of the held share, in units of 1 / SHARE_UNITS. The rows are one
+  base85 string.
 
-The number of nodes follows from the table's limit on a state: a row costs the same whatever a name's length.
+The maximum number of nodes follows from the limit on a state in the lease table: a row has the same size
+whatever the length of the name.
 """
 
 from __future__ import annotations
@@ -21,35 +23,36 @@
 
 import orjson
 
-from .table import LARGEST_STATE
+from .table import MAX_STATE_LENGTH
 
-DIGEST = 5  # bytes of a name's digest; two names of one file that share theirs are refused with the file
-WHOLE = (1 << 32) - 1  # parts of the whole
-ROW = struct.Struct(f">{DIGEST}sII")  # digest, share wanted rounded down, share held rounded up
-HEADER = 128  # characters beside the rows, at the most
-BASE85 = 5 / 4  # characters a byte
-MOST_NODES = math.floor((LARGEST_STATE - HEADER) / (ROW.size * BASE85))
+# size of the digest of a name; a configuration in which two names have the same digest is rejected
+DIGEST_BYTES = 5
+SHARE_UNITS = (1 << 32) - 1  # value of a whole share
+ROW = struct.Struct(f">{DIGEST_BYTES}sII")  # digest, wanted share rounded down, held share rounded up
+MAX_HEADER_LENGTH = 128  # characters besides the rows
+BASE85_EXPANSION = 5 / 4  # characters per byte
+MAX_NODES = math.floor((MAX_STATE_LENGTH - MAX_HEADER_LENGTH) / (ROW.size * BASE85_EXPANSION))
 
 
 class StateError(ValueError):
-    """A state that cannot be read; the text is the reason, one of a few words."""
+    """The saved state cannot be read; the text is the reason, as one keyword."""
 
 
 class CensusState(NamedTuple):
-    """Shares are parts of the whole, by name of a node; nodes without a row hold their floor."""
+    """Shares are fractions of the whole, by node name; a node without a row holds its floor."""
 
     epoch: int = 0
     living: int = 0
-    want: Mapping[str, float] = {}
-    held: Mapping[str, float] = {}
+    wanted_shares: Mapping[str, float] = {}
+    held_shares: Mapping[str, float] = {}
 
 
 def digest(name: str) -> bytes:
-    return hashlib.blake2b(name.encode(), digest_size=DIGEST).digest()
+    return hashlib.blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
 
 
-def alike(names: Iterable[str]) -> tuple[str, str] | None:
-    """Two of the names that rows could not tell apart, if there are any."""
+def digest_collision(names: Iterable[str]) -> tuple[str, str] | None:
+    """Returns two of the names that have the same digest, if there are any."""
     seen: dict[bytes, str] = {}
     for name in names:
         other = seen.setdefault(digest(name), name)
@@ -60,50 +63,56 @@
 
 def encode(state: CensusState) -> str:
     text = orjson.dumps({
-        "epoch": state.epoch, "want": dict(state.want), "living": state.living, "held": dict(state.held),
+        "epoch": state.epoch, "want": dict(state.wanted_shares), "living": state.living,
+        "held": dict(state.held_shares),
     }).decode()  # fmt: skip
-    return text if len(text) <= LARGEST_STATE else _encode_rows(state)
+    return text if len(text) <= MAX_STATE_LENGTH else _encode_rows(state)
 
 
 def _encode_rows(state: CensusState) -> str:
     rows = b"".join(
-        # Danger: a share that is held must never be read back as less, nor a wanted one as more.
-        ROW.pack(digest(name), math.floor(state.want.get(name, 0.0) * WHOLE), math.ceil(held * WHOLE))
-        for name, held in state.held.items()
+        # Rounding must never lower a held share, nor raise a wanted one: the sum could exceed the whole.
+        ROW.pack(
+            digest(name),
+            math.floor(state.wanted_shares.get(name, 0.0) * SHARE_UNITS),
+            math.ceil(held * SHARE_UNITS),
+        )
+        for name, held in state.held_shares.items()
     )
-    # Danger: an older reader takes what lacks names for a fleet at its floors; `want` of no object stops it.
+    # An older reader takes missing names for nodes at their floor. A `want` that is not an object makes it
+    # fail.
     head = {"epoch": state.epoch, "living": state.living, "want": None}
     return orjson.dumps(head | {"rows": base64.b85encode(rows).decode()}).decode()
 
 
 def decode(text: str | None, nodes: Iterable[str]) -> CensusState:
-    """Of the nodes named only; raises StateError, and nothing of a text with any fault is taken."""
+    """Decodes the state of the given nodes; raises StateError and uses nothing of a text with any fault."""
     if not text:
         return CensusState()
     try:
-        told = orjson.loads(text)
+        saved = orjson.loads(text)
     except orjson.JSONDecodeError:
         raise StateError("no-json") from None
-    if not isinstance(told, dict):
+    if not isinstance(saved, dict):
         raise StateError("no-object")
-    epoch, living = _count(told, "epoch"), _count(told, "living")
+    epoch, living = _read_count(saved, "epoch"), _read_count(saved, "living")
     names = list(nodes)
-    if "rows" in told:
-        want, held = _decode_rows(told["rows"], names)
+    if "rows" in saved:
+        want, held = _decode_rows(saved["rows"], names)
     else:
-        want, held = _shares(told, "want", names), _shares(told, "held", names)
+        want, held = _read_shares(saved, "want", names), _read_shares(saved, "held", names)
     return CensusState(epoch, living, want, held)
 
 
-def _count(told: dict[str, Any], key: str) -> int:
-    value = told.get(key)
+def _read_count(saved: dict[str, Any], key: str) -> int:
+    value = saved.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise StateError(f"bad-{key}")
     return value
 
 
-def _shares(told: dict[str, Any], key: str, names: list[str]) -> dict[str, float]:
-    table = told.get(key)
+def _read_shares(saved: dict[str, Any], key: str, names: list[str]) -> dict[str, float]:
+    table = saved.get(key)
     if not isinstance(table, dict) or not all(_is_share(value) for value in table.values()):
         raise StateError(f"bad-{key}")
     return {name: table[name] for name in names if name in table}
@@ -120,9 +129,9 @@
         raise StateError("bad-rows") from None
     if len(data) % ROW.size:
         raise StateError("rows-cut-short")
-    rows = {mark: (want, held) for mark, want, held in ROW.iter_unpack(data)}
+    rows = {name_digest: (want, held) for name_digest, want, held in ROW.iter_unpack(data)}
     if len(rows) * ROW.size != len(data):
         raise StateError("a-row-twice")
-    found = {name: rows[mark] for name in names if (mark := digest(name)) in rows}
-    want = {name: parts / WHOLE for name, (parts, _) in found.items() if parts}
-    return want, {name: parts / WHOLE for name, (_, parts) in found.items()}
+    found = {name: rows[name_digest] for name in names if (name_digest := digest(name)) in rows}
+    want = {name: parts / SHARE_UNITS for name, (parts, _) in found.items() if parts}
+    return want, {name: parts / SHARE_UNITS for name, (_, parts) in found.items()}
--- a/caperdeck/lifecycle/config.py
+++ b/caperdeck/lifecycle/config.py
@@ -12,7 +12,7 @@
 
 from caperdeck.core.model import Settings
 from caperdeck.core.settings import (
-    MS, Names, SettingsError, decode_names, decode_settings, figure, need,
+    MS, Names, SettingsError, decode_names, decode_settings, read_number, require,
 )  # fmt: skip
 from caperdeck.state.addresses import Address, AddressError, parse_address
 from caperdeck.state.limits import Limits
@@ -135,18 +135,18 @@
 
 def decode_config(raw: dict[str, Any], shared_folder: str | None = None) -> Config:
     """Decodes a file's values; raises SettingsError, AddressError or an error of a conversion."""
-    setup = need(raw, "settings", "")
-    need(setup, "limits", "settings.")
+    setup = require(raw, "settings", "")
+    require(setup, "limits", "settings.")
     saved_list = raw.get("known") or {}
     sockets = int((raw.get("limits") or {}).get("sockets", 1024))
     if sockets < MIN_SOCKETS:
         raise SettingsError(f"limits.sockets is {sockets}, at least {MIN_SOCKETS} are needed")
-    discovery = need(raw, "discovery", "")
+    discovery = require(raw, "discovery", "")
     parse_address(discovery)
     admin = parse_address(raw["admin_addr"]) if raw.get("admin_addr") else None
     return Config(
         name=str(raw.get("name")),
-        listen=parse_address(need(raw, "listen", "")),
+        listen=parse_address(require(raw, "listen", "")),
         discovery=discovery,
         sockets=sockets,
         known_revision=int(saved_list.get("rev", 0)),
@@ -172,15 +172,15 @@
 def decode_limits(setup: dict[str, Any]) -> Limits:
     """The limits of the part that runs in real time; SettingsError names a value that cannot be used."""
     rows, limits = setup["listeners"], setup["limits"]
-    max_back_off = figure(limits, "maxRetryAfter", "limits.", 0.0, least=0.0) * MS
+    max_back_off = read_number(limits, "maxRetryAfter", "limits.", 0.0, minimum=0.0) * MS
     return Limits(
-        connect_timeout=figure(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
+        connect_timeout=read_number(limits, "dialTimeout", "limits.", 0.25, over=0.0) * MS,
         may_probe=bool(limits.get("mayProbe", False)),
         hosts_report_load=(setup.get("report") or {}).get("how") != "silent",
         max_back_off=max_back_off if limits.get("retryAfter") else 0.0,
         max_client_wait=MS
-        * max(figure(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
-        idle_timeout=max(figure(limits, "connIdle", "limits.", MIN_IDLE_S), MIN_IDLE_S) * MS,
+        * max(read_number(row, "hardLimit", f"listeners[{i}].", over=0.0) for i, row in enumerate(rows)),
+        idle_timeout=max(read_number(limits, "connIdle", "limits.", MIN_IDLE_S), MIN_IDLE_S) * MS,
         list_lifetime=_list_lifetime(setup),
     )
 
@@ -193,5 +193,5 @@
     """
     if setup.get("discovery") == "subscribe":
         return math.inf
-    grace = figure(setup["invariants"], "drainGrace", "invariants.", DEFAULT_DRAIN_GRACE_S, least=0.0)
+    grace = read_number(setup["invariants"], "drainGrace", "invariants.", DEFAULT_DRAIN_GRACE_S, minimum=0.0)
     return max(grace / 2, MIN_LIST_LIFETIME_S) * MS
--- a/caperdeck/lifecycle/control.py
+++ b/caperdeck/lifecycle/control.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.distribution.messages import LONGEST_NAME
+from caperdeck.distribution.messages import MAX_NAME_LENGTH
 from caperdeck.state.addresses import Address
 
 from .config import ConfigError
@@ -55,7 +55,7 @@
 
 
 def _parse_name(value: Any, key: str) -> str:
-    name = parse_name(value, key, LONGEST_NAME)
+    name = parse_name(value, key, MAX_NAME_LENGTH)
     # The instances refuse a message that has a name with characters that cannot be printed.
     if not name.isprintable():
         raise TomlError(f"{key}: {name!r:.50} cannot be printed")
--- a/caperdeck/lifecycle/published.py
+++ b/caperdeck/lifecycle/published.py
@@ -10,8 +10,8 @@
 from loguru import logger
 
 from caperdeck.distribution.messages import Refusal, one_line
-from caperdeck.distribution.node import Disk, DiskThread, NodeWatch, UnservableError
-from caperdeck.distribution.subscriber import NOTHING, Held, State
+from caperdeck.distribution.node import DiskExecutor, DiskThread, NodeWatch, UnservableError
+from caperdeck.distribution.subscriber import NO_VERSION, HeldVersion, State
 from caperdeck.distribution.version_file import ForeignFileError, VersionFile, VersionFileError
 from caperdeck.state.figures import escaped
 
@@ -29,11 +29,12 @@
     """
 
     def __init__(
-        self, reactor: Any, control: Control, read_file: Callable[[], Config], disk: Disk | None = None,
+        self, reactor: Any, control: Control, read_file: Callable[[], Config],
+        disk: DiskExecutor | None = None,
     ) -> None:  # fmt: skip
         self.reactor, self.control, self.read_file, self.disk = reactor, control, read_file, disk
         self.version_file = VersionFile(control.folder, control.cluster, control.place.name)
-        self.initial_version, self.initial_refusal = NOTHING, None
+        self.initial_version, self.initial_refusal = NO_VERSION, None
         self.watch: NodeWatch | None = None
         self.service: Any = None
 
@@ -81,12 +82,12 @@
 
     def reread(self) -> Config:
         """Reads the node's file again and merges the active version into it; raises ConfigError."""
-        held = self.initial_version if self.watch is None else self.watch.in_force
+        held = self.initial_version if self.watch is None else self.watch.active
         return apply_version(self.read_file(), held.document)
 
     # ---- called by the watch
 
-    def prepare(self, held: Held) -> Config:
+    def prepare(self, held: HeldVersion) -> Config:
         """The configuration under the version; raises UnservableError."""
         try:
             return apply_version(self.service.config, held.document)
@@ -94,7 +95,7 @@
             self.service.handler.metrics.rejected_configs += 1
             raise UnservableError(str(error)) from None
 
-    def put_in_force(self, held: Held, prepared: Config) -> None:
+    def activate(self, held: HeldVersion, prepared: Config) -> None:
         """Makes the node use a configuration that `prepare` returned."""
         self.service.apply_config(prepared)
 
@@ -107,7 +108,7 @@
             return [f"app_config_revision {self.initial_version.revision}", *_state_lines(State.STARTING)]
         age = watch.clock() - watch.confirmed_at()
         lines = [
-            f"app_config_revision {watch.in_force.revision}", *_state_lines(watch.state()),
+            f"app_config_revision {watch.active.revision}", *_state_lines(watch.state()),
             f"app_config_confirmed_ms {NEVER_CONFIRMED if age == float('inf') else round(age)}",
         ]  # fmt: skip
         if watch.refused is not None:
--- a/caperdeck/lifecycle/sharing.py
+++ b/caperdeck/lifecycle/sharing.py
@@ -8,8 +8,8 @@
 
 from loguru import logger
 
-from caperdeck.gossip.shared_decisions import Marked
-from caperdeck.gossip.sharing import Sharing, Uses, life_from
+from caperdeck.gossip.shared_decisions import SharedIdDecisions
+from caperdeck.gossip.sharing import Sharing, SharingFeatures, life_from
 from caperdeck.state.addresses import Address, AddressError, parse_address
 from caperdeck.wire.session_handler import SessionHandler
 from caperdeck.wire.peers import PeerPort
@@ -20,18 +20,20 @@
 MAX_PEERS = 4096
 
 
-def load_uses(path: str) -> Uses:
+def load_uses(path: str) -> SharingFeatures:
     """Reads the operator's file, which turns each use of the shared state on or off; raises ConfigError."""
     try:
         raw = read_toml(path)
     except TomlError as error:
         raise ConfigError(f"sharing {path}: {error}") from None
     for key, value in raw.items():
-        if key not in Uses._fields:
-            raise ConfigError(f"sharing {path}: unknown key {key}, known are {', '.join(Uses._fields)}")
+        if key not in SharingFeatures._fields:
+            raise ConfigError(
+                f"sharing {path}: unknown key {key}, known are {', '.join(SharingFeatures._fields)}"
+            )
         if not isinstance(value, bool):
             raise ConfigError(f"sharing {path}: {key} is neither true nor false: {value!r:.50}")
-    return Uses(**raw)
+    return SharingFeatures(**raw)
 
 
 class PeersError(ValueError):
@@ -57,7 +59,7 @@
 
 
 def create_peer_port(
-    reactor: Any, handler: SessionHandler, config: Any, uses: Uses,
+    reactor: Any, handler: SessionHandler, config: Any, uses: SharingFeatures,
 ) -> tuple[PeerPort, Address] | None:  # fmt: skip
     """The port, not open yet, and its address; None, with a log line, if the node runs without peers."""
     configured = config.peers
@@ -77,8 +79,8 @@
         return None
     now, shares = handler.clock(), handler.balancer.fleet_state
     sharing = Sharing(
-        Marked(shares, uses, handler.report_event), configured.node_number, len(addresses), life_from(now),
-        config.settings.seed, now, uses, configured.tiers,
+        SharedIdDecisions(shares, uses, handler.report_event), configured.node_number, len(addresses),
+        life_from(now), config.settings.seed, now, uses, configured.tiers,
     )  # fmt: skip
     return PeerPort(
         reactor, handler.clock, sharing, addresses, all_peers_address, handler.read_delay
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -18,18 +18,24 @@
 from caperdeck.distribution.publisher_selection import Place
 from caperdeck.distribution.document import digest
 from caperdeck.distribution.messages import Subscribe
-from caperdeck.distribution.node import LONGEST_RETRY
+from caperdeck.distribution.node import MAX_WRITE_RETRY_MS
 from caperdeck.distribution.publisher import Publisher
 from caperdeck.distribution.stream import encode, message_from_node
-from caperdeck.distribution.subscriber import ANSWER, IN_PARTS, Held, State, Subscriber
-from caperdeck.distribution.table import Versions, propose
-from caperdeck.distribution.version_file import BLOCK, DiskError, VersionFile, VersionFileError
+from caperdeck.distribution.subscriber import (
+    FIRST_ANSWER_MS,
+    PARTIAL_MESSAGE_MS,
+    HeldVersion,
+    State,
+    Subscriber,
+)
+from caperdeck.distribution.table import VersionTable, publish_command
+from caperdeck.distribution.version_file import NUMBER_BLOCK, DiskError, VersionFile, VersionFileError
 from caperdeck.lifecycle.config import load_config, reload_config
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.published import PublishedConfig
 from caperdeck.lifecycle.service import Service
-from caperdeck.raft.codec import unwrap
+from caperdeck.raft.codec import decode_frame
 from caperdeck.state.addresses import Address
 
 
@@ -72,20 +78,20 @@
     """One publisher over a table without consensus; it confirms itself unless `confirms` is off."""
 
     def __init__(self, clock):
-        self.clock, self.table, self.confirms = clock, Versions(), True
+        self.clock, self.table, self.confirms = clock, VersionTable(), True
         self.publisher = Publisher("o0", self.table, clock())
         self.send_to = {}  # by node
         self.heard = []
 
     def publish(self, document):
         newest = self.table.newest.revision
-        assert self.table.apply(propose(self.table, newest, document, 1)).get("ok")
+        assert self.table.apply(publish_command(self.table, newest, document, 1)).get("ok")
         self.step()
 
     def step(self):
         if self.confirms:
-            self.publisher.confirmed(self.clock(), self.table.newest.revision)
-        self.send(self.publisher.changed(self.clock()))
+            self.publisher.newest_confirmed(self.clock(), self.table.newest.revision)
+        self.send(self.publisher.versions_changed(self.clock()))
         self.send(self.publisher.tick(self.clock()))
 
     def send(self, sends):
@@ -95,7 +101,7 @@
 
     def receive(self, frame, write):
         """Takes a node's frame without its length prefix, and the function that writes to that node."""
-        message = message_from_node(*unwrap(frame, "t"), len(frame))
+        message = message_from_node(*decode_frame(frame, "t"), len(frame))
         self.heard.append(message)
         if isinstance(message, Subscribe):
             self.send_to[message.node] = write
@@ -133,7 +139,7 @@
 
     @property
     def revision(self):
-        return self.watch.in_force.revision
+        return self.watch.active.revision
 
     def run(self, instances, seconds=3.0):
         """Advances the clock and carries the messages between the node and the instances."""
@@ -329,7 +335,7 @@
     tries = [line for line in log if "version refused revision=2" in line]
     assert len(tries) == 7  # at 0, 5, 15, 35, 75, 135 and 195 s
     node.disk.full = False
-    node.run(instances, LONGEST_RETRY / 1000.0)
+    node.run(instances, MAX_WRITE_RETRY_MS / 1000.0)
     assert (node.revision, node.service.config.settings.nodes) == (2, 6)
     assert node.watch.refused is None and node.watch.state() is State.CURRENT
     (row,) = instances.publisher.status(instances.clock()).rows
@@ -338,7 +344,7 @@
 
 
 def test_write_retries_are_limited_and_end_with_a_newer_version(tmp_path, monkeypatch):
-    monkeypatch.setattr("caperdeck.distribution.node.MOST_RETRIES", 2)
+    monkeypatch.setattr("caperdeck.distribution.node.MAX_WRITE_RETRIES", 2)
     node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
     with logged() as log:
@@ -354,7 +360,7 @@
     assert (node.revision, node.service.config.settings.nodes) == (4, 8)
 
 
-@pytest.mark.parametrize("step", ["prepare", "put_in_force"])
+@pytest.mark.parametrize("step", ["prepare", "activate"])
 def test_after_an_internal_error_the_version_is_refused_and_the_next_one_applied(step, tmp_path, monkeypatch):
     # A version that is neither applied nor refused would block all later ones.
     node, instances = node_with_versions(tmp_path, fleet_size(5))
@@ -401,7 +407,7 @@
 
 def test_no_message_number_is_used_twice_or_without_being_reserved(tmp_path):
     node, instances = node_with_versions(tmp_path, fleet_size(5))
-    node.watch.subscriber.number_from(node.watch.end - 1)
+    node.watch.subscriber.reserve_numbers_from(node.watch.numbers_end - 1)
     node.disk.full = True
     before = len(instances.heard)
     node.run(instances)
@@ -410,7 +416,7 @@
     node.run(instances, 8.0)
     numbers = [message.number for message in instances.heard]
     assert numbers == sorted(set(numbers)) and len(numbers) > before
-    assert numbers[-1] >= START + BLOCK
+    assert numbers[-1] >= START + NUMBER_BLOCK
     highest, node = numbers[-1], NodeUnderTest(tmp_path).start()
     assert node.watch.subscriber.number > highest
 
@@ -432,21 +438,21 @@
 def test_a_late_write_does_not_undo_the_successors_version(tmp_path):
     old, _ = node_with_versions(tmp_path, fleet_size(5))
     new = VersionFile(str(tmp_path), "t", "n1")
-    new.keep(Held(3, digest(fleet_size(7)), fleet_size(7)))
+    new.save(HeldVersion(3, digest(fleet_size(7)), fleet_size(7)))
     with pytest.raises(VersionFileError, match="revision 3 is there already"):
-        old.published.version_file.keep(Held(2, digest(fleet_size(6)), fleet_size(6)))
+        old.published.version_file.save(HeldVersion(2, digest(fleet_size(6)), fleet_size(6)))
     assert new.read().held.revision == 3
 
 
 def test_a_partial_message_counts_as_an_answer_for_a_limited_time():
-    one = Subscriber(Place("n", "z", "r"), [Place("o0", "z", "r")], Held(0, digest({}), {}), 1, 7, 0.0)
+    one = Subscriber(Place("n", "z", "r"), [Place("o0", "z", "r")], HeldVersion(0, digest({}), {}), 1, 7, 0.0)
     one.tick(one.due)
     start = one.tried_at
-    one.heard(start + 700.0, "o0")
-    assert one.due == start + 700.0 + ANSWER
-    one.heard(start + 700.0, "o1")
-    one.heard(start + IN_PARTS + 1.0, "o0")
-    assert one.due == start + 700.0 + ANSWER
+    one.data_received(start + 700.0, "o0")
+    assert one.due == start + 700.0 + FIRST_ANSWER_MS
+    one.data_received(start + 700.0, "o1")
+    one.data_received(start + PARTIAL_MESSAGE_MS + 1.0, "o0")
+    assert one.due == start + 700.0 + FIRST_ANSWER_MS
 
 
 # ---- the active revision never decreases
@@ -479,7 +485,7 @@
             case "full" | "free":
                 node.disk.full = event == "full"
             case "older":  # an instance that has lost all but its first version
-                instances.table = Versions()
+                instances.table = VersionTable()
                 instances.publisher = Publisher("o0", instances.table, instances.clock())
                 instances.publish(fleet_size(99))
             case "reload":
@@ -501,7 +507,7 @@
         highest = node.revision
         assert (
             node.service.config.settings.nodes
-            == node.watch.in_force.document.get("settings", {"fleetSize": 3})["fleetSize"]
+            == node.watch.active.document.get("settings", {"fleetSize": 3})["fleetSize"]
         )
 
 
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -1,4 +1,4 @@
-"""Distribution at an instance: the agreed table, connections of nodes, confirmations, and commands."""
+"""Distribution at one instance: the replicated tables, watch connections, confirmations, and commands."""
 
 import json
 import socket
@@ -9,22 +9,27 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from caperdeck.distribution import commands
-from caperdeck.distribution.confirmation import EVERY, Confirming
+from caperdeck.distribution.confirmation import READ_INTERVAL_MS, VersionConfirmation
 from caperdeck.distribution.document import DocumentError, digest
 from caperdeck.distribution.messages import Acknowledge, MessageError, Refusal, Snapshot, Subscribe
-from caperdeck.distribution.publisher import CONFIRMED_FOR, TICK, UNANSWERED, Publisher
+from caperdeck.distribution.publisher import (
+    CONFIRMATION_VALID_MS,
+    TICK_INTERVAL_MS,
+    UNANSWERED_VERSION_MS,
+    Publisher,
+)
 from caperdeck.distribution.status import Status, StatusRow, decode_status, encode_status
-from caperdeck.distribution.stream import LONGEST_FROM_NODE, decode_from_publisher, encode
-from caperdeck.distribution.table import LARGEST_CHANGES, Versions, propose
-from caperdeck.distribution.watch_server import MOST_UNSENT, TURNED_AWAY, Watches
-from caperdeck.owner.replicated_state import Agreed, for_versions
-from caperdeck.owner.config import Owners
-from caperdeck.raft.codec import LONGEST, frame
+from caperdeck.distribution.stream import MAX_NODE_FRAME_BYTES, decode_from_publisher, encode
+from caperdeck.distribution.table import MAX_CHANGES_BYTES, VersionTable, publish_command
+from caperdeck.distribution.watch_server import MAX_UNSENT_BYTES, MAX_REJECTED_CONNECTIONS, WatchServer
+from caperdeck.owner.replicated_state import ReplicatedState, wrap_versions_command
+from caperdeck.owner.config import OwnerEndpoints
+from caperdeck.raft.codec import MAX_FRAME_BYTES, encode_frame
 from caperdeck.raft.codec import encode as encode_raft
-from caperdeck.raft.core import Append
+from caperdeck.raft.core import AppendEntriesRequest
 from caperdeck.raft.log import Entry, Kind
 from caperdeck.raft.sessions import Sessions
-from caperdeck.raft.transport import Net
+from caperdeck.raft.transport import Network
 from caperdeck.state.addresses import Address
 
 EMPTY = digest({})
@@ -32,34 +37,34 @@
 
 
 def publish(versions, document, term=1):
-    answer = versions.apply(propose(versions, versions.newest.revision, document, term))
+    answer = versions.apply(publish_command(versions, versions.newest.revision, document, term))
     assert answer["ok"], answer
 
 
 # ---- the agreed machine
 
 
-def test_a_command_reaches_the_table_of_its_key_alone():
-    agreed = Agreed()
-    command = propose(agreed.versions, 0, {"a": 1}, 1)
+def test_a_command_reaches_only_the_table_of_its_key():
+    agreed = ReplicatedState()
+    command = publish_command(agreed.versions, 0, {"a": 1}, 1)
     assert agreed.apply(command) == {"no": "no-work-named"}
-    assert agreed.apply(for_versions(ACQUIRE)) == {"no": "do: unknown command"}
-    assert agreed.apply(for_versions(command) | ACQUIRE) == {"no": "two-tables"}
+    assert agreed.apply(wrap_versions_command(ACQUIRE)) == {"no": "do: unknown command"}
+    assert agreed.apply(wrap_versions_command(command) | ACQUIRE) == {"no": "two-tables"}
     assert agreed.apply([]) == {"no": "no-work-named"}
     assert (agreed.versions.newest.revision, agreed.leases.works) == (0, {})
-    assert agreed.apply(for_versions(command))["revision"] == 1 and agreed.leases.works == {}
+    assert agreed.apply(wrap_versions_command(command))["revision"] == 1 and agreed.leases.works == {}
     assert agreed.apply(ACQUIRE)["token"] == 1 and agreed.versions.newest.revision == 1
 
 
-def test_files_without_versions_load_and_files_with_them_come_back_whole():
-    old = Sessions(Agreed().leases)
+def test_snapshots_without_versions_load_and_snapshots_with_versions_round_trip():
+    old = Sessions(ReplicatedState().leases)
     old.apply(Entry(1, Kind.COMMAND, orjson.dumps(ACQUIRE), 7, 1))
-    new = Sessions(Agreed())
+    new = Sessions(ReplicatedState())
     new.load(old.dump())
     assert new.machine.leases.row("hosts")["token"] == 1 and new.machine.versions.newest.revision == 0
-    assert new.dump() == old.dump()  # which an instance of before could load
+    assert new.dump() == old.dump()  # so an instance without versions can load it
     publish(new.machine.versions, {"a": 1})
-    copy = Sessions(Agreed())
+    copy = Sessions(ReplicatedState())
     copy.load(new.dump())
     assert copy.dump() == new.dump() and copy.machine.versions.document == {"a": 1}
     copy.load(old.dump())
@@ -67,46 +72,48 @@
 
 
 def test_the_largest_changes_fit_into_a_frame_between_instances_and_larger_ones_are_refused():
-    command = orjson.dumps(for_versions({"changes": "x" * LARGEST_CHANGES}))
-    append = Append(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
-    assert len(encode_raft(append, "c" * 64)) < LONGEST
-    versions, key = Versions(), "k" * 2000
+    command = orjson.dumps(wrap_versions_command({"changes": "x" * MAX_CHANGES_BYTES}))
+    append = AppendEntriesRequest(1, 0, 1, 1, (Entry(1, Kind.COMMAND, command, 1, 1),), 1, 1)
+    assert len(encode_raft(append, "c" * 64)) < MAX_FRAME_BYTES
+    versions, key = VersionTable(), "k" * 2000
     publish(versions, {key: {"x": 0}})
     first = versions.newest
     with pytest.raises(DocumentError, match="changes: .* bytes, over"):
-        propose(versions, 1, {key: {str(i): 0 for i in range(1500)}}, 1)
+        publish_command(versions, 1, {key: {str(i): 0 for i in range(1500)}}, 1)
     publish(versions, {key: {str(i): 0 for i in range(900)}})
     publish(versions, {key: {str(i): 0 for i in range(1800)}})
-    assert versions.delta(first.revision, first.digest) is None  # a snapshot is shorter
+    assert versions.delta(first.revision, first.digest) is None  # a snapshot is smaller
 
 
 # ---- connections
 
 
 class World:
-    """An instance's port and publisher, in memory."""
+    """The network and the publisher of an instance, in memory."""
 
-    def __init__(self, most=8):
+    def __init__(self, limit=8):
         self.now = 0.0
-        self.versions = Versions()
+        self.versions = VersionTable()
         publish(self.versions, {"a": 1})
         self.publisher = Publisher("o0", self.versions, 0.0)
         addresses = {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}
-        self.net = Net(MemoryReactorClock(), "t", 0, addresses, lambda m: None, lambda b, then: then("yes"),
-                       lambda: 0.5)  # fmt: skip
-        self.watches = Watches(self.publisher, "t", lambda: self.now, self.net.drop, most)
-        self.net.takers["watch"] = self.watches.take
+        self.net = Network(
+            MemoryReactorClock(), "t", 0, addresses, lambda message: None,
+            lambda body, callback: callback("yes"), lambda: 0.5,
+        )  # fmt: skip
+        self.watch_server = WatchServer(self.publisher, "t", lambda: self.now, self.net.count_drop, limit)
+        self.net.handlers["watch"] = self.watch_server.accept
 
     def open(self):
-        conn, wire = self.net.buildProtocol(None), Wire()
+        connection, wire = self.net.buildProtocol(None), Wire()
         wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
-        conn.makeConnection(wire)
-        return conn, wire
+        connection.makeConnection(wire)
+        return connection, wire
 
-    def subscribed(self, node="n", number=1, **more):
-        conn, wire = self.open()
-        conn.dataReceived(encode(subscribe(node, number, **more), "t"))
-        return conn, wire
+    def open_subscribed(self, node="n", number=1, **more):
+        connection, wire = self.open()
+        connection.dataReceived(encode(subscribe(node, number, **more), "t"))
+        return connection, wire
 
 
 class Wire(StringTransport):
@@ -145,17 +152,21 @@
     return Acknowledge(node, subscription, number, newest.revision, newest.digest, False)
 
 
-def test_a_node_gets_the_version_then_changes_and_the_end_of_its_connection_ends_its_watch():
+def test_a_node_gets_a_snapshot_then_deltas_and_its_watch_ends_with_its_connection():
     world = World()
-    conn, wire = world.subscribed()
-    assert wire.kinds() == ["Snapshot", "Heartbeat"] and not world.net.open
-    conn.dataReceived(encode(acknowledge(world), "t"))
+    connection, wire = world.open_subscribed()
+    assert wire.kinds() == ["Snapshot", "Heartbeat"] and not world.net.inbound
+    connection.dataReceived(encode(acknowledge(world), "t"))
     assert wire.kinds() == ["Heartbeat"]
     publish(world.versions, {"a": 2})
-    world.watches.send(world.publisher.changed(0.0))
+    world.watch_server.send(world.publisher.versions_changed(0.0))
     assert wire.kinds() == ["Delta"]
-    conn.connectionLost(None)
-    assert not world.publisher.subscriptions and not world.watches.open and not world.watches.subscribed
+    connection.connectionLost(None)
+    assert (
+        not world.publisher.subscriptions
+        and not world.watch_server.sessions
+        and not world.watch_server.by_key
+    )
 
 
 def framed(data):
@@ -168,131 +179,139 @@
     (encode(Acknowledge("m", 1, 4, 0, EMPTY, False), "t"), "other-subscription"),
     (encode(Snapshot(1, 1, EMPTY, {}), "t"), "wrong-direction"),
     (encode(subscribe(number=2), "other"), "other-cluster"), (framed(b"{"), "no-json"),
-    (framed(frame("t", "call", [1, {}])), "unknown-kind"), (framed(frame("t", "watch", {})), "bad-message"),
-    ((LONGEST_FROM_NODE + 1).to_bytes(4, "big"), "too-long"),
+    (framed(encode_frame("t", "call", [1, {}])), "unknown-kind"),
+    (framed(encode_frame("t", "watch", {})), "bad-message"),
+    ((MAX_NODE_FRAME_BYTES + 1).to_bytes(4, "big"), "too-long"),
 ])  # fmt: skip
-def test_a_frame_that_is_none_ends_the_watch_and_nothing_after_it_is_taken(data, reason):
+def test_an_invalid_frame_ends_the_watch_and_later_frames_are_ignored(data, reason):
     world = World()
-    conn, wire = world.subscribed()
+    connection, wire = world.open_subscribed()
     wire.clear()
-    conn.dataReceived(data + encode(acknowledge(world), "t"))
+    connection.dataReceived(data + encode(acknowledge(world), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not wire.value()
-    assert world.publisher.subscriptions["n"].words == subscribe()
+    assert world.publisher.subscriptions["n"].report == subscribe()
 
 
 @pytest.mark.parametrize("data, reason", [
     (encode(Acknowledge("n", 1, 2, 0, EMPTY, False), "t"), "no-subscription"),
-    (framed(frame("t", "watch", {"kind": "subscribe", "node": "x" * LONGEST_FROM_NODE})), "too-long"),
+    (
+        framed(encode_frame("t", "watch", {"kind": "subscribe", "node": "x" * MAX_NODE_FRAME_BYTES})),
+        "too-long",
+    ),
 ])  # fmt: skip
-def test_a_connection_that_begins_wrongly_is_ended(data, reason):
+def test_a_connection_with_an_invalid_first_frame_is_closed(data, reason):
     world = World()
-    conn, wire = world.open()
-    conn.dataReceived(data + encode(subscribe(), "t"))
+    connection, wire = world.open()
+    connection.dataReceived(data + encode(subscribe(), "t"))
     assert world.net.dropped == {reason: 1} and wire.aborted and not world.publisher.subscriptions
-    conn.connectionLost(None)
-    assert not world.watches.open
+    connection.connectionLost(None)
+    assert not world.watch_server.sessions
 
 
-def test_a_node_that_comes_again_ends_its_older_connection_and_late_ones_are_refused():
+def test_a_new_subscription_ends_the_node_s_older_connection_and_older_numbers_are_rejected():
     world = World()
-    first, first_wire = world.subscribed(number=5)
-    _, second_wire = world.subscribed(number=6)
+    first, first_wire = world.open_subscribed(number=5)
+    _, second_wire = world.open_subscribed(number=6)
     assert first_wire.aborted and not second_wire.aborted
     first.connectionLost(None)
     assert world.publisher.subscriptions["n"].number == 6
     for number in (6, 5):
-        _, late = world.subscribed(number=number)
+        _, late = world.open_subscribed(number=number)
         assert late.aborted and late.value() == b""
     assert world.net.dropped == {"old-subscription": 2}
     assert world.publisher.subscriptions["n"].number == 6
 
 
-def test_beyond_the_bound_nodes_are_told_to_come_later_and_far_beyond_it_they_are_cut_off():
-    world = World(most=2)
-    made = [world.subscribed(f"n{i}") for i in range(3 + TURNED_AWAY)]
+def test_nodes_beyond_the_limit_are_told_to_retry_and_far_beyond_it_are_disconnected():
+    world = World(limit=2)
+    made = [world.open_subscribed(f"n{i}") for i in range(3 + MAX_REJECTED_CONNECTIONS)]
     assert [made[k][1].kinds() for k in (0, 2)] == [["Snapshot", "Heartbeat"], ["Busy"]]
     assert made[2][1].disconnecting and len(world.publisher.subscriptions) == 2
-    assert made[-1][1].aborted and world.net.dropped["too-many-watches"] == TURNED_AWAY + 1
+    assert made[-1][1].aborted and world.net.dropped["too-many-watches"] == MAX_REJECTED_CONNECTIONS + 1
     made[0][0].connectionLost(None)
-    for conn, _ in made[2:]:
-        conn.connectionLost(None)
-    assert world.subscribed("m")[1].kinds() == ["Snapshot", "Heartbeat"]
+    for connection, _ in made[2:]:
+        connection.connectionLost(None)
+    assert world.open_subscribed("m")[1].kinds() == ["Snapshot", "Heartbeat"]
 
 
-def test_a_node_that_does_not_read_is_not_read_from_and_is_cut_off_past_the_bound():
+def test_a_node_that_does_not_read_is_not_read_from_and_is_disconnected_past_the_limit():
     world = World()
-    conn, wire = world.subscribed()
-    watch = next(iter(world.watches.open))
+    connection, wire = world.open_subscribed()
+    session = next(iter(world.watch_server.sessions))
     wire.producer.pauseProducing()
     assert not wire.reads
     wire.producer.resumeProducing()
     assert wire.reads
     wire.producer.pauseProducing()
-    watch.put(b"x" * MOST_UNSENT)
+    session.send(b"x" * MAX_UNSENT_BYTES)
     assert not wire.aborted
-    watch.put(b"x")
+    session.send(b"x")
     assert wire.aborted and world.net.dropped == {"not-read": 1}
 
 
 def test_a_watch_that_leaves_a_version_unanswered_is_closed():
     world = World()
-    _, wire = world.subscribed()
+    _, wire = world.open_subscribed()
     wire.clear()
-    for world.now in (UNANSWERED - TICK + 1.0, UNANSWERED + 1.0):
+    for world.now in (UNANSWERED_VERSION_MS - TICK_INTERVAL_MS + 1.0, UNANSWERED_VERSION_MS + 1.0):
         assert not wire.disconnecting
         world.publisher.subscriptions["n"].heard_at = world.now
-        world.watches.send(world.publisher.tick(world.now))
+        world.watch_server.send(world.publisher.tick(world.now))
     assert wire.kinds() == ["Closed"] and wire.disconnecting
 
 
 # ---- confirmations
 
 
-def test_an_answer_counts_from_when_it_was_asked_and_once_the_own_table_is_there():
-    versions = Versions()
+def test_a_read_counts_from_its_start_and_only_once_the_local_table_has_caught_up():
+    versions = VersionTable()
     publisher = Publisher("o0", versions, 0.0)
-    confirming = Confirming(publisher)
-    assert confirming.asks(10.0) and not confirming.asks(10.0 + EVERY - 1) and confirming.asks(10.0 + EVERY)
-    confirming.answered(10.0, 1)
+    confirmation = VersionConfirmation(publisher)
+    assert (
+        confirmation.should_read(10.0)
+        and not confirmation.should_read(10.0 + READ_INTERVAL_MS - 1)
+        and confirmation.should_read(10.0 + READ_INTERVAL_MS)
+    )
+    confirmation.read_answered(10.0, 1)
     assert publisher.age(20.0) is None
     publish(versions, {"a": 1})
-    confirming.applied()
-    assert publisher.age(20.0) == 10.0 and not confirming.waiting
-    assert publisher.age(10.0 + CONFIRMED_FOR + 1) is None
+    confirmation.table_changed()
+    assert publisher.age(20.0) == 10.0 and not confirmation.pending
+    assert publisher.age(10.0 + CONFIRMATION_VALID_MS + 1) is None
 
 
 # ---- commands
 
 VERSION = {"discovery": CONFIG["discovery"], "settings": {"listeners": CONFIG["settings"]["listeners"]}}
-OWNERS = Owners("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
+OWNERS = OwnerEndpoints("t", (Address("127.0.0.1", 1), Address("127.0.0.1", 2)))
 
 
 class Instances:
-    """What they answer, in turn; what they were asked."""
+    """Answers calls with the given answers in turn, the last one repeatedly; records the calls."""
 
-    def __init__(self, *said):
-        self.said, self.asked = list(said), []
+    def __init__(self, *answers):
+        self.answers, self.calls = list(answers), []
 
     def __call__(self, address, cluster, body):
-        self.asked.append(body)
-        return self.said.pop(0) if len(self.said) > 1 else self.said[0]
+        self.calls.append(body)
+        return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
 
 NOTHING_YET = {"revision": 0, "digest": EMPTY, "document": {}}
 
 
-def test_a_call_without_answer_is_repeated_under_its_numbers(capsys):
+def test_an_unanswered_call_is_retried_with_the_same_numbers(capsys):
     ask = Instances(
         None, NOTHING_YET, None, {"no": "too-many-calls"}, {"ok": True, "revision": 1, "digest": "d"}
     )
     assert commands.publish(OWNERS, {"a": 1}, None, ask) == 0
     assert capsys.readouterr().out == "revision 1 committed, digest d\n"
-    calls = [body for body in ask.asked if body["do"] == "publish"]
+    calls = [body for body in ask.calls if body["do"] == "publish"]
     assert len(calls) == 3 and calls[0] == calls[1] == calls[2] and calls[0]["on"] == 0
 
 
-def test_without_any_answer_it_is_told_as_unknown(monkeypatch):
-    monkeypatch.setattr(commands, "PATIENCE", 0.0)
+def test_without_any_answer_the_outcome_is_reported_as_unknown(monkeypatch):
+    monkeypatch.setattr(commands, "RETRY_TIMEOUT_S", 0.0)
     with pytest.raises(commands.UnknownError, match="may be committed or not"):
         commands.publish(OWNERS, {"a": 1}, None, Instances(NOTHING_YET, None))
     with pytest.raises(commands.UnknownError, match="nothing was proposed"):
@@ -301,7 +320,7 @@
         )
 
 
-def test_what_the_table_refuses_is_bad_input():
+def test_a_refusal_by_the_table_is_bad_input():
     with pytest.raises(commands.InputError, match="on: builds on 0, 1 is the newest"):
         commands.publish(OWNERS, {"a": 1}, None,
                          Instances(NOTHING_YET, {"refused": "on: builds on 0, 1 is the newest"}))  # fmt: skip
@@ -327,9 +346,7 @@
     ({"listen": "127.0.0.1:1"}, "document: listen: not for a version to set"),
     ({"x": "y" * (2 << 20)}, "document: .* bytes, over"), (NESTED, "document.a.*: deeper than"),
 ])  # fmt: skip
-def test_a_file_that_cannot_be_a_version_is_named_in_one_line_with_exit_code_2(
-    value, words, tmp_path, capsys
-):
+def test_an_invalid_version_file_is_reported_in_one_line_with_exit_code_2(value, words, tmp_path, capsys):
     instances = tmp_path / "owners.toml"
     instances.write_text('cluster = "t"\n[instances]\n0 = "127.0.0.1:1"\n')
     arguments = {
@@ -345,7 +362,7 @@
         commands.read_document(arguments["FILE"])
 
 
-def test_what_is_alike_at_all_nodes_can_be_a_version_alone(tmp_path):
+def test_settings_common_to_all_nodes_form_a_valid_version(tmp_path):
     for version in (VERSION, {"settings": {"fleetSize": 3}}):
         assert commands.read_document(str(file(tmp_path, version))) == version
 
@@ -356,7 +373,7 @@
 ))  # fmt: skip
 
 
-def test_a_status_comes_back_whole_and_a_damaged_one_is_none():
+def test_a_status_round_trips_and_a_damaged_one_is_rejected():
     said = json.loads(json.dumps(encode_status(STATUS)))
     assert decode_status(said) == STATUS
     for damage in (
@@ -371,41 +388,41 @@
         decode_status(None)
 
 
-def first_answers(status, newest):
-    """Calls of which the first instance answers all, the others none; `newest` is what a quorum says."""
+def only_first_instance_answers(status, newest):
+    """Calls that only the first instance answers; `newest` is the answer of the quorum."""
     answers = {"distribution": encode_status(status), "versions": newest}
     return lambda address, _, body: answers[body["do"]] if address.port == 1 else None
 
 
-def test_status_prints_what_is_known_and_counts_no_silence_as_consent(capsys):
+def test_status_prints_what_is_known_and_does_not_count_silence_as_consent(capsys):
     names = ["n0", "n1", "n2"]
     newest = {"revision": 2, "term": 1, "digest": "a" * 32}
-    assert commands.status(OWNERS, names, first_answers(STATUS, newest)) == 0
+    assert commands.status(OWNERS, names, only_first_instance_answers(STATUS, newest)) == 0
     assert capsys.readouterr().out.splitlines() == [
         "revision 2, confirmed", "in force at 1 of 3", "oldest revision 1",
         "refused n1 revision=2 no such class", "not heard of: n2", "stale: n1",
         "instance 127.0.0.1:2 no answer",
     ]  # fmt: skip
     alone = STATUS._replace(confirmed=False, rows=())
-    assert commands.status(OWNERS, ["n0"], first_answers(alone, None)) == 1
+    assert commands.status(OWNERS, ["n0"], only_first_instance_answers(alone, None)) == 1
     assert "in force at 0 of 1" in (said := capsys.readouterr().out)
     assert "o1 unconfirmed" in said and "not confirmed: there may be" in said
 
 
-def test_a_version_that_only_a_killed_leader_had_published_is_the_newest_all_the_same(capsys):
-    # Danger: the others had confirmed the one before within the last two seconds.
+def test_a_version_that_only_a_killed_leader_had_published_counts_as_the_newest(capsys):
+    # The other instances had confirmed the previous version within the last two seconds.
     newest = {"revision": 3, "term": 2, "digest": "c" * 32}
-    assert commands.status(OWNERS, ["n0", "n1"], first_answers(STATUS, newest)) == 0
+    assert commands.status(OWNERS, ["n0", "n1"], only_first_instance_answers(STATUS, newest)) == 0
     assert capsys.readouterr().out.splitlines()[:2] == ["revision 3, confirmed", "in force at 0 of 2"]
 
 
 @pytest.mark.parametrize("answer", [None, {"no": "no-leader"}, {"revision": "3"}])
-def test_without_a_quorum_no_version_is_called_the_newest_whatever_was_confirmed_lately(answer, capsys):
-    assert commands.status(OWNERS, ["n0"], first_answers(STATUS, answer)) == 1
+def test_without_a_quorum_no_version_counts_as_the_newest_despite_recent_confirmations(answer, capsys):
+    assert commands.status(OWNERS, ["n0"], only_first_instance_answers(STATUS, answer)) == 1
     assert capsys.readouterr().out.startswith("revision 2, not confirmed: there may be a newer one")
 
 
-def test_words_that_grew_old_while_others_were_asked_do_not_count(monkeypatch):
+def test_the_age_of_reports_includes_the_time_spent_asking_other_instances(monkeypatch):
     times = iter([0.0, 7.0])
     monkeypatch.setattr(commands.time, "monotonic", lambda: next(times))
     known = commands.read_statuses(OWNERS, lambda *call: encode_status(STATUS))
@@ -413,8 +430,8 @@
 
 
 @pytest.mark.parametrize("text, words", [("", "0 names"), ("a\na\n", "'a' twice"), ("x" * 65, "is no name")])
-def test_a_list_of_nodes_that_cannot_be_used_is_named(text, words, tmp_path):
+def test_an_invalid_list_of_nodes_is_reported(text, words, tmp_path):
     path = tmp_path / "nodes"
     path.write_text(text)
     with pytest.raises(commands.InputError, match=words):
-        commands.read_names(str(path))
+        commands.read_node_names(str(path))
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -27,17 +27,17 @@
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import OwnedNode
 from caperdeck.lifecycle.owners import load_owners_for_node
-from caperdeck.owner.commands import ask
-from caperdeck.leases.census_state import MOST_NODES
+from caperdeck.owner.commands import call_instance
+from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
-from caperdeck.owner.node_links import ANSWER, NodeLinks, line_of
-from caperdeck.owner.node_links import read as read_answer
+from caperdeck.owner.node_links import ANSWER_TIMEOUT_S, NodeLinks, action_line
+from caperdeck.owner.node_links import parse_answer as read_answer
 from caperdeck.ops.admin_server import CALLER_TIMEOUT_S, AdminServer
-from caperdeck.raft.codec import encode, frame
-from caperdeck.raft.core import TakeOver
+from caperdeck.raft.codec import encode, encode_frame
+from caperdeck.raft.core import TimeoutNow
 from caperdeck.raft.storage import Storage, StorageError
-from caperdeck.raft.transport import Net
+from caperdeck.raft.transport import Network
 
 ROOT = Path(__file__).parents[1]
 FILE = {
@@ -66,7 +66,7 @@
     ({"instances": {"0": "localhost:1"}}, "instances.0"), ({"nodes": {"n0": "127.0.0.1"}}, "nodes.n0"),
     ({"nodes": {"n0": "127.0.0.1:1", "n1": "127.0.0.1:1"}}, "twice"),
     ({"nodes": {"": "127.0.0.1:1"}}, "nodes"),
-    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MOST_NODES + 1)}}, "over"),
+    ({"nodes": {f"n{i}": f"127.0.0.1:{i + 1}" for i in range(MAX_NODES + 1)}}, "over"),
     ({"nodes": {"n17546": "127.0.0.1:1", "n2152930": "127.0.0.1:2"}}, "one digest"),
     ({"first": [0, 0, 1]}, "first"), ({"first": [5]}, "first"), ({"first": []}, "first"),
     ({"works": ["bake"]}, "works"), ({"works": ["hosts", "hosts"]}, "works"),
@@ -96,7 +96,7 @@
 
 def net(received):
     reactor = MemoryReactorClock()
-    return Net(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
+    return Network(reactor, "t", 0, {0: ("127.0.0.1", 1), 1: ("127.0.0.1", 2)}, received.append,
                lambda body, then: then({"echo": body}), lambda: 0.5)  # fmt: skip
 
 
@@ -115,12 +115,14 @@
 
 @pytest.mark.parametrize("data, reason", [
     (framed(b"{"), "no-json"), (framed(b"[1]"), "no-frame"),
-    (framed(encode(TakeOver(1, 1), "other")), "other-cluster"),
+    (framed(encode(TimeoutNow(1, 1), "other")), "other-cluster"),
     (framed(orjson.dumps([2, "t", "takeover", [1, 1]])), "other-version"),
-    (framed(encode(TakeOver(1, 0), "t")), "own-name"),
-    (framed(encode(TakeOver(1, 7), "t")), "unknown-instance"),
-    (framed(frame("t", "dance", [])), "unknown-kind"), (framed(frame("t", "call", [1])), "wrong-fields"),
-    (framed(frame("t", "takeover", [1 << 60, 1])), "impossible-number"), (b"\xff\xff\xff\xff", "too-long"),
+    (framed(encode(TimeoutNow(1, 0), "t")), "own-name"),
+    (framed(encode(TimeoutNow(1, 7), "t")), "unknown-instance"),
+    (framed(encode_frame("t", "dance", [])), "unknown-kind"),
+    (framed(encode_frame("t", "call", [1])), "wrong-fields"),
+    (framed(encode_frame("t", "takeover", [1 << 60, 1])), "impossible-number"),
+    (b"\xff\xff\xff\xff", "too-long"),
 ])  # fmt: skip
 def test_a_frame_that_is_none_ends_its_connection_and_is_counted(data, reason):
     received = []
@@ -134,25 +136,27 @@
     received = []
     n = net(received)
     conn, wire = opened(n)
-    conn.dataReceived(framed(encode(TakeOver(3, 1), "t")) + framed(frame("t", "call", [9, "x"])))
-    assert received == [TakeOver(3, 1)] and wire.value() == framed(frame("t", "reply", [9, {"echo": "x"}]))
+    conn.dataReceived(framed(encode(TimeoutNow(3, 1), "t")) + framed(encode_frame("t", "call", [9, "x"])))
+    assert received == [TimeoutNow(3, 1)] and wire.value() == framed(
+        encode_frame("t", "reply", [9, {"echo": "x"}])
+    )
 
 
 def test_what_cannot_go_out_is_dropped_and_a_call_has_no_answer():
     """Kept for one that sleeps, it would grow without end."""
     n, answers = net([]), []
-    n.send(1, TakeOver(1, 0))
-    n.ask(1, {}, answers.append)
+    n.send(1, TimeoutNow(1, 0))
+    n.call(1, {}, answers.append)
     assert answers == [None] and n.dropped == {"unsent": 1}
     conn = n.links[1].buildProtocol(None)
     wire = StringTransport()
     wire.setTcpNoDelay, wire.getHandle = lambda on: None, lambda: socket.socket()
     conn.makeConnection(wire)
     conn.pauseProducing()
-    n.send(1, TakeOver(1, 0))
+    n.send(1, TimeoutNow(1, 0))
     assert wire.value() == b"" and n.dropped == {"unsent": 2}
     conn.resumeProducing()
-    n.ask(1, {}, answers.append)
+    n.call(1, {}, answers.append)
     n.reactor.advance(1.1)
     assert wire.value() and answers == [None, None]
 
@@ -176,31 +180,31 @@
 def test_acts_at_a_node_go_over_one_connection_and_each_has_the_answer_in_its_turn():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1), "n1": ("127.0.0.1", 2)})
-    links.act("n0", b"act census 7 {}\n", said.append)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     conn, wire = link_up(reactor)
     conn.dataReceived(b'ACK {"life":1}\r\nNAK older')
     conn.dataReceived(b"-token\r\n")
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     assert wire.value() == b"act census 7 {}\nact hosts 9 {}\nact census 7 {}\n"
     assert said == [{"life": 1}, {"no": "older-token"}] and len(reactor.tcpClients) == 1
     conn.connectionLost(Failure(ConnectionDone()))  # as by a node that was idle, or of an older program
     assert said[2:] == [None]
-    links.act("n0", b"act census 7 {}\n", said.append)
-    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.over
+    links.send("n0", b"act census 7 {}\n", said.append)
+    assert len(reactor.tcpClients) == 2 and not reactor.tcpClients[-1][2].conn.closed
 
 
 def test_after_an_answer_that_did_not_come_in_time_no_later_one_is_taken_for_another():
     reactor, said = MemoryReactorClock(), []
     links = NodeLinks(reactor, {"n0": ("127.0.0.1", 1)})
-    links.act("n0", b"act census 7 {}\n", said.append)
+    links.send("n0", b"act census 7 {}\n", said.append)
     conn, wire = link_up(reactor)
-    reactor.advance(ANSWER / 2)
-    links.act("n0", b"act hosts 9 {}\n", said.append)
-    reactor.advance(ANSWER)
-    assert said == [None, None] and conn.over
+    reactor.advance(ANSWER_TIMEOUT_S / 2)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
+    reactor.advance(ANSWER_TIMEOUT_S)
+    assert said == [None, None] and conn.closed
     conn.dataReceived(b'ACK {"life":1}\r\n')
-    links.act("n0", b"act hosts 9 {}\n", said.append)
+    links.send("n0", b"act hosts 9 {}\n", said.append)
     assert said == [None, None] and len(reactor.tcpClients) == 2
 
 
@@ -210,7 +214,7 @@
     front = AdminServer(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), Wire()
     conn.makeConnection(wire)
-    line = line_of("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
+    line = action_line("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
         conn.dataReceived(line)
         d.reactor.advance(CALLER_TIMEOUT_S - 1)
@@ -243,9 +247,9 @@
     monkeypatch.setattr("caperdeck.raft.storage.os.fsync", full)
     now[0] = 10_000.0  # alone, it elects itself, and cannot write that down
     made.driver.tick()
-    assert len(ended) == 1 and "No space" in ended[0] and made.driver.ended
+    assert len(ended) == 1 and "No space" in ended[0] and made.driver.closed
     answers = []
-    made._call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
+    made._handle_call({"do": "propose", "command": {}, "client": 1, "serial": 1}, answers.append)
     assert answers in ([], [None])
     made.closed = True
     made.storage.close()
@@ -254,7 +258,7 @@
 def config_members(config):
     from caperdeck.raft.log import Members
 
-    return Members(config.first)
+    return Members(config.initial_voters)
 
 
 def at_once(reactor, pool, do, *args):
@@ -276,7 +280,7 @@
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
     owned = service.owned_node = OwnedNode(d.reactor, d, owners, "n0", 4, service.excluded_hosts)
     for work in ("hosts", "census"):
-        owned.target.fence.learned(work, 0)
+        owned.target.fence.record_token(work, 0)
     return d, service, owned
 
 
@@ -287,7 +291,7 @@
 
 
 def turned(d, uid):
-    return d.hosts.index_by_uid[uid] in d.balancer._node.banned
+    return d.hosts.index_by_uid[uid] in d.balancer._node.banned_at
 
 
 def test_a_host_is_out_by_the_fleets_word_until_it_ends_or_by_hand(tmp_path):
@@ -320,13 +324,13 @@
 
 
 def test_a_line_of_the_longest_lists_is_taken(tmp_path):
-    from caperdeck.leases.outlier_ejection import HELD, LONGEST_LIST, short
+    from caperdeck.leases.outlier_ejection import EJECTION_LEASE_MS, MAX_UID_CHARACTERS, truncate_uids
     from caperdeck.ops.admin_server import MAX_CALL_BYTES
 
-    uids = short([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
-    body = {"number": 123456, "out": uids, "ms": HELD, "ask": uids}
-    line = line_of("hosts", 1 << 40, body)
-    assert sum(map(len, uids)) <= LONGEST_LIST and len(line) <= MAX_CALL_BYTES
+    uids = truncate_uids([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
+    body = {"number": 123456, "out": uids, "ms": EJECTION_LEASE_MS, "ask": uids}
+    line = action_line("hosts", 1 << 40, body)
+    assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= MAX_CALL_BYTES
     d, service, owned = owned_node(tmp_path)
     service.calls.add("act", 3, owned.act, owned.longest)
     said = []
@@ -376,7 +380,7 @@
 
     def held(work):
         for port in ports[:3]:
-            s = ask(("127.0.0.1", port), "t", {"do": "status"})
+            s = call_instance(("127.0.0.1", port), "t", {"do": "status"})
             if s and work in s["holds"]:
                 return s["me"], s["holds"][work]["token"]
         return None
@@ -410,8 +414,8 @@
                                      timeout=30, check=False)  # fmt: skip
         assert again_on_it.returncode == 2 and b"another instance runs on it" in again_on_it.stderr
         assert say("remove", "2")[0] == 0
-        until(lambda: any((s := ask(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] == [0, 1]
-                          for p in ports[:2]))  # fmt: skip
+        until(lambda: any((s := call_instance(("127.0.0.1", p), "t", {"do": "status"})) and s["voters"] ==
+                          [0, 1] for p in ports[:2]))  # fmt: skip
         processes[0].send_signal(signal.SIGTERM)
         assert processes[0].wait(10) == 0
     finally:
