--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -147,7 +147,7 @@
 def test_another_list_of_peers_opens_the_port_anew(tmp_path):
     d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
-    service.uses, service.takes = SharingFeatures(), True
+    service.uses, service.takes_clients = SharingFeatures(), True
     d.reactor.listenUDP = lambda *_, **__: Socket()
     service.join_peers()
     first = service.peers
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -213,7 +213,7 @@
     service = service_over(d, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with logged() as lines:
-        service.know([row("s-0"), row("s-1")], {"bans": ["s-1"]})
+        service.load_hosts([row("s-0"), row("s-1")], {"bans": ["s-1"]})
     assert service.bans.uids == {"s-1": None} and 1 in d.balancer._node.banned_at
     assert "reason=bans-unwritable" in "".join(lines)
 
