--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.task import LoopingCall
 
-from caperdeck.execution.backlog import SWEEP
+from caperdeck.execution.backlog import SWEEP_INTERVAL_MS
 from caperdeck.core.facade import Balancer
 from caperdeck.core.settings import MS
 from caperdeck.ops.ban_calls import BanCalls
@@ -244,7 +244,7 @@
         self.handler.last_turn_at = self.clock()
         loop = LoopingCall(self.sweep)
         loop.clock = self.reactor
-        loop.start(SWEEP / MS, now=False).addErrback(self.start_sweeping)
+        loop.start(SWEEP_INTERVAL_MS / MS, now=False).addErrback(self.start_sweeping)
 
     def sweep(self) -> None:
         if (step := self.wall_clock_monitor.detect_step()) is not None:
@@ -340,7 +340,7 @@
             self.join_peers()
         self.discovery.list_lifetime = new.limits.list_lifetime / MS
         if new.discovery != old.discovery:
-            self.discovery.move_to(new.discovery)
+            self.discovery.switch_to(new.discovery)
         logger.info("reload discovery={} sockets={} classes={} kept={}", new.discovery, new.sockets,
                     ",".join(new.names.listeners), ",".join(kept) or "-")  # fmt: skip
 
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -106,7 +106,7 @@
             parse_request(message["line"].encode("latin-1")), client, message["since"]
         )
         host_side = HostConnection(handler, session, message["deadline"])
-        host_side.taken_up = True
+        host_side.taken_over = True
         adopt_connection(handler, descriptors[1], host_side)
         session.host, session.dial, session.host_connection = (
             handler.hosts.index_of(message["host"]),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import CONFIG, SETUP, write
+from helpers import CONFIG, SETUP, write_config
 
 from caperdeck.__main__ import main
 from caperdeck.distribution.publisher_selection import Place
@@ -79,7 +79,7 @@
     path = control_file(tmp_path / "control", tmp_path, **changes)
     with pytest.raises(ConfigError, match=text):
         load_control(path, "n1")
-    write(tmp_path / "c", CONFIG)
+    write_config(tmp_path / "c", CONFIG)
     for command in ("check", "serve"):
         assert main([command, f"--config={tmp_path / 'c'}", f"--control={path}"]) == 2
         said = capsys.readouterr().err
@@ -87,7 +87,7 @@
 
 
 def test_check_accepts_a_control_file(tmp_path, capsys):
-    write(tmp_path / "c", CONFIG)
+    write_config(tmp_path / "c", CONFIG)
     path = control_file(tmp_path / "control", tmp_path)
     assert main(["check", f"--config={tmp_path / 'c'}", f"--control={path}"]) == 0
 
@@ -102,7 +102,7 @@
 
 
 def load_own(tmp_path, **changes):
-    return load_config(write(tmp_path / "own", CONFIG | changes), keep_file_values=True)
+    return load_config(write_config(tmp_path / "own", CONFIG | changes), keep_file_values=True)
 
 
 ROW = SETUP["listeners"][0]
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -8,7 +8,9 @@
 import sys
 
 import pytest
-from helpers import CONFIG, SETUP, START, Stepped, Wire, make_handler, logged, write
+from helpers import (
+    CONFIG, SETUP, START, RecordingTransport, SteppedReactor, captured_log, make_handler, write_config,
+)  # fmt: skip
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.protocol import ServerFactory
@@ -46,7 +48,7 @@
     return {"settings": {"fleetSize": nodes}}
 
 
-class FakeTransport(Wire):
+class FakeTransport(RecordingTransport):
     def setsockopt(self, *_):
         pass
 
@@ -114,7 +116,7 @@
     def __init__(self, folder, name="n1", reactor=None, address=ADDRESS, **own):
         self.folder, self.disk = folder, FakeDisk()
         self.reactor = reactor or MemoryReactorClock()
-        self.environment = write(folder / "c", CONFIG | own | {"name": name})
+        self.environment = write_config(folder / "c", CONFIG | own | {"name": name})
         place = Place("o0", "z0", "north")
         control = Control("t", Place(name, "z0", "north"), str(folder), {"o0": Instance(place, address)})
         self.published = PublishedConfig(self.reactor, control, self.read_file, self.disk)
@@ -270,7 +272,7 @@
     row = SETUP["listeners"][0]
     node_with_versions(tmp_path, {"settings": {"listeners": [row, row | {"name": "second"}]}})
     aims = {"settings": SETUP | {"specifics": {"messageAim": [0.3, "none"]}}}
-    with logged() as log:
+    with captured_log() as log:
         node = NodeUnderTest(tmp_path, **aims).start()
     assert any("version refused revision=1 settings.listeners: " in line for line in log)
     assert node.revision == 0 and node.watch.subscriber.refusal.revision == 1
@@ -282,7 +284,7 @@
     node.disk.delayed = True
     instances.publish(fleet_size(6))
     node.run(instances)
-    write(tmp_path / "c", CONFIG | {"limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"limits": {"sockets": 512}})
     node.service.reload()
     assert node.service.config.sockets == 256
     node.disk.deliver_results()
@@ -291,14 +293,14 @@
 
 def test_a_reload_merges_the_version_into_the_nodes_file_again(tmp_path):
     node, _ = node_with_versions(tmp_path, fleet_size(5))
-    write(tmp_path / "c", CONFIG | {"discovery": "127.0.0.1:8600", "limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"discovery": "127.0.0.1:8600", "limits": {"sockets": 512}})
     node.service.reload()
     config = node.service.config
     assert (config.discovery, config.sockets, config.settings.nodes) == ("127.0.0.1:8600", 512, 5)
-    write(tmp_path / "c", "{")
+    write_config(tmp_path / "c", "{")
     node.service.reload()
     assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
-    write(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
+    write_config(tmp_path / "c", {key: value for key, value in CONFIG.items() if key != "limits"})
     node.service.reload()
     assert node.service.config is config  # the file was truncated
 
@@ -307,7 +309,7 @@
     node, _ = node_with_versions(tmp_path, {"settings": {"projects": [{"name": "acme"}]}})
     config = node.service.config
     short = {key: value for key, value in SETUP.items() if key != "projects"}
-    write(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
+    write_config(tmp_path / "c", CONFIG | {"settings": short, "limits": {"sockets": 512}})
     node.service.reload()
     assert node.service.config is config and node.service.handler.metrics.rejected_configs == 1
 
@@ -329,7 +331,7 @@
 def test_a_version_that_could_not_be_written_is_retried_with_growing_delays(tmp_path):
     node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
-    with logged() as log:
+    with captured_log() as log:
         instances.publish(fleet_size(6))
         node.run(instances, 200.0)
     tries = [line for line in log if "version refused revision=2" in line]
@@ -347,7 +349,7 @@
     monkeypatch.setattr("caperdeck.distribution.node.MAX_WRITE_RETRIES", 2)
     node, instances = node_with_versions(tmp_path, fleet_size(5))
     node.disk.full = True
-    with logged() as log:
+    with captured_log() as log:
         instances.publish(fleet_size(6))
         node.run(instances, 60.0)
         assert sum("version refused revision=2" in line for line in log) == 3
@@ -395,7 +397,7 @@
 def test_a_damaged_file_is_reported_and_counts_as_empty(tmp_path):
     node, instances = node_with_versions(tmp_path, fleet_size(5))
     (tmp_path / "version").write_bytes(b"{}")
-    with logged() as log:
+    with captured_log() as log:
         second = NodeUnderTest(tmp_path)
     assert len([line for line in log if "version reason=file" in line and "damaged" in line]) == 1
     second.reactor.advance(node.reactor.seconds())
@@ -522,7 +524,7 @@
 
 
 def test_versions_arrive_over_loopback_sockets(tmp_path):
-    reactor = Stepped()
+    reactor = SteppedReactor()
     factory = ServerFactory.forProtocol(InstanceConnection)
     port = reactor.listenTCP(0, factory, interface="127.0.0.1")
     address = Address("127.0.0.1", port.getHost().port)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -8,11 +8,12 @@
 import orjson
 import pytest
 from helpers import (
-    CONFIG, START, UP_WITHIN, Wire, at_host, entry, free_ports, make_handler, node, opening, opening_at,
-    ping_until_ready, row, serve_lines, serve_list, session_request, write,
+    CONFIG, RESUME_WITHIN_S, START, RecordingTransport, answer_as_host, free_ports, host_row, make_handler,
+    make_node, open_line, ping_until_ready, resume_line, roster_entry, serve_host_list, serve_lines,
+    session_request, write_config,
 )  # fmt: skip
 from node_processes import connected
-from test_race_conditions import HEADERS, Agent
+from test_race_conditions import HEADERS, FakeDiscovery
 from twisted.internet.testing import MemoryReactorClock
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -29,19 +30,21 @@
     """A node as a process; all servers of its list are one stand-in."""
 
     def __init__(self, folder, servers):
-        port = serve_lines(at_host)
-        rows = [row(f"s-{i:08x}", port=port) for i in range(servers)]
+        port = serve_lines(answer_as_host)
+        rows = [host_row(f"s-{i:08x}", port=port) for i in range(servers)]
         self.port = free_ports(1)[0]
         config = CONFIG | {
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{serve_list(*rows)}",
+            "discovery": f"127.0.0.1:{serve_host_list(*rows)}",
             "limits": {"sockets": OVER_STANDING + 2 * STANDING},
             "known": {"rev": 41, "all": True, "targets": rows},
         }
         self.sockets = []
         with open(folder / "log", "wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "caperdeck", "serve"], env=write(folder / "c", config), stderr=log
+                [sys.executable, "-m", "caperdeck", "serve"],
+                env=write_config(folder / "c", config),
+                stderr=log,
             )
 
     def client(self, line):
@@ -78,10 +81,10 @@
 # guards against: lost connections that stood before a node's start, where its list has thousands of servers
 @pytest.mark.parametrize("fleet", [1200, 3200], indirect=True)
 def test_connections_that_stood_before_come_up_in_a_fleet_of_thousands_of_servers(fleet):
-    until = time.monotonic() + UP_WITHIN
+    until = time.monotonic() + RESUME_WITHIN_S
     ping_until_ready(fleet.port, until)
     for i in range(STANDING):
-        fleet.client(opening_at(i, f"s-{7 * i:08x}"))
+        fleet.client(resume_line(i, f"s-{7 * i:08x}"))
     assert fleet.answers(until) == [b"UP r1\r\n"] * STANDING
 
 
@@ -90,7 +93,7 @@
 def test_new_clients_are_served_in_a_fleet_of_thousands_of_servers(fleet):
     ping_until_ready(fleet.port, time.monotonic() + READY_WITHIN)
     for i in range(STANDING):
-        fleet.client(opening(i))
+        fleet.client(open_line(i))
     assert fleet.answers(time.monotonic() + 5.0) == [b"UP r1\r\n"] * STANDING
 
 
@@ -99,7 +102,7 @@
     d.probes.probe(host, d.hosts.addresses[host])
     if answers:
         conn = d.reactor.tcpClients[-1][2].buildProtocol(None)
-        conn.makeConnection(Wire())
+        conn.makeConnection(RecordingTransport())
         conn.dataReceived(b"PONG x0=0.2\r\n")
 
 
@@ -147,7 +150,9 @@
 def busy_node(servers, cold):
     """A node of a fleet of 200 in a release; more servers are smaller ones, all together do the same."""
     born = [START - 2000.0] * cold + [0.0] * (servers - cold)
-    n = node(nodes=200, entries=[entry(h, zone=h % 3, started_at=born[h]) for h in range(servers)])
+    n = make_node(
+        nodes=200, entries=[roster_entry(h, zone=h % 3, started_at=born[h]) for h in range(servers)]
+    )
     for h in range(0, servers, servers // 60):
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 6000.0 / servers))
     for i in range(40):
@@ -181,7 +186,7 @@
 
 
 def large_list(servers):
-    rows = [row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
+    rows = [host_row(f"s-{i:08x}", port=9000 + i) for i in range(servers)]
     return orjson.dumps({"rev": 9, "all": True, "targets": rows}) + b"\n"
 
 
@@ -196,7 +201,7 @@
     """Processor seconds to read the list of so many servers in pieces of that size."""
     heard, text = [], large_list(servers)
     body = WatchBody(watch_of(MemoryReactorClock(), heard))
-    body.makeConnection(Wire())
+    body.makeConnection(RecordingTransport())
     began = time.process_time()
     for at in range(0, len(text), size):
         body.dataReceived(text[at : at + size])
@@ -210,41 +215,43 @@
     assert many < 2 * 8 * few
 
 
-def arrives_over(seconds, agent):
+def arrives_over(seconds, discovery):
     """The answer to the last call, the list of a large fleet in it, comes evenly over that time."""
-    sock, text, watch = agent.accepted[-1], large_list(3200), agent.watch
+    sock, text, watch = discovery.accepted[-1], large_list(3200), discovery.watch
     sock.send(HEADERS + b"%x\r\n" % len(text))
-    agent.reactor.until(lambda: watch.body)
+    discovery.reactor.run_until(lambda: watch.body)
     steps = round(seconds / 0.1)
     for i in range(steps):
         end = len(text) * (i + 1) // steps
         sock.send(text[len(text) * i // steps : end])
         # the kernel takes real time, which the reactor's clock does not tell
-        agent.reactor.until(lambda end=end: not watch.body or agent.told or watch.body.length >= end)
-        agent.step("hangs", 0.1)
+        discovery.reactor.run_until(
+            lambda end=end: not watch.body or discovery.received_at or watch.body.length >= end
+        )
+        discovery.run("hangs", 0.1)
 
 
 # guards against: a list never read, as it takes longer to arrive than a node waits for the end of a line
 @pytest.mark.parametrize("seconds", [2.8, 5.0])
 def test_a_list_that_arrives_slowly_is_read(seconds):
-    agent = Agent()
-    agent.watch.start()
-    agent.step("hangs", 0.1)
+    discovery = FakeDiscovery()
+    discovery.watch.start()
+    discovery.run("hangs", 0.1)
     for _ in range(4):
         with suppress(OSError):
-            arrives_over(seconds, agent)
-        agent.step("hangs", 1.5)
-        if agent.told:
+            arrives_over(seconds, discovery)
+        discovery.run("hangs", 1.5)
+        if discovery.received_at:
             break
-    agent.close()
-    assert len(agent.told) == 1
+    discovery.close()
+    assert len(discovery.received_at) == 1
 
 
 # guards against: the time that a line may take counted from the beginning of an earlier one
 def test_each_line_of_a_watch_has_its_own_time():
     line = LineInProgress()
-    line.heard(0.0, ended=False, unfinished=True)
-    line.heard(5.0, ended=True, unfinished=True)
-    assert line.comes(5.4) and not line.comes(5.6)
-    line.heard(5.5, ended=True, unfinished=False)
-    assert not line.comes(5.5)
+    line.bytes_received(0.0, ended=False, unfinished=True)
+    line.bytes_received(5.0, ended=True, unfinished=True)
+    assert line.is_arriving(5.4) and not line.is_arriving(5.6)
+    line.bytes_received(5.5, ended=True, unfinished=False)
+    assert not line.is_arriving(5.5)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -2,8 +2,9 @@
 
 import pytest
 from helpers import (
-    OPEN, START, Wire, accept, connect, dials, entry, establish_sessions, lost, make_handler, node, opening,
-    report_loads, row, service_over, session_request, up,
+    OPEN_LINE, START, RecordingTransport, accept, connect, dials, establish, establish_sessions, host_row,
+    lose_connection, make_handler, make_node, open_line, report_loads, roster_entry, service_over,
+    session_request,
 )  # fmt: skip
 
 from caperdeck.core.decide import TICK_TOKEN
@@ -40,7 +41,7 @@
 def connection(server, *pieces):
     """A caller's connection that has received these pieces."""
     made = server.buildProtocol(None)
-    made.makeConnection(Wire())
+    made.makeConnection(RecordingTransport())
     for piece in pieces:
         made.dataReceived(piece)
     return made
@@ -72,7 +73,7 @@
     c = connection(server, b"readyz\n")
     c.readConnectionLost()
     assert c.transport.lines() == [b"ACK"] and c.transport.ended == "end"
-    lost(c)
+    lose_connection(c)
     assert not server.connections
 
 
@@ -85,16 +86,16 @@
 
 def test_an_established_session_counts_once_and_is_open_until_its_end():
     d = make_handler()
-    client, host = up(d)
+    client, host = establish(d)
     assert counts(d) == ([1, 0, 0], 1) and d.gauges()["open_requests"] == 1
     host.dataReceived(b"BYE\r\n")
-    lost(host)
+    lose_connection(host)
     assert counts(d) == ([1, 0, 0], 1) and d.gauges()["open_requests"] == 0
 
 
 def test_a_refusal_by_all_hosts_counts_once_and_each_forwarded_request_is_counted():
     d = make_handler(hosts=3)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     for _ in range(3):
         accept(d).dataReceived(b"BUSY\r\n")
     assert client.transport.lines()[0].startswith(b"BUSY") and counts(d) == ([0, 1, 0], 3)
@@ -102,17 +103,17 @@
 
 def test_a_dial_that_fails_before_the_request_is_sent_is_not_counted():
     d = make_handler()
-    connect(d, OPEN)
-    wire = Wire()
+    connect(d, OPEN_LINE)
+    wire = RecordingTransport()
     wire.broken = True
     accept(d, wire)
     assert counts(d)[1] == 0
 
 
 @pytest.mark.parametrize("sockets, line, expected", [
-    (1024, OPEN.replace(b"d=1200", b"d=1e300"), [0, 0, 1]),
-    (1024, OPEN.replace(b"c=chat", b"c=made-up"), [0, 0, 0]),
-    (32, OPEN, [0, 1, 0]),
+    (1024, OPEN_LINE.replace(b"d=1200", b"d=1e300"), [0, 0, 1]),
+    (1024, OPEN_LINE.replace(b"c=chat", b"c=made-up"), [0, 0, 0]),
+    (32, OPEN_LINE, [0, 1, 0]),
 ])  # fmt: skip
 def test_a_client_refused_on_arrival_counts_under_a_class_of_the_settings(sockets, line, expected):
     d = make_handler(sockets=sockets)
@@ -124,9 +125,9 @@
 
 def test_a_client_that_left_before_its_answer_is_not_counted():
     d = make_handler()
-    client = connect(d, opening(1))
+    client = connect(d, open_line(1))
     accept(d)
-    lost(client)
+    lose_connection(client)
     assert counts(d) == ([0, 0, 0], 1) and d.gauges()["open_requests"] == 0
 
 
@@ -158,7 +159,7 @@
 
 def test_a_ban_also_applies_to_dials_that_are_not_connected_yet(tmp_path):
     d, service = service_in_memory(tmp_path, hosts=1)
-    client = connect(d, OPEN)
+    client = connect(d, OPEN_LINE)
     assert admin_call(service, b"exclude s-0") == "ACK"
     conn = accept(d)
     assert conn.transport.lines() == [] and d.metrics.relayed_requests == 0
@@ -175,16 +176,17 @@
 
 
 @pytest.mark.parametrize("news", [
-    [row("s-0")], [row("s-0", boot=int(START) + 50)], [row("s-0", "Terminating")], [row("s-0", "Gone")],
+    [host_row("s-0")], [host_row("s-0", boot=int(START) + 50)], [host_row("s-0", "Terminating")],
+    [host_row("s-0", "Gone")],
 ])  # fmt: skip
 def test_a_ban_lasts_until_an_include_call_whatever_the_roster_says(tmp_path, news):
     d, service = service_in_memory(tmp_path)
     for _ in range(3):
         assert admin_call(service, b"exclude s-0") == "ACK"
     d.update_roster(False, news)
-    d.update_roster(False, [row("s-0")])
+    d.update_roster(False, [host_row("s-0")])
     for _ in range(12):
-        connect(d, opening(d.sessions.created_count))
+        connect(d, open_line(d.sessions.created_count))
     assert {port for _, port, *_ in d.reactor.tcpClients} == {9001}
     assert admin_call(service, b"include s-0") == "ACK" and d.balancer.accepts_sessions(0)
     assert d.gauges()["out_of_rotation"] == 0
@@ -193,7 +195,7 @@
 def test_an_included_host_has_the_state_of_the_current_roster(tmp_path):
     d, service = service_in_memory(tmp_path)
     admin_call(service, b"exclude s-0")
-    d.update_roster(False, [row("s-0", "Terminating")])
+    d.update_roster(False, [host_row("s-0", "Terminating")])
     admin_call(service, b"include s-0")
     assert not d.balancer.accepts_sessions(0)
 
@@ -231,7 +233,7 @@
 
 
 def test_a_readmitted_host_is_cold_and_soon_gets_a_session():
-    n = node(12)
+    n = make_node(12)
     report_loads(n, [0.2] * 12)
     n.set_ban(START, 5, True)
     assert 5 not in {dials(n.open_session(START, session_request(i)))[0].host for i in range(30)}
@@ -249,7 +251,7 @@
 @pytest.mark.parametrize("others", [[0.9, 0.9, 0.9, 0.5], [0.85, 0.8, 0.8, 0.6]])
 def test_a_readmitted_host_is_probed_though_the_mean_load_is_high_and_another_host_has_headroom(others):
     # Judged by the mean load alone, the host got no session and no probe as long as any host had headroom.
-    n = node(5, nodes=2)
+    n = make_node(5, nodes=2)
     n.unit_capacity, n.mean_hint, n.request_count = 1200.0, 10.0, 1000
     report_loads(n, [0.1, *others])
     n.set_ban(START - 4000, 0, True)
@@ -267,7 +269,7 @@
 
 
 def test_a_host_excluded_again_before_it_got_a_session_gets_none():
-    n = node(3)
+    n = make_node(3)
     report_loads(n, [0.2] * 3)
     for out in (True, False, True):
         n.set_ban(START, 1, out)
@@ -278,20 +280,22 @@
 
 @pytest.mark.parametrize("listed_born, born", [(0.0, 2000.0), (500.0, 2000.0), (1500.0, 1500.0)])
 def test_a_readmitted_host_counts_as_started_at_its_restart_or_the_call_whichever_is_later(listed_born, born):
-    n = node(2)
+    n = make_node(2)
     n.set_ban(START + 1000, 0, True)
     n.update_roster(
-        START + 1600, RosterScope.CHANGES, [entry(0, started_at=START + listed_born if listed_born else 0.0)]
+        START + 1600,
+        RosterScope.CHANGES,
+        [roster_entry(0, started_at=START + listed_born if listed_born else 0.0)],
     )
     n.set_ban(START + 2000, 0, False)
     assert n.started_at[0] == START + born
-    n.update_roster(START + 2100, RosterScope.CHANGES, [entry(0)])
+    n.update_roster(START + 2100, RosterScope.CHANGES, [roster_entry(0)])
     assert n.started_at[0] == START + born
 
 
 @pytest.mark.parametrize("held", [40, 60, 20, 200])
 def test_a_restarted_host_is_filled_up_to_its_own_earlier_capacity(held, figure=0.4):
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(figure, None, held if h == 0 else 40))
@@ -306,7 +310,7 @@
 
 
 def test_the_load_of_a_cold_host_does_not_set_its_capacity():
-    n = node(entries=[entry(0, started_at=START - 1000.0), entry(1)])
+    n = make_node(entries=[roster_entry(0, started_at=START - 1000.0), roster_entry(1)])
     for h in range(2):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
@@ -315,7 +319,7 @@
 
 
 def test_the_budget_of_a_cold_host_depends_on_established_sessions_not_on_retries():
-    n = node(4)
+    n = make_node(4)
     for h in range(4):
         establish_sessions(n, h, [10.0] * 20, first=100 * h + 100)
         n.probe_completed(START, h, Outcome.GOOD, LoadReport(0.4, None, 40))
@@ -323,7 +327,7 @@
     for i in range(300):
         n._new_session(START, session_request(1000 + i, load=500.0))
     n._update_fleet_view(START)
-    n.update_roster(START, RosterScope.CHANGES, [entry(0, started_at=START)])
+    n.update_roster(START, RosterScope.CHANGES, [roster_entry(0, started_at=START)])
     assert n._slot_price(START + 900, n.sessions[100]) < 60.0 and n.mean_hint > 300.0
 
 
@@ -331,7 +335,7 @@
     d, later = make_handler(hosts=3), make_handler(hosts=0)
     n = d.balancer._node
     n.unit_capacity, n.mean_session_load, n.warm_capacity[1] = 4000.0, 25.0, 5000.0
-    later.update_roster(True, [row("s-2", port=9002), row("s-1", port=9001)])
+    later.update_roster(True, [host_row("s-2", port=9002), host_row("s-1", port=9001)])
     memory = d.balancer.learned_state()
     later.restore_learned_state(memory, dict(zip(d.hosts.uids, memory["able"], strict=True)))
     m = later.balancer._node
@@ -343,7 +347,7 @@
 
 
 def test_established_sessions_stay_on_an_excluded_host():
-    n = node(3)
+    n = make_node(3)
     establish_sessions(n, 0, [10.0] * 20)
     report_loads(n, [0.3, 0.3, 0.1])
     n.set_ban(START, 0, True)
@@ -353,7 +357,7 @@
 
 
 def test_with_every_host_excluded_a_session_is_refused_with_a_back_off():
-    n = node(2, may_probe=False)
+    n = make_node(2, may_probe=False)
     for h in range(2):
         n.set_ban(START, h, True)
     n.open_session(START, session_request(1, time_left=50.0))
@@ -380,17 +384,17 @@
 
 def half_a_head(d):
     client = connect(d)
-    client.dataReceived(opening(d.sessions.created_count)[:30])
+    client.dataReceived(open_line(d.sessions.created_count)[:30])
     return client, None
 
 
 def dialling(d):
-    client = connect(d, opening(d.sessions.created_count))
+    client = connect(d, open_line(d.sessions.created_count))
     return client, None
 
 
 def head_sent(d):
-    client = connect(d, opening(d.sessions.created_count))
+    client = connect(d, open_line(d.sessions.created_count))
     return client, accept(d)
 
 
@@ -401,11 +405,11 @@
 
 
 def standing_quiet(d):
-    return up(d)
+    return establish(d)
 
 
 def half_a_line(d):
-    client, host = up(d)
+    client, host = establish(d)
     client.dataReceived(b"one\r\ntw")
     host.dataReceived(b"MO")
     return client, host
@@ -422,9 +426,9 @@
         client, host = state(d)
         if clean:
             client.readConnectionLost()
-        lost(client, clean)
+        lose_connection(client, clean)
         if host is not None and not host.ended:
-            lost(host)
+            lose_connection(host)
     d.reactor.pump([0.1] * 30)
     assert tables(d) == start
 
@@ -433,20 +437,20 @@
 def test_lines_split_at_any_byte_are_forwarded_complete(cut):
     d = make_handler(hosts=1)
     client = connect(d)
-    line = OPEN + b"\r\n"
+    line = OPEN_LINE + b"\r\n"
     at = len(line) - cut
     client.dataReceived(line[:at])
     client.dataReceived(line[at:])
     host = accept(d)
     for piece in (b"UP r1\r\nMOVE\r\n"[:cut], b"UP r1\r\nMOVE\r\n"[cut:]):
         host.dataReceived(piece)
-    lost(host)
+    lose_connection(host)
     assert client.transport.lines() == [b"UP r1", b"MOVE"] and client.transport.ended == "end"
 
 
 def test_a_redirect_by_the_node_is_not_written_into_a_line(tmp_path):
     d = make_handler(hosts=1)
-    client, host = up(d)
+    client, host = establish(d)
     host.dataReceived(b"whole\r\nha")
     d.redirect(next(iter(d.sessions.by_index.values())), "stop")
     assert client.transport.value() == b"whole\r\nMOVE\r\n"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,9 +8,7 @@
 import threading
 
 import pytest
-from helpers import (
-    connect, make_handler, opening, row, service_over, up,
-)  # fmt: skip
+from helpers import connect, establish, host_row, make_handler, open_line, service_over
 from node_processes import FakeFleet, NodeProcesses, until
 from twisted.internet.task import Clock
 
@@ -59,7 +57,7 @@
         return WHO[1:]
 
     def export_state(self):
-        return [row(f"s-{i}") for i in range(450)], {"rev": 7, "bans": ["s-1"]}, [5]
+        return [host_row(f"s-{i}") for i in range(450)], {"rev": 7, "bans": ["s-1"]}, [5]
 
     def hand_over_connections(self, limit):
         self.left -= 1
@@ -355,7 +353,7 @@
 def test_a_successor_gets_all_bans_and_hosts(tmp_path):
     d = make_handler(hosts=2)
     service = service_over(d, tmp_path)
-    d.update_roster(False, [row("s-1", "Terminating")])
+    d.update_roster(False, [host_row("s-1", "Terminating")])
     service.calls.call(b"exclude s-0", lambda answer: None)
     rows = {r["uid"]: r["state"] for r in d.hosts.export_rows()}
     assert rows == {"s-0": "Ready", "s-1": "Terminating"}
@@ -372,8 +370,8 @@
     answers = []
     service.calls.call(b"readyz", answers.append)
     assert answers == [["NAK not-taking-clients"]]
-    up(d)
-    connect(d, opening(77))
+    establish(d)
+    connect(d, open_line(77))
     assert d.gauges()["open_requests"] == 2
 
 
@@ -384,7 +382,7 @@
     service.calls.call(b"exclude s-0", answers.append)
     service.calls.call(b"include s-9", answers.append)
     assert not answers
-    service.load_hosts([row("s-0")])
+    service.load_hosts([host_row("s-0")])
     assert answers == [["ACK"], ["NAK unknown-host"]] and not d.balancer.accepts_sessions(0)
 
 
@@ -395,7 +393,7 @@
     service.start_accepting()
     ended = []
     d.reactor.stop = lambda: ended.append(d.clock())
-    client, _ = up(d)
+    client, _ = establish(d)
     service.upgrade.side = Incumbent(d.reactor, MemoryLink(), service.upgrade)
     service.upgrade.side.port_given = True
     service.upgrade.stop_accepting()
@@ -532,8 +530,8 @@
 def test_the_whole_state_of_a_process_can_be_encoded(tmp_path):
     d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
-    d.update_roster(True, [row("s-0", boot=1_790_000_000_000), row("s-1")])
-    up(d)
+    d.update_roster(True, [host_row("s-0", boot=1_790_000_000_000), host_row("s-1")])
+    establish(d)
     service.ban_calls.begin()
     for call in (b"exclude s-0", b"include s-0", b"exclude s-1"):
         service.calls.call(call, lambda answer: None)
@@ -554,7 +552,7 @@
     d = make_handler(hosts=0)
     service = service_over(d, tmp_path)
     started = unix_time() - 1000.0
-    d.update_roster(True, [row(uid.format(i), boot=started + i / 10) for i in range(3200)])
+    d.update_roster(True, [host_row(uid.format(i), boot=started + i / 10) for i in range(3200)])
     node = d.balancer._node
     node.warm_capacity = [123.456789012345678 + i for i in range(3200)]
     node.slots_started = [True] * 3200
