--- a/caperdeck/lifecycle/config.py
+++ b/caperdeck/lifecycle/config.py
@@ -41,6 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The decoded configuration of a node."""
+
     name: str
     listen: Address
     discovery: str
--- a/caperdeck/lifecycle/service.py
+++ b/caperdeck/lifecycle/service.py
@@ -383,11 +383,11 @@
 
     def _redirect_share(self) -> None:
         """Redirects as many sessions as it takes to be done evenly by the end of the stop."""
-        standing = self.handler.sessions.established()
+        sessions = self.handler.sessions.established()
         remaining = self.stopped_at + self.stop_duration - self.clock()
         steps = max(int(remaining / 50.0), 1)
-        for s in standing[: -(-len(standing) // steps)]:
-            self.handler.redirect(s, "stop")
+        for session in sessions[: -(-len(sessions) // steps)]:
+            self.handler.redirect(session, "stop")
         self.handler.close_idle_clients(self.clock() - MIN_SERVING_MS)
 
     def _continue_stop(self) -> None:
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -86,7 +86,7 @@
             self.side.send_reload()
 
     def reload(self) -> None:
-        """Reloads because the other process was told to."""
+        """Reloads because the other process reloads."""
         self.node.reload()
 
     def discovery_answered(self) -> None:
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -84,7 +84,7 @@
         except OSError:
             return []
 
-    def figure(self, n, name):
+    def metric(self, n, name):
         return next(int(line.split()[1]) for line in self.call(n, b"telemetry") if line.startswith(name))
 
     def log(self, n):
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -537,7 +537,7 @@
             if done():
                 return
             instances.step()
-            reactor.pass_time(0.05)
+            reactor.advance_in_steps(0.05)
         raise AssertionError("the condition never became true")
 
     until(lambda: node.revision == 1 and node.watch.state() is State.CURRENT)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -132,11 +132,11 @@
 
 
 def test_metrics_have_one_line_each_and_keep_a_removed_class():
-    figures = Metrics()
-    figures.add_classes(["a", 'b"\\'])
-    figures.add_classes(["a"])
-    figures.count_answer("a", Status.FULFILLED)
-    lines = figures.lines({"open_requests": 14})
+    metrics = Metrics()
+    metrics.add_classes(["a", 'b"\\'])
+    metrics.add_classes(["a"])
+    metrics.count_answer("a", Status.FULFILLED)
+    lines = metrics.lines({"open_requests": 14})
     assert 'app_operations_total{priority="a",status="fulfilled"} 1' in lines
     assert 'app_operations_total{priority="b\\"\\\\",status="throttled"} 0' in lines
     assert "app_open_requests 14" in lines and "app_relayed_total 0" in lines
--- a/tests/test_two_processes.py
+++ b/tests/test_two_processes.py
@@ -66,7 +66,7 @@
         until(lambda: nodes.client(len(nodes.clients))[1].readline() == b"UP r1\r\n")
         nodes.start()
         old.send_signal(signal.SIGTERM)
-        assert old.wait(30) == 0 and nodes.figure(1, b"app_open_requests") == 1
+        assert old.wait(30) == 0 and nodes.metric(1, b"app_open_requests") == 1
         assert "reason=handed-on" in nodes.log(0)
     finally:
         nodes.end()
@@ -110,7 +110,7 @@
     clients = [nodes.client(number) for number in range(3)]
     assert [lines.readline() for _, lines in clients] == [b"UP r1\r\n"] * 3
     nodes.start()
-    assert old.wait(10) == 0 and nodes.figure(1, b"app_open_requests") == 3
+    assert old.wait(10) == 0 and nodes.metric(1, b"app_open_requests") == 3
     for sock, lines in clients:
         sock.sendall(b"still\r\n")
         assert lines.readline() == b"still\r\n"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -459,11 +459,11 @@
     assert nodes.call(0, b"exclude s-0") == [b"ACK"]
     second = nodes.start()
     first.send_signal(signal.SIGTERM)  # as the platform does, as soon as the new one is ready
-    assert first.wait(30) == 0 and nodes.figure(1, b"app_open_requests") == 12
+    assert first.wait(30) == 0 and nodes.metric(1, b"app_open_requests") == 12
     clients[0][0].sendall(b"ne\r\n")
     assert clients[0][1].readline() == b"half a line\r\n"
     refused, lines = nodes.client(50)
-    assert lines.readline().startswith(b"BUSY") and nodes.figure(1, b"app_out_of_rotation") == 1
+    assert lines.readline().startswith(b"BUSY") and nodes.metric(1, b"app_out_of_rotation") == 1
     third = nodes.start()
     assert second.wait(30) == 0 and nodes.call(2, b"include s-0") == [b"ACK"]
     for sock, lines in clients:
