--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -245,8 +245,8 @@
     def one(connection):
         with suppress(ConnectionError):  # the node may reset a connection
             for line in connection.makefile("rb"):
-                if (said := answer(line)) is not None:
-                    connection.sendall(said)
+                if (response := answer(line)) is not None:
+                    connection.sendall(response)
 
     def loop():
         while True:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -278,9 +278,9 @@
 def test_step_of_the_wall_clock_is_detected_once():
     steady, date = [0.0], [5000.0]
     watch = WallClockMonitor(lambda: steady[0], lambda: date[0])
-    for passed, stepped, said in ((250, 0, None), (250, -HOUR_S * 1000, -HOUR_S * 1000), (250, 0, None),
+    for passed, stepped, detected in ((250, 0, None), (250, -HOUR_S * 1000, -HOUR_S * 1000), (250, 0, None),
                                   (250, 150, None), (250, 20_000, 20_000)):  # fmt: skip
         steady[0] += passed
         date[0] += passed + stepped
-        assert watch.detect_step() == (None if said is None else pytest.approx(said))
+        assert watch.detect_step() == (None if detected is None else pytest.approx(said))
     assert watch.step_count == 2
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -336,6 +336,6 @@
             handler.sweep()
     (line,) = [line for line in lines if line.startswith("dial id=")]
     assert "dial=0 host=s-" in line and "outcome=unreached sent=False ms=" in line
-    told = handler.metrics.lines(handler.gauges())
-    assert 'app_failed_dials_total{outcome="unreached"} 1' in told
-    assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in told)
+    metrics = handler.metrics.lines(handler.gauges())
+    assert 'app_failed_dials_total{outcome="unreached"} 1' in metrics
+    assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in metrics)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -220,7 +220,7 @@
         wire = RecordingTransport()
         wire.broken = True
         accept(handler, wire)
-    assert [news.outcome for news in results] == [Outcome.UNREACHED]
+    assert [result.outcome for result in results] == [Outcome.UNREACHED]
 
 
 def test_no_request_is_sent_to_a_host_that_began_to_drain_while_connecting():
