--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -282,5 +282,5 @@
                                   (250, 150, None), (250, 20_000, 20_000)):  # fmt: skip
         steady[0] += passed
         date[0] += passed + stepped
-        assert watch.detect_step() == (None if detected is None else pytest.approx(said))
+        assert watch.detect_step() == (None if detected is None else pytest.approx(detected))
     assert watch.step_count == 2
