--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -9,7 +9,7 @@
 from caperdeck.distribution.publisher import BUSY_RETRY_MS, MAX_CONNECTS_PER_SECOND, CONNECT_BURST
 from caperdeck.distribution.subscriber import RECONNECT_SPREAD_MS, PUBLISHER_SILENT_MS
 from caperdeck.distribution.watch_server import MAX_WATCHES
-from caperdeck.lifecycle.config import LARGEST
+from caperdeck.lifecycle.config import MAX_FILE_BYTES
 
 from ..figure import Figure, figure, largest
 from ..fleet import Fleet
@@ -256,7 +256,7 @@
             "bytes of one node's file",
             "B",
             file_bytes(fleet),
-            LARGEST,
+            MAX_FILE_BYTES,
             f"{WITHOUT_CONTROL}; {OWN_LIMIT}",
         ),
         row(
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -26,8 +26,8 @@
 from caperdeck.lifecycle.config import Config, decode
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import start_logging
-from caperdeck.lifecycle.merge import STAND_IN
-from caperdeck.lifecycle.published import Published
+from caperdeck.lifecycle.merge import PLACEHOLDER_CONFIG
+from caperdeck.lifecycle.published import PublishedConfig
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.owner.process import boottime_ms
 from caperdeck.state.addresses import parse_address
@@ -42,7 +42,7 @@
 
 
 class Metrics:
-    """What `Published` counts at a service."""
+    """What `PublishedConfig` counts at a service."""
 
     rejected_configs = 0
 
@@ -52,18 +52,18 @@
         self.metrics = Metrics()
 
 
-class ControlledNode(Published):
+class ControlledNode(PublishedConfig):
     """Stands for the service too: takes a configuration by keeping it."""
 
     clock = staticmethod(boottime_ms)
 
     def __init__(self, control: Control, disk: DiskThread, put: list[InForce], refuses: bool) -> None:
-        own = STAND_IN | {"name": control.place.name}
+        own = PLACEHOLDER_CONFIG | {"name": control.place.name}
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
-        super().__init__(reactor, control, lambda: replace(decode(own, None), own=own), disk)
+        super().__init__(reactor, control, lambda: replace(decode(own, None), file_values=own), disk)
         self.put, self.handler = put, SessionHandler()
-        self.config = self.first(self.read_own())
+        self.config = self.initial_config(self.read_file())
 
     @property
     def name(self) -> str:
@@ -72,7 +72,7 @@
     def refusal(self) -> Refused:
         return Refused(self.name, *self.watch.refused)
 
-    def take(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         self.config = config
 
     def activate(self, held: HeldVersion, prepared: Config) -> None:
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -26,7 +26,7 @@
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
-from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.ops.admin_server import AdminConnection, AdminServer
 from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
@@ -41,30 +41,30 @@
 NO_CLIENTS = "127.0.0.1:9"  # where a hollow node would listen for clients
 
 
-class CountedFront(Front):
+class CountedAdminServer(AdminServer):
     def __init__(self, reactor: Any, calls: Any, traffic: Traffic) -> None:
         super().__init__(reactor, calls)
         self.traffic = traffic
 
-    def came(self, caller: Caller) -> None:
+    def connection_opened(self, caller: AdminConnection) -> None:
         self.traffic.connections_in += 1
-        super().came(caller)
+        super().connection_opened(caller)
 
 
 class HollowNode(Service):
     """A service that takes no clients, minds no signals and leaves its process's log alone."""
 
     def start_control(self, traffic: Traffic) -> None:
-        self.know(self.config.known)
+        self.load_hosts(self.config.known_hosts)
         self.discovery.start()
-        CountedFront(self.reactor, self.calls, traffic).listen(self.config.admin)
-        self.keep_sweeping()
-        self.takes = True
-        self.join()
+        CountedAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
+        self.start_sweeping()
+        self.takes_clients = True
+        self.join_peers()
         if self.peers is not None:
             count_received_datagrams(traffic, self.peers)
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """There is no port for clients."""
 
     def exit(self, code: int = 0) -> None:
@@ -149,7 +149,7 @@
         )  # fmt: skip
         config = decode_config(raw)
         # a process reads its own list of peers; here each node's is taken apart on its own all the same
-        return replace(config, peers=config.peers._replace(addresses=plan.peers, everyone=None))
+        return replace(config, peers=config.peers._replace(addresses=plan.peers, all_peers_address=None))
 
     def beat(self) -> None:
         self.beats.beat(time.monotonic())
@@ -176,7 +176,7 @@
         return Sample(
             nodes=len(views), ready=self.ready, know_most=sum(share >= MOST for share in shares),
             known=sum(shares) / max(len(shares), 1),
-            told=sum(node.owned.target.epoch > 0 for node in self.nodes),
+            told=sum(node.owned_node.target.epoch > 0 for node in self.nodes),
             watched_dead=sum(holds_dead(swim, watched) for swim in views),
             watched_alive=sum(map(holds_alive, views, lives)),
             cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.beats.late,
--- a/caperdeck/ops/upgrade.py
+++ b/caperdeck/ops/upgrade.py
@@ -1,6 +1,7 @@
-"""This process's part in an upgrade: the successor of one that serves, later the incumbent of the next.
+"""This process's part in upgrades: at first as the successor of a serving process, later as the incumbent of
+the next one.
 
-What is said and when stands in upgrade_protocol.py; here is what a node does at each word of it.
+The messages and their order are in upgrade_protocol.py; this module has what a node does at each of them.
 """
 
 from __future__ import annotations
@@ -17,20 +18,22 @@
 from caperdeck.state.timers import cancel
 from caperdeck.wire.request import RequestError
 
-from .bans import Ban, BansError
-from .handover import let_go, may_go, packet, take_up
-from .link import Doorbell, FolderAddress, Link, NodeAddress, UnixAddress, reach
+from .bans import BanChange, BansError
+from .handover import adopt_session, can_hand_over, encode_session, release_connection
+from .link import (
+    FolderAddress, NodeAddress, RendezvousSocket, UnixAddress, UpgradeLink, connect_to_incumbent,
+)  # fmt: skip
 from .upgrade_protocol import Incumbent, Successor
 
-State = dict[str, Any]  # what an incumbent tells its successor of itself
+UpgradeState = dict[str, Any]  # the state that an incumbent sends to its successor
 
-ASK_EVERY = 0.25  # seconds until a successor asks again that found its incumbent busy
-MOST_ASKED = 24
-RING_AGAIN = 0.25  # seconds until an address that could not be had is tried again
+BUSY_RETRY_S = 0.25  # until a successor asks a busy incumbent again
+MAX_BUSY_RETRIES = 24
+BIND_RETRY_S = 0.25  # until an address that could not be bound is tried again
 
 
-class Node(Protocol):
-    """The node of this process."""
+class UpgradingNode(Protocol):
+    """The node of this process; implemented by `Service`."""
 
     config: Any
     handler: Any
@@ -38,161 +41,165 @@
     bans: Any
     ban_calls: Any
     port: Any
-    takes: bool
+    takes_clients: bool
 
-    def know(self, rows: list, bans: State | None = None) -> None: ...
-    def know_saved(self) -> None: ...
+    def load_hosts(self, rows: list, bans: UpgradeState | None = None) -> None: ...
+    def load_saved_hosts(self) -> None: ...
     def listen(self, fd: int = -1) -> None: ...
     def begin(self) -> None: ...
-    def take_clients(self) -> None: ...
-    def stop_taking(self) -> None: ...
+    def start_accepting(self) -> None: ...
+    def stop_accepting(self) -> None: ...
     def reload(self) -> None: ...
     def exit(self, code: int = 0) -> None: ...
 
 
 class Upgrade:
-    def __init__(self, reactor: Any, node: Node) -> None:
+    """The upgrades of a node, seen from this process; implements `UpgradeNode` for both sides."""
+
+    def __init__(self, reactor: Any, node: UpgradingNode) -> None:
         self.reactor = reactor
         self.node = node
         self.side: Incumbent | Successor | None = None
-        self.doorbells: dict[UnixAddress, Doorbell] = {}
-        self.ringing_again: Any = None  # the timer after which the addresses that failed are tried again
-        self.asked = 0  # so often one that was busy
-        self.addresses: list[UnixAddress] = []  # where this process is to be found
-        self.complained: set[UnixAddress] = set()  # of those that could not be had
+        self.rendezvous_sockets: dict[UnixAddress, RendezvousSocket] = {}
+        self.bind_timer: Any = None  # until the addresses that could not be bound are tried again
+        self.busy_answers = 0
+        self.addresses: list[UnixAddress] = []  # where a successor looks for this process
+        self.reported_addresses: set[UnixAddress] = set()  # their failure to bind has been logged
 
     @property
-    def under_way(self) -> bool:
+    def in_progress(self) -> bool:
         return self.side is not None and self.side.open
 
     @property
-    def waits(self) -> bool:
-        """A successor that has not begun; an incumbent that has given its port hands on what it has."""
+    def waiting_to_begin(self) -> bool:
+        """Whether this process is a successor that does not serve yet."""
         return isinstance(self.side, Successor) and not self.side.began
 
-    def tell_ban(self, uid: str, out: bool, then: Callable[[], None]) -> None:
+    def send_ban(self, uid: str, excluded: bool, on_done: Callable[[], None]) -> None:
         if self.side is None:
-            then()
+            on_done()
         else:
-            self.side.tell_ban(uid, out, then)
+            self.side.send_ban(uid, excluded, on_done)
 
-    def tell_reload(self) -> None:
+    def send_reload(self) -> None:
         if self.side is not None:
-            self.side.tell_reload()
+            self.side.send_reload()
 
     def reload(self) -> None:
-        """The other process was told to."""
+        """Reloads because the other process was told to."""
         self.node.reload()
 
-    def listed(self) -> None:
-        """Discovery has spoken to this process."""
+    def discovery_answered(self) -> None:
+        """Discovery has sent something to this process."""
         if isinstance(self.side, Successor):
-            self.side.listed()
+            self.side.discovery_answered()
 
-    def end(self) -> None:
+    def detach(self) -> None:
         if self.side is not None:
-            self.side.end()
+            self.side.detach()
 
     def identity(self) -> list[str]:
         return [self.node.config.name, "{}:{}".format(*self.node.config.listen)]
 
-    def banned(self, uid: str, out: bool) -> None:
-        """The other process was told so, and has kept it."""
-        self.node.ban_calls.told(Ban(uid, out))
+    def apply_ban(self, uid: str, excluded: bool) -> None:
+        """Applies a ban that the other process was called with and has saved."""
+        self.node.ban_calls.apply_notified(BanChange(uid, excluded))
 
     # ---- the incumbent
 
     def _addresses(self) -> list[UnixAddress]:
-        """Where a successor looks, in its order; none without a second address, and so without upgrades."""
+        """Where a successor looks, in this order; empty without an admin address, as upgrades need one."""
         config = self.node.config
         if config.admin is None:
             return []
-        # one of the two is there whatever the disk lacks, and an older program knows the folder alone
-        in_folder = [FolderAddress(config.scratch)] if config.scratch is not None else []
+        # The first works whatever the state of the disk; older versions know only the folder.
+        in_folder = [FolderAddress(config.shared_folder)] if config.shared_folder is not None else []
         return [NodeAddress(self.identity()), *in_folder]
 
-    def ring(self) -> None:
-        """Lets a successor find this process, at every address that can be had; the others follow."""
+    def listen_for_successor(self) -> None:
+        """Lets a successor find this process at every address that can be bound; retries the others later."""
         if not self.addresses:
             self.addresses = self._addresses()
-        missing = [address for address in self.addresses if address not in self.doorbells]
+        missing = [address for address in self.addresses if address not in self.rendezvous_sockets]
         for address in missing:
             try:
-                self.doorbells[address] = Doorbell(self.reactor, address, self.rung)
+                self.rendezvous_sockets[address] = RendezvousSocket(
+                    self.reactor, address, self.handle_connection
+                )
             except OSError as error:
-                if address not in self.complained:
-                    self.complained.add(address)
+                if address not in self.reported_addresses:
+                    self.reported_addresses.add(address)
                     logger.warning("upgrade reason=no-doorbell at={} {}", type(address).__name__, error)
-        if len(self.doorbells) < len(self.addresses):
-            self.ringing_again = self.reactor.callLater(RING_AGAIN, self.ring)
+        if len(self.rendezvous_sockets) < len(self.addresses):
+            self.bind_timer = self.reactor.callLater(BIND_RETRY_S, self.listen_for_successor)
 
-    def rung(self, sock: socket.socket) -> None:
-        link = Link(self.reactor, sock)
-        if self.under_way:
-            # the upgrade before may still hand on, or another one be under way
+    def handle_connection(self, sock: socket.socket) -> None:
+        link = UpgradeLink(self.reactor, sock)
+        if self.in_progress:
+            # An earlier upgrade may still hand over connections, or another successor may be taking over.
             link.send({"say": "busy"})
             self.reactor.callLater(1.0, link.close)
             return
         self.side = Incumbent(self.reactor, link, self)
 
-    def shut(self) -> None:
-        """No successor finds this process any more."""
-        cancel(self.ringing_again)
-        for doorbell in self.doorbells.values():
-            doorbell.close()
-        self.doorbells.clear()
+    def stop_listening(self) -> None:
+        """Keeps successors from finding this process."""
+        cancel(self.bind_timer)
+        for listener in self.rendezvous_sockets.values():
+            listener.close()
+        self.rendezvous_sockets.clear()
 
-    def tell_state(self) -> tuple[list[dict], dict, list[int]]:
+    def export_state(self) -> tuple[list[dict], dict, list[int]]:
         node = self.node
-        memory = node.handler.balancer.learned_state()
-        # Danger: what is told of each host of a large fleet is over a packet; it goes with the host's row.
-        able, rows = memory.pop("able"), node.handler.hosts.export_rows()
+        learned = node.handler.balancer.learned_state()
+        # For a large fleet, values of each host do not fit into one packet; they go into the hosts' rows.
+        capacities, rows = learned.pop("able"), node.handler.hosts.export_rows()
         for row in rows:
-            h = node.handler.hosts.index_by_uid[row["uid"]]
-            row["able"] = able[h] if h < len(able) else 0.0
-        called_back = node.handler.balancer.readmitted
+            host = node.handler.hosts.index_by_uid[row["uid"]]
+            row["able"] = capacities[host] if host < len(capacities) else 0.0
+        readmissions = node.handler.balancer.readmitted
         state = {
             "rev": node.discovery.rev,
             "bans": list(node.bans.uids),
             "unsaved_bans": node.bans.unsaved,
-            "called_back": {node.handler.hosts.uids[h]: at for h, at in called_back.items()},
+            "called_back": {node.handler.hosts.uids[host]: at for host, at in readmissions.items()},
             "told_at": node.handler.discovery_heard_at,
-            "memory": memory | {"able": []},  # which an older program takes with the names beside it
+            "memory": learned | {"able": []},  # an older version reads `able` together with `uids`
             "uids": [],
             "starts": (node.handler.hosts.start_times.offset, {}),
         }
         return rows, state, [node.port.fileno()]
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         logger.info("upgrade reason=given sessions={}", len(self.node.handler.sessions.by_index))
-        self.node.stop_taking()
-        self.shut()
+        self.node.stop_accepting()
+        self.stop_listening()
 
-    def take_again(self) -> None:
+    def resume_accepting(self) -> None:
         node = self.node
         logger.error("upgrade reason=successor-lost sessions={}", len(node.handler.sessions.by_index))
         node.handler.balancer.take_slots_back()
-        node.take_clients()
-        node.join()
-        self.ring()
+        node.start_accepting()
+        node.join_peers()
+        self.listen_for_successor()
 
-    def hand_on(self, most: int) -> bool:
-        """Hands some of what stands on; True once nothing is left here."""
+    def hand_over_connections(self, limit: int) -> bool:
+        """Hands over up to `limit` connections; True once none is left here."""
         handler = self.node.handler
-        for s in islice(filter(may_go, handler.sessions.established()), most):
-            message, fds = packet(handler, s)
-            if not self.side.link.offer(message, fds):
+        for session in islice(filter(can_hand_over, handler.sessions.established()), limit):
+            message, fds = encode_session(handler, session)
+            if not self.side.link.try_send(message, fds):
                 break
-            client, conn = s.client, s.host_connection
-            handler.session_handed_over(s)
-            let_go(client)
-            let_go(conn)
+            client, conn = session.client, session.host_connection
+            handler.session_handed_over(session)
+            release_connection(client)
+            release_connection(conn)
         return not handler.sessions.by_index and not handler.budget.client_connections
 
     def hand_over_slots(self) -> dict[str, float]:
         handler = self.node.handler
         slots = handler.balancer.hand_over_slots(handler.clock())
-        return {handler.hosts.uids[h]: saved for h, saved in slots.items()}
+        return {handler.hosts.uids[host]: saved for host, saved in slots.items()}
 
     def take_over_slots(self, slots: dict[str, float]) -> None:
         handler = self.node.handler
@@ -203,79 +210,79 @@
         }
         handler.balancer.take_over_slots(handler.clock(), known)
 
-    def held(self) -> int:
+    def open_descriptor_count(self) -> int:
         return open_descriptors()
 
-    def done(self) -> None:
+    def finish(self) -> None:
         logger.info("upgrade reason=handed-on")
         self.node.exit()
 
     # ---- the successor
 
-    def succeed(self) -> bool:
-        """Asks the process that serves, if there is one."""
-        before = reach(self._addresses())
-        if before is not None:
-            self.side = Successor(self.reactor, Link(self.reactor, before), self)
-        return before is not None
-
-    def ask_again(self) -> None:
-        self.asked += 1
-        if self.asked > MOST_ASKED:
-            self.refused("another process is taking over")
+    def contact_incumbent(self) -> bool:
+        """Contacts the serving process; False if there is none."""
+        incumbent = connect_to_incumbent(self._addresses())
+        if incumbent is not None:
+            self.side = Successor(self.reactor, UpgradeLink(self.reactor, incumbent), self)
+        return incumbent is not None
+
+    def retry_busy_incumbent(self) -> None:
+        self.busy_answers += 1
+        if self.busy_answers > MAX_BUSY_RETRIES:
+            self.fail("another process is taking over")
         else:
-            self.reactor.callLater(ASK_EVERY, lambda: self.succeed() or self.begin_alone())
+            self.reactor.callLater(BUSY_RETRY_S, lambda: self.contact_incumbent() or self.begin_alone())
 
-    def take_state(self, rows: list, state: dict, fds: list[int]) -> None:
+    def import_state(self, rows: list, state: dict, fds: list[int]) -> None:
         node = self.node
         hosts = node.handler.hosts
-        ahead, starts = state["starts"]
+        offset, starts = state["starts"]
         in_rows = {row["uid"]: row["start"] for row in rows if row.get("start") is not None}
-        hosts.import_starts(ahead, starts | in_rows)
-        # Danger: a host that was called back counts as cold though discovery may not have told its start yet.
-        called_back = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
-        node.handler.balancer.readmitted.update(called_back)
-        node.know(rows, state)
+        hosts.import_starts(offset, starts | in_rows)
+        # A host that an operator included again is in slow start even if its start is not on the list yet.
+        readmissions = {hosts.index_of(uid): at for uid, at in state.get("called_back", {}).items()}
+        node.handler.balancer.readmitted.update(readmissions)
+        node.load_hosts(rows, state)
         for row in rows:
             hosts.redirected_at[hosts.index_of(row["uid"])] = row["sent_away"]
-        # Danger: a process that knows no host's measure yet takes the cold ones' for all, and starves them.
-        able = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # of an older program
-        able |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
-        node.handler.restore_learned_state(state["memory"], able)
+        # Without learned capacities this process would take those of cold hosts for all, and starve them.
+        capacities = dict(zip(state["uids"], state["memory"]["able"], strict=True))  # from an older version
+        capacities |= {row["uid"]: row["able"] for row in rows if row.get("able") is not None}
+        node.handler.restore_learned_state(state["memory"], capacities)
         node.handler.discovery_heard_at, node.discovery.rev = state["told_at"], state["rev"]
         node.listen(fds[0])
         node.discovery.start()
 
-    def take_session(self, message: dict, fds: list[int]) -> None:
+    def receive_session(self, message: dict, fds: list[int]) -> None:
         try:
-            taken = take_up(self.node.handler, message, fds)
+            taken = adopt_session(self.node.handler, message, fds)
         except (RequestError, KeyError, TypeError, ValueError, OSError) as error:
             logger.error("upgrade reason=bad-session {!r}", error)
             return
         if not taken:
             logger.info("upgrade reason=side-gone line={!r}", message["line"][:40])
 
-    def others_hold(self, descriptors: int) -> None:
+    def set_descriptors_elsewhere(self, descriptors: int) -> None:
         self.node.handler.budget.used_by_other_process = descriptors
 
     def begin(self) -> None:
         self.node.begin()
 
     def begin_alone(self) -> None:
-        """The process before has gone, or never answered."""
+        """Starts serving because the incumbent has gone or never answered."""
         node = self.node
         logger.warning("upgrade reason=alone")
         try:
             if node.port is None:
-                node.know_saved()
+                node.load_saved_hosts()
                 node.discovery.start()
                 node.handler.wait_for_list()
                 node.listen()
         except (BansError, CannotListenError) as error:
-            self.refused(str(error))
+            self.fail(str(error))
             return
         node.begin()
 
-    def refused(self, reason: str) -> None:
+    def fail(self, reason: str) -> None:
         logger.error("upgrade reason=refused {}", reason)
         self.node.exit(1)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -199,7 +199,7 @@
     environment = write_config(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(handler.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
     service.handler, service.clock = handler, handler.clock
-    handler.refresh_bans = service.ban_calls.look
+    handler.refresh_bans = service.ban_calls.read_file_changes
     if handler.hosts.uids:
         service.ban_calls.begin()
     return service
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -24,7 +24,7 @@
 )  # fmt: skip
 from caperdeck.core.model import HostState, LoadReport, Outcome, RosterEntry
 from caperdeck.lifecycle.config import ConfigError, load_config
-from caperdeck.lifecycle.logs import MOST_WAITING, Sink
+from caperdeck.lifecycle.logs import MAX_PENDING_BYTES, Sink
 from caperdeck.state.addresses import Address
 
 # ---- the facade
@@ -84,7 +84,7 @@
 
 def test_a_configuration_is_read_completely(tmp_path):
     config = load_config(write_config(tmp_path / "c", CONFIG))
-    assert (config.listen, config.sockets, config.rev) == (Address("127.0.0.1", 9000), 256, 41)
+    assert (config.listen, config.sockets, config.known_revision) == (Address("127.0.0.1", 9000), 256, 41)
     assert config.settings.seed == 0x8C1F30D27A5BE964 and config.names.listeners == {"chat": 0}
 
 
@@ -115,7 +115,7 @@
     sink = Sink(written)
     for _ in range(3000):
         sink("x" * 1000)
-    assert sink.size <= MOST_WAITING and sink.dropped > 0
+    assert sink.pending_bytes <= MAX_PENDING_BYTES and sink.dropped_lines > 0
     os.close(read)
     os.close(written)
 
@@ -247,7 +247,7 @@
     service.stopped_at, d.stopping = d.clock(), True
     sessions = [establish(d) for _ in range(20)]
     front = connect(d)
-    service.move_some()
+    service.redirect_some()
     first = sum(client.transport.lines() == [b"MOVE"] for client, _ in sessions)
     d.reactor.pump([0.05] * 24)
     late, _ = establish(d)
@@ -276,7 +276,7 @@
     service = service_over(d, tmp_path)
     swept = []
     monkeypatch.setattr(service, "sweep", lambda: swept.append(1) or 1 // (len(swept) - 1))
-    service.keep_sweeping()
+    service.start_sweeping()
     d.reactor.pump([0.25] * 5)
     assert len(swept) > 2
 
