--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -65,11 +65,11 @@
     (2, 499.0, 0.0, [(0, 4.0, 500.0)]), (2, 500.0, 4.0, []), (1, 100.0, 0.0, []),
 ])  # fmt: skip
 def test_a_grant_is_accepted_once_in_time_and_from_the_requested_member_only(member, now, late, taken):
-    transfers, got = QuotaTransfers(), []
+    transfers, accepted = QuotaTransfers(), []
     number = transfers.request(0.0, 2)
     for _ in range(2):
-        transfers.accept(now, member, number, [(0, 4.0)], lambda *grant: got.append(grant))
-    assert got == taken and transfers.late == late
+        transfers.accept(now, member, number, [(0, 4.0)], lambda *grant: accepted.append(grant))
+    assert accepted == taken and transfers.late == late
 
 
 def test_a_duplicated_request_is_granted_once():
@@ -144,25 +144,25 @@
     c = CounterStore()
     for member in range(1, 6):
         c.merge(0.0, CounterValue(0, member, 5, member))
-    told = [{row.member for row in c.rows_to_send(2, 1)} for _ in range(8)]
-    assert all(1 in members for members in told) and set().union(*told) == {1, 2, 3, 4, 5}
+    sent = [{row.member for row in c.rows_to_send(2, 1)} for _ in range(8)]
+    assert all(1 in members for members in sent) and set().union(*sent) == {1, 2, 3, 4, 5}
 
 
 # ---- judgements
 
 
-def recorded(words, members=range(1, 9), now=1000.0):
+def recorded(judgements, members=range(1, 9), now=1000.0):
     """Records judgements of this moment, given as (host, condition, observer, informant)."""
     j = Judgements()
-    for host, kind, member, informant in words:
-        j.record(now, Judgement(host, kind, member, 0.0), now, informant)
+    for host, condition, member, informant in judgements:
+        j.record(now, Judgement(host, condition, member, 0.0), now, informant)
     return j
 
 
 LOST = [(7, HostCondition.LOST, member, member) for member in (1, 2, 3)]
 
 
-@pytest.mark.parametrize("words, lost", [
+@pytest.mark.parametrize("judgements, lost", [
     (LOST, True),
     (LOST[:2], False),  # too few observers
     (LOST[:1] * 5, False),  # a single observer, however often
@@ -174,8 +174,8 @@
     (LOST + [(7, HostCondition.HEALTHY, 3, 3)], True),  # a second judgement of the same time is ignored
     ([(7, HostCondition.FULL, member, member) for member in (1, 2, 3)], False),
 ])  # fmt: skip
-def test_a_host_is_lost_if_enough_members_say_so_and_more_than_see_it_healthy(words, lost):
-    assert bool(recorded(words).lost_hosts(1000.0, 20)) is lost
+def test_a_host_is_lost_if_enough_members_say_so_and_more_than_see_it_healthy(judgements, lost):
+    assert bool(recorded(judgements).lost_hosts(1000.0, 20)) is lost
 
 
 def test_judgements_of_a_node_that_sees_most_hosts_failing_do_not_count():
@@ -186,8 +186,11 @@
 
 
 def test_judgements_never_take_out_more_than_a_limited_share_of_hosts():
-    words = [(host, HostCondition.LOST, member, member) for host in range(6) for member in (1, 2, 3)]
-    assert recorded(words).lost_hosts(1000.0, 20) == {} and len(recorded(words).lost_hosts(1000.0, 24)) == 6
+    judgements = [(host, HostCondition.LOST, member, member) for host in range(6) for member in (1, 2, 3)]
+    assert (
+        recorded(judgements).lost_hosts(1000.0, 20) == {}
+        and len(recorded(judgements).lost_hosts(1000.0, 24)) == 6
+    )
 
 
 def test_a_judgement_expires_and_an_old_one_is_rejected():
@@ -282,12 +285,12 @@
 def test_a_node_short_of_quota_gets_what_others_do_not_use():
     net = Net(8, 1, ROOM)
     net.stubs[0].short = True
-    got = 0.0
+    received = 0.0
     for _ in range(100):
         net.run(100.0)
-        got += net.stubs[0].mint(net.clock(0))
+        received += net.stubs[0].mint(net.clock(0))
         net.stubs[0].rights.set_balance(net.clock(0), 0, 0.0)
-    assert got > 2 * RATE * 10_000
+    assert received > 2 * RATE * 10_000
 
 
 def test_a_false_judgement_of_a_cut_off_node_marks_no_host_lost():
@@ -331,11 +334,11 @@
     net.run(2000.0)
     node, now = net.nodes[0], net.clock(0)
     for sender in (1, 2):
-        told = Message(
+        report = Message(
             codec.MessageKind.OVERLOAD_REPORT, sender, net.nodes[sender].swim.life[sender], sender, 0
         )
         sections = message_sections.encode(MessageSections(loads=[(7, 1.5, 0.0)]), 142)
-        data = codec.encode(told._replace(sections=sections), node.fleet)
+        data = codec.encode(report._replace(sections=sections), node.fleet)
         node.receive_datagram(now, data, sender, read_delay=5000.0)
     assert node.overload_witnesses == {} and node.pending_relief == {}
 
--- a/tests/test_owned.py
+++ b/tests/test_owned.py
@@ -185,10 +185,10 @@
 # ---- a node as the target
 
 
-def target(hosts=8, ill=(), well=(), life=7, nodes=4):
+def target(hosts=8, failing=(), healthy=(), life=7, nodes=4):
     listed = [f"h{i}" for i in range(hosts)]
-    t = Target(life, nodes, lambda: listed, lambda: None if ill is None else list(ill),
-               lambda uid: uid in well, lambda: 0)  # fmt: skip
+    t = Target(life, nodes, lambda: listed, lambda: None if failing is None else list(failing),
+               lambda uid: uid in healthy, lambda: 0)  # fmt: skip
     t.fence.record_token(HOSTS, 0)
     t.fence.record_token(CENSUS, 0)
     return t
@@ -251,9 +251,9 @@
 
 
 def test_a_node_reports_its_view_of_hosts():
-    said = target(ill=["h3"], well=["h2"]).execute(0.0, HOSTS, 1, out(ask=["h2", "h4"]))
-    assert (said["ill"], said["well"], said["sound"], said["hosts"]) == (["h3"], ["h2"], True, 8)
-    assert target(ill=None).execute(0.0, HOSTS, 1, out())["sound"] is False
+    reply = target(failing=["h3"], healthy=["h2"]).execute(0.0, HOSTS, 1, out(ask=["h2", "h4"]))
+    assert (reply["ill"], reply["well"], reply["sound"], reply["hosts"]) == (["h3"], ["h2"], True, 8)
+    assert target(failing=None).execute(0.0, HOSTS, 1, out())["sound"] is False
 
 
 # ---- outlier ejection
@@ -266,8 +266,8 @@
         self.names = [f"n{i}" for i in range(nodes)]
         self.work = OutlierEjection(self.names, 3)
         self.work.begin(now, state)
-        self.ill = dict.fromkeys(self.names, ())
-        self.well = dict.fromkeys(self.names, ())
+        self.failing = dict.fromkeys(self.names, ())
+        self.healthy = dict.fromkeys(self.names, ())
         self.silent = set()
         self.state = state
 
@@ -281,9 +281,9 @@
             for action in result:
                 reply = None
                 if action.target not in self.silent:
-                    seen = [u for u in self.ill[action.target] if u not in action.body["out"]]
-                    sound = self.ill[action.target] is not Hosts.everything
-                    well = [u for u in action.body["ask"] if u in self.well[action.target]]
+                    seen = [u for u in self.failing[action.target] if u not in action.body["out"]]
+                    sound = self.failing[action.target] is not Hosts.everything
+                    well = [u for u in action.body["ask"] if u in self.healthy[action.target]]
                     reply = {"life": 1, "sound": sound, "ill": seen, "well": well, "hosts": 8}
                 self.work.handle_reply(now, action.target, reply)
             now += 50.0
@@ -292,7 +292,7 @@
     everything = ("h0", "h1", "h2", "h3", "h4", "h5")
 
 
-@pytest.mark.parametrize("ill, well, silent, gone", [
+@pytest.mark.parametrize("failing, healthy, silent, ejected", [
     ({"n0": ["h5"], "n1": ["h5"]}, {}, (), ["h5"]),
     ({"n0": ["h5"]}, {}, (), []),
     ({"n0": ["h5"], "n1": ["h5"]}, {"n2": ["h5"], "n3": ["h5"]}, (), []),
@@ -301,17 +301,17 @@
     # limited to a share of the hosts
     ({n: ["h3", "h4", "h5", "h6"] for n in ("n0", "n1", "n2")}, {}, (), ["h3", "h4"]),
 ])  # fmt: skip
-def test_ejection_needs_enough_votes_and_is_limited_to_a_share(ill, well, silent, gone):
+def test_ejection_needs_enough_votes_and_is_limited_to_a_share(failing, healthy, silent, ejected):
     f = Hosts()
-    f.ill |= ill
-    f.well |= well
+    f.failing |= failing
+    f.healthy |= healthy
     f.silent = set(silent)
-    assert f.run(0.0, REPORT_VALIDITY_MS + 2000) == gone and len(gone) <= MAX_EJECTED_SHARE * 8
+    assert f.run(0.0, REPORT_VALIDITY_MS + 2000) == ejected and len(ejected) <= MAX_EJECTED_SHARE * 8
 
 
 def test_a_host_is_readmitted_on_trial_and_ejected_for_longer():
     f = Hosts()
-    f.ill |= {"n0": ["h5"], "n1": ["h5"]}
+    f.failing |= {"n0": ["h5"], "n1": ["h5"]}
     assert f.run(0.0, 3000) == ["h5"]
     first = f.work.ejected_until["h5"]
     f.run(3000.0, first + 3000)
@@ -320,11 +320,11 @@
 
 def test_ejections_per_minute_are_limited_across_owners():
     f = Hosts(nodes=3)
-    f.ill |= {n: [f"h{i}" for i in range(8)] for n in ("n0", "n1", "n2")}
+    f.failing |= {n: [f"h{i}" for i in range(8)] for n in ("n0", "n1", "n2")}
     f.run(0.0, FIRST_EJECTION_MS + 4000)
     assert len(f.work.recent_ejections) == MAX_EJECTIONS_PER_MINUTE
     other = Hosts(nodes=3, state=f.state, now=FIRST_EJECTION_MS + 4000)
-    other.ill |= f.ill
+    other.failing |= f.failing
     assert (
         sorted(other.work.ejected_until) == sorted(f.work.ejected_until)
         and other.work.sequence == f.work.sequence
@@ -437,10 +437,10 @@
 @given(states, st.integers(0, 1 << 40))
 def test_rows_never_lower_held_shares_or_raise_wanted_ones(nodes, epoch):
     want, held = ({n: pair[i] for n, pair in nodes.items()} for i in (0, 1))
-    told = decode(_encode_rows(CensusState(epoch, 7, want, held)), nodes)
-    assert (told.epoch, told.living, set(told.held_shares)) == (epoch, 7, set(nodes))
-    assert all(-1e-15 <= told.held_shares[n] - held[n] < 1e-9 for n in nodes)
-    assert all(-1e-15 <= want[n] - told.wanted_shares.get(n, 0.0) < 1e-9 for n in nodes)
+    restored = decode(_encode_rows(CensusState(epoch, 7, want, held)), nodes)
+    assert (restored.epoch, restored.living, set(restored.held_shares)) == (epoch, 7, set(nodes))
+    assert all(-1e-15 <= restored.held_shares[n] - held[n] < 1e-9 for n in nodes)
+    assert all(-1e-15 <= want[n] - restored.wanted_shares.get(n, 0.0) < 1e-9 for n in nodes)
     # in the format of names
     assert decode(encode(CensusState(epoch, 7, want, held)), nodes) == (epoch, 7, want, held)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -174,8 +174,8 @@
 def test_higher_life_then_incarnation_then_worse_state_wins_in_any_order(first, second, state):
     for order in ((first, second), (second, first)):
         s = swim()
-        for word in order:
-            receive_ping(s, 2, updates=[MemberUpdate(3, *word)])
+        for update in order:
+            receive_ping(s, 2, updates=[MemberUpdate(3, *update)])
         assert s.state[3] is state
 
 
