--- a/caperdeck/lab/propagation/command.py
+++ b/caperdeck/lab/propagation/command.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from caperdeck.lab.cli import number, say
-from caperdeck.lab.scale.command import check_place
+from caperdeck.lab.scale.command import check_writable
 from caperdeck.lab.scenario import ScenarioError
 
 from .faults import FAULTS, OF_INSTANCES
@@ -20,7 +20,7 @@
 
 
 def in_force(arguments: dict[str, Any]) -> int:
-    check_place("--json", arguments["--json"])
+    check_writable("--json", arguments["--json"])
     result = conclude(InForceRun(settings_of(arguments), say, FAULTS).play())
     for line in lines(result):
         say(line)
--- a/caperdeck/lab/propagation/measured.py
+++ b/caperdeck/lab/propagation/measured.py
@@ -10,7 +10,7 @@
 from msgspec import field
 
 from caperdeck.distribution.publisher import MAX_CONNECTS_PER_SECOND, CONNECT_BURST, MAX_CONCURRENT_SNAPSHOTS
-from caperdeck.lab.scale.heartbeat import Late
+from caperdeck.lab.scale.heartbeat import LatenessStats
 
 from .instances import Published, WatchFigures
 from .plan import InForce, Refused
@@ -121,7 +121,7 @@
     current: int = 0  # nodes that called themselves current at the end
     refused: list[Refused] = field(default_factory=list)  # by nodes of the lives at the end
     dead: list[str] = field(default_factory=list)  # processes that should live at the end and do not
-    late: dict[str, Late] = field(default_factory=dict)  # by process
+    late: dict[str, LatenessStats] = field(default_factory=dict)  # by process
 
 
 class Result(msgspec.Struct):
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -20,8 +20,8 @@
 from caperdeck.distribution.subscriber import HeldVersion, State
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
-from caperdeck.lab.scale.heartbeat import BEAT, Beats
-from caperdeck.lab.scale.stub_nodes import collect_from_now_on
+from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor
+from caperdeck.lab.scale.stub_nodes import limit_gc_to_new_objects
 from caperdeck.lab.scale.traffic import Traffic, count_traffic
 from caperdeck.lifecycle.config import Config, decode
 from caperdeck.lifecycle.control import Control, Instance
@@ -95,7 +95,7 @@
         start_logging("ERROR")
         self.put: list[InForce] = []
         self.begun: list[InForce] = []
-        self.beats = Beats(plan.beat_ms)
+        self.heartbeat = HeartbeatMonitor(plan.beat_ms)
         self.base_uss = psutil.Process().memory_full_info().uss
         self.encode = msgspec.json.Encoder().encode
         self.instances = {region: instances_of(plan, region) for region in (NORTH, SOUTH)}
@@ -111,14 +111,14 @@
     def start(self) -> None:
         for node in self.nodes:
             node.start(node)
-        collect_from_now_on()
-        self.beats.zero(time.monotonic())
+        limit_gc_to_new_objects()
+        self.heartbeat.reset(time.monotonic())
         self.beat()
         self.report()
 
     def beat(self) -> None:
-        self.beats.beat(time.monotonic())
-        reactor.callLater(BEAT, self.beat)
+        self.heartbeat.record_beat(time.monotonic())
+        reactor.callLater(HEARTBEAT_INTERVAL_S, self.beat)
 
     def report(self) -> None:
         reactor.callLater(self.plan.report, self.report)
@@ -127,7 +127,7 @@
         report = Report(
             not uncurrent, self.put.copy(), self.begun.copy(), [node.name for node in uncurrent], stale,
             [node.refusal() for node in self.nodes if node.watch.refused is not None],
-            time.process_time(), self.base_uss, self.traffic, self.beats.late,
+            time.process_time(), self.base_uss, self.traffic, self.heartbeat.stats,
         )  # fmt: skip
         self.put.clear()
         self.begun.clear()
--- a/caperdeck/lab/propagation/plan.py
+++ b/caperdeck/lab/propagation/plan.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from caperdeck.distribution.publisher_selection import Place
-from caperdeck.lab.scale.heartbeat import Late
+from caperdeck.lab.scale.heartbeat import LatenessStats
 from caperdeck.lab.scale.traffic import Traffic
 
 CLUSTER = "in-force"
@@ -62,7 +62,7 @@
     cpu: float  # seconds of processor time
     base_uss: int  # bytes of memory before its nodes were made
     traffic: Traffic
-    late: Late
+    late: LatenessStats
 
 
 def place_in(name: str, zone: int) -> Place:
--- a/caperdeck/lab/propagation/run.py
+++ b/caperdeck/lab/propagation/run.py
@@ -17,8 +17,8 @@
 from caperdeck.distribution import commands
 from caperdeck.distribution.document import Document, canonical
 from caperdeck.lab.rig_process import VoidError
-from caperdeck.lab.scale.heartbeat import BEAT, Beats
-from caperdeck.lab.scale.measure import MB
+from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor
+from caperdeck.lab.scale.measure import BYTES_PER_MB
 from caperdeck.lab.scale.processes import ChildProcess
 from caperdeck.owner.process import boottime_ms
 
@@ -97,7 +97,7 @@
             cpu += (child.last.cpu - before.cpu) / span
             size += (stream_bytes(child.last) - stream_bytes(before)) / span
         memory = sum(psutil.Process(c.pid).memory_full_info().uss - c.last.base_uss for c in run.children)
-        m.node_costs.append(NodeCost(name, seconds, cpu / count, size / count, memory / count / MB))
+        m.node_costs.append(NodeCost(name, seconds, cpu / count, size / count, memory / count / BYTES_PER_MB))
         span, after = time.monotonic() - self.began, run.instances_cpu()
         shares = [(after[i] - self.cpu[i]) / span for i in after if i in self.cpu]
         m.instance_costs.append(InstanceCost(name, max(shares), run.instances_memory()))
@@ -128,7 +128,7 @@
         )  # fmt: skip
         self.children: list[NodesChild] = []
         self.relay: RelayChild | None = None
-        self.beats = Beats(BEAT_MS)
+        self.heartbeat = HeartbeatMonitor(BEAT_MS)
         self.changes = 0  # that were published
         self.faulty: set[int] = set()  # instances that were killed or stopped
 
@@ -152,10 +152,10 @@
         return m
 
     async def _beat(self) -> None:
-        self.beats.zero(time.monotonic())
+        self.heartbeat.reset(time.monotonic())
         while True:
-            await asyncio.sleep(BEAT)
-            self.beats.beat(time.monotonic())
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            self.heartbeat.record_beat(time.monotonic())
 
     async def _play(self) -> None:
         await self._start()
@@ -185,7 +185,7 @@
         if not await self.until(lambda: all(c.last and c.last.ready for c in self.children), START):
             raise VoidError(f"not all nodes were current within {START:g} s")
         m.start_s = time.monotonic() - began
-        self.beats.zero(time.monotonic())
+        self.heartbeat.reset(time.monotonic())
 
     def _plan(self, process: int) -> Plan:
         refusing = refusing_names(self.places) if "refuse" in self.settings.faults else set()
@@ -210,7 +210,7 @@
         m.watches = await self.instances.watches()
         rig = [*self.children, *([self.relay] if self.relay else [])]
         m.dead = self.instances.dead() + [child.name for child in rig if not child.alive]
-        m.late = {child.name: child.last.late for child in self.children} | {"run": self.beats.late}
+        m.late = {child.name: child.last.late for child in self.children} | {"run": self.heartbeat.stats}
 
     async def _close(self) -> None:
         for child in self.children:
@@ -250,7 +250,7 @@
         return {p.pid: sum(p.cpu_times()[:2]) for p in self._instances()}
 
     def instances_memory(self) -> float:
-        return max(p.memory_full_info().uss for p in self._instances()) / MB
+        return max(p.memory_full_info().uss for p in self._instances()) / BYTES_PER_MB
 
     def _instances(self) -> list[psutil.Process]:
         alive = [p for p in self.instances.processes.values() if p.returncode is None]
--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -15,7 +15,7 @@
 from .table import lines
 
 
-def check_place(name: str, path: str | None) -> None:
+def check_writable(name: str, path: str | None) -> None:
     """That a file can be written there once the run is over; raises ScenarioError."""
     folder = path if name == "--logs" else path and (os.path.dirname(path) or ".")
     if folder is not None and not (os.path.isdir(folder) and os.access(folder, os.W_OK)):
@@ -32,7 +32,7 @@
         given("seconds", int(MOST_SECONDS)),
     )  # fmt: skip
     for name in ("--json", "--out", "--logs"):
-        check_place(name, arguments[name])
+        check_writable(name, arguments[name])
     progress = Progress()
     try:
         measured = ScaleRun(scenario, progress, arguments["--logs"]).play()
--- a/caperdeck/lab/scale/heartbeat.py
+++ b/caperdeck/lab/scale/heartbeat.py
@@ -1,37 +1,40 @@
-"""How late a process of the run is: a beat that is due every 20 ms."""
+"""Measures how late a process of the run is, by a heartbeat that is due every 20 ms."""
 
 from __future__ import annotations
 
 import msgspec
 
-BEAT = 0.02  # seconds
+HEARTBEAT_INTERVAL_S = 0.02
 
 
-class Late(msgspec.Struct):
+class LatenessStats(msgspec.Struct):
+    """Lateness of one process since its monitor was reset."""
+
     worst_ms: float = 0.0
-    late_s: float = 0.0  # in beats later than the scenario allows
-    seconds: float = 0.0
+    late_s: float = 0.0  # sum over heartbeats later than the scenario allows
+    seconds: float = 0.0  # observed time
 
     @property
     def share(self) -> float:
+        """Share of the observed time that the process was late."""
         return self.late_s / self.seconds if self.seconds else 0.0
 
 
-class Beats:
-    """Is told the time at each beat; `beat_ms` is the lateness from which a beat counts."""
+class HeartbeatMonitor:
+    """Records heartbeats; one that is more than `late_after_ms` behind counts as late."""
 
-    def __init__(self, beat_ms: float) -> None:
-        self.beat_ms = beat_ms
-        self.zero(0.0)
+    def __init__(self, late_after_ms: float) -> None:
+        self.late_after_ms = late_after_ms
+        self.reset(0.0)
 
-    def zero(self, now: float) -> None:
-        """Counts anew from that time, in seconds."""
-        self.late, self.last = Late(), now
+    def reset(self, now: float) -> None:
+        """Starts new statistics at `now`, in seconds."""
+        self.stats, self.last_beat_at = LatenessStats(), now
 
-    def beat(self, now: float) -> None:
-        behind = max(now - self.last - BEAT, 0.0)
-        self.late.seconds += now - self.last
-        self.late.worst_ms = max(self.late.worst_ms, behind * 1000.0)
-        if behind * 1000.0 > self.beat_ms:
-            self.late.late_s += behind
-        self.last = now
+    def record_beat(self, now: float) -> None:
+        behind = max(now - self.last_beat_at - HEARTBEAT_INTERVAL_S, 0.0)
+        self.stats.seconds += now - self.last_beat_at
+        self.stats.worst_ms = max(self.stats.worst_ms, behind * 1000.0)
+        if behind * 1000.0 > self.late_after_ms:
+            self.stats.late_s += behind
+        self.last_beat_at = now
--- a/caperdeck/lab/scale/measure.py
+++ b/caperdeck/lab/scale/measure.py
@@ -12,7 +12,7 @@
 from .measured import NodeCost, Reading, RoleUse
 from .plan import Sample
 
-MB = float(1 << 20)
+BYTES_PER_MB = float(1 << 20)
 RUN, OTHER = "run", "other"
 
 
@@ -39,8 +39,8 @@
         use = uses.setdefault(role, RoleUse(0, 0.0, 0.0, 0.0))
         use.processes += 1
         use.cpu_s += cpu.user + cpu.system
-        use.pss_mb += memory.pss / MB
-        use.uss_mb += memory.uss / MB
+        use.pss_mb += memory.pss / BYTES_PER_MB
+        use.uss_mb += memory.uss / BYTES_PER_MB
 
 
 def machine_times() -> tuple[float, float]:
@@ -83,7 +83,7 @@
         size += (bytes_of(has) - bytes_of(had)) / span
         datagrams += (datagrams_of(has) - datagrams_of(had)) / span
         connections += (has.connections_in - had.connections_in) / span
-    base_mb = sum(sample.base_uss for _, sample in after) / MB
+    base_mb = sum(sample.base_uss for _, sample in after) / BYTES_PER_MB
     nodes = max(nodes, 1)
     return NodeCost(
         seconds, cpu / nodes, max(uss_mb - base_mb, 0.0) / nodes, size / nodes, datagrams / nodes,
--- a/caperdeck/lab/scale/measured.py
+++ b/caperdeck/lab/scale/measured.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import field
 
-from .heartbeat import Late
+from .heartbeat import LatenessStats
 
 KIND = "caperdeck scale run"
 
@@ -100,7 +100,7 @@
     tries: int = 0  # clients' first lines
     served: int = 0  # that an UP answered
     answers: dict[str, int] = field(default_factory=dict)  # by kind
-    late: dict[str, Late] = field(default_factory=dict)  # by process
+    late: dict[str, LatenessStats] = field(default_factory=dict)  # by process
 
     @property
     def most_processes(self) -> int:
--- a/caperdeck/lab/scale/plan.py
+++ b/caperdeck/lab/scale/plan.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .heartbeat import Late
+from .heartbeat import LatenessStats
 from .traffic import Traffic
 
 
@@ -47,5 +47,5 @@
     cpu: float  # seconds of processor time
     base_uss: int  # bytes of memory before its nodes were made
     traffic: Traffic
-    late: Late
+    late: LatenessStats
     made_s: float = 0.0  # processor time to make the nodes
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -16,8 +16,8 @@
 from caperdeck.lab.scenario import dump
 from caperdeck.owner.config import MAX_NODES
 
-from .heartbeat import BEAT, Beats, Late
-from .measure import MB, Meter, cores_used, machine_cores, node_cost
+from .heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor, LatenessStats
+from .measure import BYTES_PER_MB, Meter, cores_used, machine_cores, node_cost
 from .measured import Cost, Fault, Measured, Reading, View
 from .places import Places
 from .plan import Order, Plan
@@ -43,7 +43,7 @@
         self.lists: Lists | None = None
         self.racks: list[Rack] = []
         self.lives: list[int] = [0] * s.hollow.processes
-        self.beats = Beats(s.lateness.beat_ms)
+        self.heartbeat = HeartbeatMonitor(s.lateness.beat_ms)
         self.tasks: list[asyncio.Task] = []
         self.steps: asyncio.Task | None = None
 
@@ -80,7 +80,7 @@
         return time.monotonic() - self.began
 
     async def _steps(self) -> None:
-        self._every(BEAT, self._beat)
+        self._every(HEARTBEAT_INTERVAL_S, self._beat)
         await self._start()
         if self.real.missing():
             return
@@ -112,7 +112,7 @@
         self.tasks.append(asyncio.ensure_future(again()))
 
     async def _beat(self) -> None:
-        self.beats.beat(time.monotonic())
+        self.heartbeat.record_beat(time.monotonic())
 
     async def _read(self) -> Reading:
         # Danger: on a busy machine the walk over all processes takes a second, and would hold this one up.
@@ -153,7 +153,7 @@
         await asyncio.gather(*(self._start_rack(i, until, gate) for i in range(len(self.racks))))
         self.measured.start_s = self.now()
         # Danger: a machine that is busy with the start alone would be held to be too slow for the run.
-        self.beats.zero(time.monotonic())
+        self.heartbeat.reset(time.monotonic())
         for rack in self.racks:
             rack.tell(Order(zero_beats=True))
 
@@ -198,7 +198,7 @@
         nodes = sum(sample.nodes for sample in samples)
         busy, stolen = machine_cores(began, ended)
         self.measured.cost = Cost(
-            node, process_mb=sum(s.base_uss for s in samples) / len(samples) / MB,
+            node, process_mb=sum(s.base_uss for s in samples) / len(samples) / BYTES_PER_MB,
             make_s=sum(s.made_s for s in samples) / nodes, connections_s=node.connections_s * nodes,
             cores=cores_used(began, ended), machine_cores=os.cpu_count() or 0,
             busy_cores=busy, stolen_cores=stolen,
@@ -273,7 +273,7 @@
         m.seconds = self.now()
         m.missing = self.real.missing() + [r.name for r in self.racks if r.wanted and not r.alive]
         m.late = {r.name: r.last.late for r in self.racks if r.last is not None}
-        m.late |= {"run": self.beats.late, "rig": Late(worst_ms=self.real.late)}
+        m.late |= {"run": self.heartbeat.stats, "rig": LatenessStats(worst_ms=self.real.late)}
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -31,7 +31,7 @@
 from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
 
-from .heartbeat import BEAT, Beats
+from .heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor
 from .plan import Order, Plan, Sample
 from .traffic import Traffic, count_received_datagrams, count_traffic
 
@@ -89,7 +89,7 @@
     return bool(lives) and back >= MOST * len(lives)
 
 
-def collect_from_now_on() -> None:
+def limit_gc_to_new_objects() -> None:
     """Lets the collector look at what is made after this call only.
 
     It walks all nodes of the process in one go otherwise, a pause that no node with a process of its own has.
@@ -106,7 +106,7 @@
         self.nodes: list[HollowNode] = []
         self.watched: list[int] = []
         self.lives: list[dict[int, int]] = []  # by node: of the members that are watched, as it knew them
-        self.beats = Beats(plan.beat_ms)
+        self.heartbeat = HeartbeatMonitor(plan.beat_ms)
         self.base_uss = psutil.Process().memory_full_info().uss
         self.made_s = 0.0
         self.encode = msgspec.json.Encoder().encode
@@ -131,8 +131,8 @@
         self.nodes.append(node)
         self.made_s += time.process_time() - began
         if self.ready:
-            collect_from_now_on()
-            self.beats.zero(time.monotonic())
+            limit_gc_to_new_objects()
+            self.heartbeat.reset(time.monotonic())
             self.beat()
         else:
             reactor.callLater(0, self.start_next)
@@ -152,15 +152,15 @@
         return replace(config, peers=config.peers._replace(addresses=plan.peers, everyone=None))
 
     def beat(self) -> None:
-        self.beats.beat(time.monotonic())
-        reactor.callLater(BEAT, self.beat)
+        self.heartbeat.record_beat(time.monotonic())
+        reactor.callLater(HEARTBEAT_INTERVAL_S, self.beat)
 
     def views(self) -> list[Any]:
         return [node.peers.sharing.swim for node in self.nodes if node.peers is not None]
 
     def order(self, order: Order) -> None:
         if order.zero_beats:
-            self.beats.zero(time.monotonic())
+            self.heartbeat.reset(time.monotonic())
         if order.watch is not None:
             self.watched = order.watch
             self.lives = [{i: swim.life[i] for i in order.watch} for swim in self.views()]
@@ -179,7 +179,7 @@
             told=sum(node.owned.target.epoch > 0 for node in self.nodes),
             watched_dead=sum(holds_dead(swim, watched) for swim in views),
             watched_alive=sum(map(holds_alive, views, lives)),
-            cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.beats.late,
+            cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.heartbeat.stats,
             made_s=self.made_s,
         )  # fmt: skip
 
--- a/tests/test_lab_propagation.py
+++ b/tests/test_lab_propagation.py
@@ -15,7 +15,7 @@
 )  # fmt: skip
 from caperdeck.lab.propagation.plan import InForce, Refused, instance_places, node_places
 from caperdeck.lab.propagation.relay import RelayChild, RelayPlan
-from caperdeck.lab.scale.heartbeat import Late
+from caperdeck.lab.scale.heartbeat import LatenessStats
 from caperdeck.lab.scenario import ScenarioError
 from caperdeck.state.addresses import parse_address
 
@@ -123,7 +123,7 @@
     assert conclude(measured(put=put, steps=early)).code == VOID
 
 
-@pytest.mark.parametrize("changes", [{"dead": ["nodes0"]}, {"late": {"run": Late(500.0, 0.1, 1.0)}}])
+@pytest.mark.parametrize("changes", [{"dead": ["nodes0"]}, {"late": {"run": LatenessStats(500.0, 0.1, 1.0)}}])
 def test_a_rig_that_failed_says_nothing(changes):
     assert conclude(measured(**changes, current=1)).code == VOID
 
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -15,11 +15,11 @@
 
 from caperdeck.lab.cli import InterruptedRunError
 from caperdeck.lab.scale import checks
-from caperdeck.lab.scale.heartbeat import BEAT, Beats, Late
+from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor, LatenessStats
 from caperdeck.lab.scale.checks import Verdict, judge
-from caperdeck.lab.scale.stub_nodes import collect_from_now_on, holds_alive, holds_dead, knows
+from caperdeck.lab.scale.stub_nodes import limit_gc_to_new_objects, holds_alive, holds_dead, knows
 from caperdeck.lab.scale.instances import Agreement, told_nodes
-from caperdeck.lab.scale.measure import MB, cores_used, machine_cores, machine_times, node_cost
+from caperdeck.lab.scale.measure import BYTES_PER_MB, cores_used, machine_cores, machine_times, node_cost
 from caperdeck.lab.scale.measured import Cost, Fault, Measured, NodeCost, Reading, RoleUse, View
 from caperdeck.lab.scale.places import Places
 from caperdeck.lab.scale.plan import Sample
@@ -144,7 +144,7 @@
     frozen = gc.get_freeze_count()
     gc.disable()
     try:
-        collect_from_now_on()
+        limit_gc_to_new_objects()
         assert gc.isenabled() and gc.get_freeze_count() > frozen
         assert len(gc.get_objects()) < gc.get_freeze_count()
     finally:
@@ -153,13 +153,13 @@
 
 
 def test_a_beat_is_late_from_the_limit_on_and_counts_for_as_long_as_it_was():
-    beats = Beats(150.0)
-    beats.zero(10.0)
-    beats.beat(10.0 + BEAT)
-    beats.beat(10.0 + 2 * BEAT + 0.1)
-    assert beats.late.late_s == 0 and beats.late.worst_ms == pytest.approx(100)
-    beats.beat(10.0 + 3 * BEAT + 0.6)
-    assert beats.late.late_s == pytest.approx(0.5) and beats.late.share == pytest.approx(0.5 / 0.66)
+    monitor = HeartbeatMonitor(150.0)
+    monitor.reset(10.0)
+    monitor.record_beat(10.0 + HEARTBEAT_INTERVAL_S)
+    monitor.record_beat(10.0 + 2 * HEARTBEAT_INTERVAL_S + 0.1)
+    assert monitor.stats.late_s == 0 and monitor.stats.worst_ms == pytest.approx(100)
+    monitor.record_beat(10.0 + 3 * HEARTBEAT_INTERVAL_S + 0.6)
+    assert monitor.stats.late_s == pytest.approx(0.5) and monitor.stats.share == pytest.approx(0.5 / 0.66)
 
 
 def test_owners_are_agreed_again_once_another_leads_and_holds_all_the_work():
@@ -192,7 +192,7 @@
 def test_the_cost_of_a_node_is_the_mean_between_two_samples_of_each_process():
     def sample(cpu, datagrams, size, connections):
         traffic = Traffic(datagrams, datagrams, size, size, size, size, connections)
-        return Sample(10, True, 0, 0.0, 0, 0, 0, cpu, int(20 * MB), traffic, Late())
+        return Sample(10, True, 0, 0.0, 0, 0, 0, cpu, int(20 * BYTES_PER_MB), traffic, LatenessStats())
 
     before = [(0.0, sample(1.0, 100, 1000, 10)), (0.0, sample(1.0, 100, 1000, 10))]
     after = [(4.0, sample(1.4, 140, 5000, 50)), (5.0, sample(1.5, 150, 6000, 60))]
@@ -251,7 +251,7 @@
     m.readings = [Reading(30.0, {"hollow nodes": RoleUse(3, 4.0, 90.0, 88.0)})]
     m.views = [View(30.0, 1.0, 1.0, 1.0)]
     m.tries, m.served = 100, 99
-    m.late = {"rack0": Late(20.0, 0.0, 60.0), "rig": Late(10.0)}
+    m.late = {"rack0": LatenessStats(20.0, 0.0, 60.0), "rig": LatenessStats(10.0)}
     for name, value in changes.items():
         setattr(m, name, value)
     return m
@@ -348,7 +348,7 @@
 
 @pytest.mark.parametrize("breaches", [[], ["sessions: answered twice"]])
 def test_a_machine_too_slow_voids_the_run_whatever_held(breaches):
-    m = measured(breaches=breaches, late={"rack1": Late(900.0, 3.1, 60.0)})
+    m = measured(breaches=breaches, late={"rack1": LatenessStats(900.0, 3.1, 60.0)})
     result = conclude(scenario(), m)
     assert result.code == VOID and "rack1" in result.void[0]
     assert lines(result)[-1] == "nothing is said about the nodes"
@@ -358,7 +358,7 @@
     "changes", [{"breaches": ["sessions: no answer in its time"]}, {"served": 50}, {"owner_first_s": None}]
 )
 def test_what_a_late_rig_can_break_is_void_and_nobodys(changes):
-    late, in_time = {"rig": Late(51.0)}, {"rig": Late(49.0)}
+    late, in_time = {"rig": LatenessStats(51.0)}, {"rig": LatenessStats(49.0)}
     assert conclude(scenario(), measured(late=late)).code == 0
     assert conclude(scenario(), measured(late=late, **changes)).code == VOID
     assert conclude(scenario(), measured(late=in_time, **changes)).code == checks.LAB_BROKEN
@@ -366,7 +366,9 @@
 
 @pytest.mark.parametrize("changes", [{"missing": ["n1"]}, {"readings": reading(201, 1.0)}, {"cost": None}])
 def test_what_no_lateness_breaks_stays_broken_beside_a_late_rig(changes):
-    assert conclude(scenario(), measured(late={"rig": Late(51.0)}, **changes)).code == checks.LAB_BROKEN
+    assert (
+        conclude(scenario(), measured(late={"rig": LatenessStats(51.0)}, **changes)).code == checks.LAB_BROKEN
+    )
 
 
 def test_a_result_is_kept_whole_and_drawn_as_a_page(tmp_path):
@@ -427,7 +429,7 @@
 
 def test_an_interrupt_beside_the_steps_ends_the_run_at_once(monkeypatch):
     async def endless(run):
-        run._every(BEAT, run._beat)
+        run._every(HEARTBEAT_INTERVAL_S, run._beat)
         await asyncio.Event().wait()
 
     async def interrupted(run):
