--- a/caperdeck/lab/scale/__init__.py
+++ b/caperdeck/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale run: hollow nodes beside real ones, up to the whole target on one machine (docs/scale.md)."""
+"""The scale run: stub nodes beside real nodes, up to the whole target on one machine (docs/scale.md)."""
--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`caperdeck lab scale`: plays a scenario, prints the table, keeps JSON and page."""
+"""`caperdeck lab scale`: runs a scenario, prints the table, and writes the JSON file and the HTML page."""
 
 from __future__ import annotations
 
@@ -11,35 +11,37 @@
 from .progress import Progress
 from .result import conclude, write
 from .run import ScaleRun
-from .scenario import MOST_HOLLOW_PROCESSES, MOST_PEERS, MOST_SECONDS, load
-from .table import lines
+from .scenario import MAX_SECONDS, MAX_STUB_PROCESSES, MOST_PEERS, load
+from .table import result_lines
 
 
 def check_writable(name: str, path: str | None) -> None:
-    """That a file can be written there once the run is over; raises ScenarioError."""
+    """Raises ScenarioError if the result could not be written to `path` after the run."""
     folder = path if name == "--logs" else path and (os.path.dirname(path) or ".")
     if folder is not None and not (os.path.isdir(folder) and os.access(folder, os.W_OK)):
-        raise ScenarioError(f"{name}: {folder} is no folder that can be written to")
+        raise ScenarioError(f"{name}: {folder} is not a writable directory")
 
 
 def scale(arguments: dict[str, Any]) -> int:
-    def given(name: str, most: int) -> int | None:
+    """Runs the command with its parsed arguments; returns the exit code."""
+
+    def option(name: str, maximum: int) -> int | None:
         text = arguments[f"--{name}"]
-        return None if text is None else number(text, name, 1, most, 0)
+        return None if text is None else number(text, name, 1, maximum, 0)
 
     scenario = load(
-        arguments["SCENARIO"][0], given("nodes", MOST_PEERS), given("processes", MOST_HOLLOW_PROCESSES),
-        given("seconds", int(MOST_SECONDS)),
+        arguments["SCENARIO"][0], option("nodes", MOST_PEERS), option("processes", MAX_STUB_PROCESSES),
+        option("seconds", int(MAX_SECONDS)),
     )  # fmt: skip
     for name in ("--json", "--out", "--logs"):
         check_writable(name, arguments[name])
     progress = Progress()
     try:
-        measured = ScaleRun(scenario, progress, arguments["--logs"]).play()
+        measured = ScaleRun(scenario, progress, arguments["--logs"]).run()
     finally:
         progress.end()
     result = conclude(scenario, measured)
-    for line in lines(result):
+    for line in result_lines(result):
         say(line)
     if arguments["--json"]:
         write(arguments["--json"], result)
--- a/caperdeck/lab/scale/instances.py
+++ b/caperdeck/lab/scale/instances.py
@@ -1,4 +1,4 @@
-"""The control machines of a run: real `caperdeck owner serve` processes, and whether they agree."""
+"""The control instances of a run, which are real `caperdeck owner serve` processes, and what they own."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from caperdeck.owner.config import MAX_NODES, WORKS
 
 
-def told_nodes(addresses: dict[str, str]) -> dict[str, str]:
-    """The second addresses that an instance is told of: as many as its configuration takes."""
+def configured_nodes(addresses: dict[str, str]) -> dict[str, str]:
+    """The admin addresses for an instance's configuration: at most as many as it may hold."""
     return dict(list(addresses.items())[:MAX_NODES])
 
 
-class Agreement:
-    """Who leads the instances and who holds each work, by what they say themselves."""
+class OwnershipTracker:
+    """Which instance leads and which one holds each work, as the instances report it."""
 
     def __init__(self) -> None:
         self.leader: str | None = None
         self.holders: dict[str, str] = {}
 
-    def take(self, event: Event) -> None:
-        """Any event of the history."""
+    def record(self, event: Event) -> None:
+        """Takes any event of the history and ignores those of other kinds."""
         kind = event["ev"]
         if kind == "leader" and event["leader"] == event["who"]:
             self.leader = event["who"]
@@ -28,12 +28,13 @@
         elif kind == "lost" and self.holders.get(event["work"]) == event["who"]:
             del self.holders[event["work"]]
 
-    def forget(self, name: str) -> None:
-        """That instance is dead; what it led or held is nobody's until another says that it has it."""
+    def remove(self, name: str) -> None:
+        """Drops a killed instance: its lead and works have no holder until another instance reports them."""
         if self.leader == name:
             self.leader = None
         self.holders = {work: who for work, who in self.holders.items() if who != name}
 
     @property
-    def agreed(self) -> bool:
+    def complete(self) -> bool:
+        """Whether there is a leader and every work has a holder."""
         return self.leader is not None and all(work in self.holders for work in WORKS)
--- a/caperdeck/lab/scale/lists.py
+++ b/caperdeck/lab/scale/lists.py
@@ -1,4 +1,4 @@
-"""A process that is discovery for all hollow nodes: an empty list, and an empty line every two seconds."""
+"""A process that serves discovery to all stub nodes: an empty roster, and an empty line every two seconds."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 
 reactor = install_reactor()
 
-OPEN = b"open\n"
+READY_LINE = b"open\n"
 
 
-class UntilInputEnds(Protocol):
+class ExitAtEndOfInput(Protocol):
+    """Ends the process when its standard input is closed."""
+
     def connectionLost(self, reason: object) -> None:
         os._exit(0)
 
@@ -27,7 +29,7 @@
     end_with_parent()
     address = parse_address(sys.argv[1])
     Agent(reactor, Roster(), {}).listen(address.host, address.port)
-    stdio.StandardIO(UntilInputEnds()).write(OPEN)
+    stdio.StandardIO(ExitAtEndOfInput()).write(READY_LINE)
     reactor.run(installSignalHandlers=False)
     return 0
 
--- a/caperdeck/lab/scale/measured.py
+++ b/caperdeck/lab/scale/measured.py
@@ -1,4 +1,4 @@
-"""What a scale run has measured; the checks and the page read nothing else."""
+"""The measurements of a scale run; the checks and the HTML page read nothing else."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 
 from .heartbeat import LatenessStats
 
-KIND = "caperdeck scale run"
+FILE_KIND = "caperdeck scale run"
 
 
 class RoleUse(msgspec.Struct):
     """All processes of one role at one reading; memory in MB."""
 
     processes: int
-    cpu_s: float  # processor time since their start
-    pss_mb: float  # shared pages divided among those that share them
-    uss_mb: float  # pages of their own
+    cpu_s: float  # processor time since the processes started
+    pss_mb: float  # a page shared by several processes is divided among them
+    uss_mb: float  # unshared pages
 
 
 class Reading(msgspec.Struct):
+    """Resource usage of all processes of the run and of the machine at one moment."""
+
     at: float  # seconds since the start of the run
     roles: dict[str, RoleUse]
-    machine_cpu_s: float = 0.0  # processor time of the whole machine, whoever used it, since it was started
-    stolen_s: float = 0.0  # in which a virtual machine had work and its host gave it no processor
+    machine_cpu_s: float = 0.0  # busy processor time of the whole machine since boot
+    stolen_s: float = 0.0  # time in which a virtual machine was runnable and its hypervisor did not run it
 
     @property
     def processes(self) -> int:
@@ -35,58 +37,62 @@
 
 
 class View(msgspec.Struct):
-    """What the hollow nodes know of the members at one moment."""
+    """Membership as seen by the stub nodes at one moment."""
 
-    at: float
-    know_most: float  # the share of them that know 9 in 10 members as alive
-    known: float  # the mean share of the members that they know as alive
-    told: float  # the share of them that an owner has told their share
+    at: float  # seconds since the start of the run
+    know_most: float  # share of the stub nodes that see 9 in 10 members as alive
+    known: float  # mean share of the members that a stub node sees as alive
+    told: float  # share of the stub nodes that have received their target share from an owner
 
 
 class NodeCost(msgspec.Struct):
-    """Of one hollow node in the steady span."""
+    """Cost of one stub node in the steady phase."""
 
     seconds: float
     core_share: float
-    memory_mb: float  # of its own, without the interpreter and the program
-    bytes_s: float  # in and out, payload
-    datagrams_s: float  # in and out
-    connections_s: float  # of owners, to its second address
+    memory_mb: float  # without the interpreter and the program
+    bytes_s: float  # payload, sent and received
+    datagrams_s: float  # sent and received
+    connections_s: float  # accepted from owners at the admin address
 
 
 class Cost(msgspec.Struct):
+    """Resource usage in the steady phase."""
+
     node: NodeCost
-    process_mb: float  # the interpreter and the program, once a process
-    make_s: float  # processor time to make one hollow node
-    connections_s: float  # of owners, over all hollow nodes
-    cores: dict[str, float]  # used by each role
-    machine_cores: int = 0  # that the machine has
-    busy_cores: float = 0.0  # of these that were busy, whoever used them
-    stolen_cores: float = 0.0  # of these that the host of a virtual machine kept from it while it had work
+    process_mb: float  # the interpreter and the program, once for each stub process
+    make_s: float  # processor time to create one stub node
+    connections_s: float  # from owners to all stub nodes
+    cores: dict[str, float]  # busy cores by role
+    machine_cores: int = 0  # cores of the machine
+    busy_cores: float = 0.0  # busy cores of the machine, including other programs
+    stolen_cores: float = 0.0  # cores that the hypervisor withheld while the virtual machine was runnable
 
     @property
-    def own_cores(self) -> float:
-        """That the run kept busy."""
+    def run_cores(self) -> float:
+        """Cores that the run kept busy."""
         return sum(self.cores.values())
 
 
 class Fault(msgspec.Struct):
-    """Something killed and started again; seconds until it was seen, None where the bound passed first."""
+    """A process killed and started again, with the seconds until each was noticed; None if past its bound."""
 
     what: str
     of: str
     at: float
-    nodes: int = 0  # that went with it
+    nodes: int = 0  # nodes killed with the process
     dead_s: float | None = None
     back_s: float | None = None
 
 
 class Measured(msgspec.Struct):
+    """All measurements of one run; spans in seconds."""
+
     members: int
-    hollow: int
+    stub_nodes: int = field(name="hollow")
     real: int
     instances: int
-    instance_nodes: int  # that an instance's configuration takes
+    instance_nodes: int  # limit of an instance's configuration
     start_s: float = 0.0
     seconds: float = 0.0
     known_s: float | None = None
@@ -95,20 +101,21 @@
     faults: list[Fault] = field(default_factory=list)
     readings: list[Reading] = field(default_factory=list)
     views: list[View] = field(default_factory=list)
-    missing: list[str] = field(default_factory=list)  # processes that should live and do not
-    breaches: list[str] = field(default_factory=list)  # of the four rules and of owned work
+    missing: list[str] = field(default_factory=list)  # processes that should run and do not
+    breaches: list[str] = field(default_factory=list)  # of the four session rules and the rules of owned work
     tries: int = 0  # clients' first lines
-    served: int = 0  # that an UP answered
+    served: int = 0  # first lines answered with UP
     answers: dict[str, int] = field(default_factory=dict)  # by kind
     late: dict[str, LatenessStats] = field(default_factory=dict)  # by process
 
     @property
-    def most_processes(self) -> int:
-        return max((r.processes for r in self.readings), default=0)
+    def peak_processes(self) -> int:
+        return max((reading.processes for reading in self.readings), default=0)
 
     @property
-    def most_memory_mb(self) -> float:
-        return max((r.pss_mb for r in self.readings), default=0.0)
+    def peak_memory_mb(self) -> float:
+        return max((reading.pss_mb for reading in self.readings), default=0.0)
 
     def fault(self, what: str) -> Fault | None:
-        return next((f for f in self.faults if f.what == what), None)
+        """The first fault of a kind, if it was run."""
+        return next((fault for fault in self.faults if fault.what == what), None)
--- a/caperdeck/lab/scale/places.py
+++ b/caperdeck/lab/scale/places.py
@@ -1,7 +1,7 @@
-"""Loopback addresses of a run's hollow nodes: one address a process, one port a node.
+"""Loopback addresses of the stub nodes of a run: one IP address for each process, one port for each node.
 
-The whole of 127.0.0.0/8 is loopback. A run takes 256 addresses of it, so that thousands of nodes need no port
-to be kept from other runs; one bound socket keeps the addresses.
+The whole of 127.0.0.0/8 is loopback. A run takes a /24 network of it, so that the ports of its thousands of
+nodes cannot collide with those of other runs. One bound socket reserves the network.
 """
 
 from __future__ import annotations
@@ -10,33 +10,35 @@
 import socket
 
 FIRST_PORT = 20_000
-KEEPER_PORT = 19_999
-LISTS = 1  # the last number of the address of the hollow nodes' discovery
-FIRST_RACK = 2
-TRIES = 100
+RESERVED_PORT = 19_999
+DISCOVERY_SUFFIX = 1  # last octet of the address that serves discovery to the stub nodes
+FIRST_RACK_SUFFIX = 2  # last octet of the first stub process
+MAX_BIND_ATTEMPTS = 100
 
 
-class Places:
+class LoopbackAddresses:
+    """Reserves a random /24 loopback network until it is closed; raises OSError if none is free."""
+
     def __init__(self) -> None:
-        for _ in range(TRIES):
-            self.net = f"127.{random.randrange(64, 255)}.{random.randrange(256)}"
-            self.keeper = socket.socket()
+        for _ in range(MAX_BIND_ATTEMPTS):
+            self.network = f"127.{random.randrange(64, 255)}.{random.randrange(256)}"
+            self.reserved_socket = socket.socket()
             try:
-                self.keeper.bind((f"{self.net}.{LISTS}", KEEPER_PORT))
+                self.reserved_socket.bind((f"{self.network}.{DISCOVERY_SUFFIX}", RESERVED_PORT))
                 return
             except OSError:
-                self.keeper.close()
+                self.reserved_socket.close()
         raise OSError("no free loopback addresses")
 
-    def lists(self) -> str:
-        return f"{self.net}.{LISTS}:{FIRST_PORT}"
+    def discovery_address(self) -> str:
+        return f"{self.network}.{DISCOVERY_SUFFIX}:{FIRST_PORT}"
 
-    def of_racks(self, racks: list[list[int]]) -> dict[int, str]:
-        """By a node's number its address, for datagrams and for calls alike."""
+    def node_addresses(self, racks: list[list[int]]) -> dict[int, str]:
+        """The address of each node by its number, for datagrams and for admin calls alike."""
         return {
-            number: f"{self.net}.{FIRST_RACK + rack}:{FIRST_PORT + i}"
+            number: f"{self.network}.{FIRST_RACK_SUFFIX + rack}:{FIRST_PORT + i}"
             for rack, numbers in enumerate(racks) for i, number in enumerate(numbers)
         }  # fmt: skip
 
     def close(self) -> None:
-        self.keeper.close()
+        self.reserved_socket.close()
--- a/caperdeck/lab/scale/real_nodes.py
+++ b/caperdeck/lab/scale/real_nodes.py
@@ -1,7 +1,8 @@
-"""The real part of a run: `serve` processes under clients' load, hosts, and the instances.
+"""The real processes of a run: `serve` processes under load from clients, their hosts, and the instances.
 
-The rig's fleet with real processes, but that the real nodes are members of the whole fleet: datagrams and
-owners' acts go straight between processes, clients, hosts and discovery through the relay as always.
+This is the test rig's fleet of real processes, with two differences. The real nodes are members of the whole
+fleet. Datagrams and owners' calls go directly between processes; clients, hosts and discovery are still
+connected through the relay.
 """
 
 from __future__ import annotations
@@ -13,23 +14,23 @@
 from caperdeck.lab.history import Event
 from caperdeck.lab.real import RealFleet, plain
 
-from .instances import Agreement, told_nodes
-from .places import Places
+from .instances import OwnershipTracker, configured_nodes
+from .places import LoopbackAddresses
 from .scenario import ScaleScenario
 
 
-class RealPart(RealFleet):
-    """Opened and played by the run; `everyone_else` has the hollow nodes' addresses by number."""
+class RealNodeFleet(RealFleet):
+    """Opened, started and closed by the run; `stub_addresses` holds the stub nodes' addresses by number."""
 
-    def __init__(self, scale: ScaleScenario, places: Places, logs: str | None = None) -> None:
-        super().__init__(scale.real_part(), scale.seed, logs=logs)
+    def __init__(self, scale: ScaleScenario, addresses: LoopbackAddresses, logs: str | None = None) -> None:
+        super().__init__(scale.real_scenario(), scale.seed, logs=logs)
         self.scale = scale
-        self.hollow_addresses = places.of_racks(scale.racks())
-        self.agreement = Agreement()
-        self.history.watchers.append(self.agreement.take)
-        self.killed: dict[str, int] = {}  # by the run itself, so often
-        self.states: dict[str, str] = {}  # of real nodes and instances, the last
-        self.history.watchers.append(self._mind_state)
+        self.stub_addresses = addresses.node_addresses(scale.racks())
+        self.ownership = OwnershipTracker()
+        self.history.watchers.append(self.ownership.record)
+        self.kill_counts: dict[str, int] = {}  # kills by the run itself, by process name
+        self.states: dict[str, str] = {}  # last state of each real node and instance
+        self.history.watchers.append(self._record_state)
 
     def extra_settings(self, node: str) -> dict[str, Any]:
         return {"fleetSize": self.scale.members}
@@ -59,17 +60,17 @@
         self.admins = {n: plain(self._take_port(socket.SOCK_STREAM)) for n in nodes}
 
     def _tell_addresses(self, nodes: list[str], owners: list[str]) -> None:
-        hollow = self.hollow_addresses
+        hollow = self.stub_addresses
         self.everybody = [plain(self.peers[n]) for n in nodes] + [hollow[i] for i in sorted(hollow)]
         self.seen_peers = dict.fromkeys(nodes, self.everybody)
         self.everyone = dict.fromkeys(nodes, "")
         instances = {o[1:]: self.listen[o] for o in owners}
         self.seen_owners = dict.fromkeys(owners + nodes, instances)
         second = self.admins | {f"n{i}": hollow[i] for i in sorted(hollow)}
-        self.seen_admins = dict.fromkeys(owners, told_nodes(second))
+        self.seen_admins = dict.fromkeys(owners, configured_nodes(second))
 
     async def start_all(self) -> None:
-        """Instances and real nodes; one that does not come up is found by `missing`."""
+        """Starts instances and real nodes; `missing` names those that did not come up."""
         owners = [self._start_owner(o) for o in self.scenario.owner_names()]
         await asyncio.gather(*(self._start(n) for n in self.scenario.node_names()), *owners)
 
@@ -81,28 +82,35 @@
         await self.workers["clients"].ask("stop")
 
     def kill(self, name: str) -> None:
-        self.killed[name] = self.killed.get(name, 0) + 1
+        self.kill_counts[name] = self.kill_counts.get(name, 0) + 1
         super().kill(name)
 
     def missing(self) -> list[str]:
-        """Real nodes and instances that do not answer, or have ended though the run did not kill them."""
-        ends: dict[str, int] = {}
-        for e in self.history.events:
-            if e["ev"] in ("life", "instance") and e["state"] in ("killed", "exit"):
-                ends[e["who"]] = ends.get(e["who"], 0) + 1
+        """Real nodes and instances that do not answer, or that ended without being killed by the run."""
+        end_counts: dict[str, int] = {}
+        for event in self.history.events:
+            if event["ev"] in ("life", "instance") and event["state"] in ("killed", "exit"):
+                end_counts[event["who"]] = end_counts.get(event["who"], 0) + 1
         names = self.scenario.node_names() + self.scenario.owner_names()
-        return [n for n in names if not self.answers(n) or ends.get(n, 0) > self.killed.get(n, 0)]
+        return [
+            name
+            for name in names
+            if not self.is_up(name) or end_counts.get(name, 0) > self.kill_counts.get(name, 0)
+        ]
 
-    def answers(self, name: str) -> bool:
-        """Whether it lives and has answered in this life; the rig waits for that for a while and goes on."""
+    def is_up(self, name: str) -> bool:
+        """Whether the process runs and has answered since its last start.
+
+        The rig waits for the first answer for a limited time only, so a process may run without an answer.
+        """
         return self.alive(name) and self.states.get(name) == "up"
 
-    def _mind_state(self, event: Event) -> None:
+    def _record_state(self, event: Event) -> None:
         if event["ev"] in ("life", "instance"):
             self.states[event["who"]] = event["state"]
 
     def role_by_pid(self) -> dict[int, str]:
-        """Roles of its processes by their ids."""
+        """The roles of the rig's processes by process id."""
         found = {worker.process.pid: "rig" for worker in self.workers.values() if worker.process is not None}
         for name, process in self.processes.items():
             found[process.pid] = "real nodes" if name[0] == "n" else "instances"
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""One scale run from the start of its processes to what was measured."""
+"""One scale run, from the start of its processes to its measurements."""
 
 from __future__ import annotations
 
@@ -17,55 +17,58 @@
 from caperdeck.owner.config import MAX_NODES
 
 from .heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor, LatenessStats
-from .measure import BYTES_PER_MB, Meter, cores_used, machine_cores, node_cost
+from .measure import BYTES_PER_MB, ResourceMeter, cores_by_role, machine_cores_used, node_cost
 from .measured import Cost, Fault, Measured, Reading, View
-from .places import Places
-from .plan import Order, Plan
-from .processes import Lists, Rack
+from .places import LoopbackAddresses
+from .plan import Command, Plan
+from .processes import DiscoveryProcess, Rack
 from .progress import Progress
-from .real_nodes import RealPart
+from .real_nodes import RealNodeFleet
 from .scenario import ScaleScenario
 
-MOST = 0.9  # of the nodes
-LOOK = 0.05  # seconds between looks at what a fault waits for
-TELL = 1.0  # seconds between the samples of a hollow process
-STARTS_AT_ONCE = 8  # hollow processes that load the program and make their nodes
-SETTLE = 0.5  # seconds after the clients have left
-CLUSTER = "lab"  # as the rig names it
-HOLLOW = "hollow nodes"  # the role
+CONVERGED_SHARE = 0.9  # share of the nodes that must agree before a state counts as known
+POLL_INTERVAL_S = 0.05  # between two tests of an awaited condition
+SAMPLE_INTERVAL_S = 1.0  # between two samples of a stub process
+MAX_CONCURRENT_STARTS = 8  # stub processes that load the program and create their nodes at the same time
+SETTLE_S = 0.5  # wait after the clients have disconnected
+CLUSTER_NAME = "lab"  # the cluster of the test rig's instances
+STUB_ROLE = "hollow nodes"  # role name in readings
 
 
 class ScaleRun:
+    """Starts all processes of a scenario, measures them, injects the faults, and ends the processes."""
+
     def __init__(self, scenario: ScaleScenario, progress: Progress, logs: str | None = None) -> None:
         self.scenario, self.progress, self.logs = scenario, progress, logs
-        s = scenario
-        self.measured = Measured(s.members, s.hollow_nodes, s.real.nodes, s.instances, MAX_NODES)
-        self.lists: Lists | None = None
+        self.measured = Measured(
+            scenario.members, scenario.stub_node_count, scenario.real.nodes, scenario.instances, MAX_NODES,
+        )  # fmt: skip
+        self.discovery: DiscoveryProcess | None = None
         self.racks: list[Rack] = []
-        self.lives: list[int] = [0] * s.hollow.processes
-        self.heartbeat = HeartbeatMonitor(s.lateness.beat_ms)
+        self.start_counts: list[int] = [0] * scenario.stubs.processes
+        self.heartbeat = HeartbeatMonitor(scenario.lateness.beat_ms)
         self.tasks: list[asyncio.Task] = []
-        self.steps: asyncio.Task | None = None
+        self.steps_task: asyncio.Task | None = None
 
-    def play(self) -> Measured:
-        """Raises VoidError where the rig itself failed."""
-        return asyncio.run(self._in_folder())
+    def run(self) -> Measured:
+        """Runs to the end; raises VoidError if the test rig itself failed."""
+        return asyncio.run(self._run_in_folder())
 
-    async def _in_folder(self) -> Measured:
-        self.began = time.monotonic()
-        self.places = Places()
-        self.real = RealPart(self.scenario, self.places, self.logs)
+    async def _run_in_folder(self) -> Measured:
+        self.started_at = time.monotonic()
+        self.addresses = LoopbackAddresses()
+        self.real = RealNodeFleet(self.scenario, self.addresses, self.logs)
         self.real.over = False
-        self.meter = Meter(self._roles, self.began)
+        self.meter = ResourceMeter(self._roles_by_pid, self.started_at)
         with tempfile.TemporaryDirectory(prefix="caperdeck-scale-") as folder:
             self.folder = self.real.folder = folder
             try:
-                self.steps = asyncio.ensure_future(self._steps())
-                await self.steps
+                self.steps_task = asyncio.ensure_future(self._run_steps())
+                await self.steps_task
             except TimeoutError:
-                raise VoidError("a part of the rig did not answer in its time") from None
+                raise VoidError("a part of the test rig did not answer before its timeout") from None
             except asyncio.CancelledError:
-                # by what runs beside the steps, which has left its reason
+                # A background task that fails cancels the steps and stores its error in `failed`.
                 if self.real.failed is None:
                     raise
             finally:
@@ -73,19 +76,20 @@
                 await self._close()
         if self.real.failed is not None:
             raise self.real.failed
-        self._conclude()
+        self._collect_results()
         return self.measured
 
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Seconds since the start of the run."""
+        return time.monotonic() - self.started_at
 
-    async def _steps(self) -> None:
-        self._every(HEARTBEAT_INTERVAL_S, self._beat)
+    async def _run_steps(self) -> None:
+        self._run_every(HEARTBEAT_INTERVAL_S, self._record_heartbeat)
         await self._start()
         if self.real.missing():
             return
-        self._every(self.scenario.spans.sample, self._read)
-        self._every(TELL, self._look)
+        self._run_every(self.scenario.spans.sample, self._read_resources)
+        self._run_every(SAMPLE_INTERVAL_S, self._record_view)
         await self._wait_until_known()
         await self.real.start_clients()
         await self._measure_steady()
@@ -93,50 +97,52 @@
         await self._kill_rack()
         await self._kill_real_node()
         await self.real.stop_clients()
-        await asyncio.sleep(SETTLE)
-        await self._read()
+        await asyncio.sleep(SETTLE_S)
+        await self._read_resources()
 
-    # ---- the parts that run beside the steps
+    # ---- background tasks
 
-    def _every(self, seconds: float, do: Callable[[], Awaitable[None]]) -> None:
-        async def again() -> None:
+    def _run_every(self, seconds: float, action: Callable[[], Awaitable[None]]) -> None:
+        async def repeat() -> None:
             try:
                 while True:
-                    await do()
+                    await action()
                     await asyncio.sleep(seconds)
             except Exception as error:
-                # Danger: an interrupt is raised wherever the process is just then, here too.
+                # The signal handler raises InterruptedRunError in whatever code is running, so it can arrive
+                # in this task: without this the steps would go on after an interrupt.
                 self.real.failed = self.real.failed or error
-                self.steps.cancel()
+                self.steps_task.cancel()
 
-        self.tasks.append(asyncio.ensure_future(again()))
+        self.tasks.append(asyncio.ensure_future(repeat()))
 
-    async def _beat(self) -> None:
+    async def _record_heartbeat(self) -> None:
         self.heartbeat.record_beat(time.monotonic())
 
-    async def _read(self) -> Reading:
-        # Danger: on a busy machine the walk over all processes takes a second, and would hold this one up.
+    async def _read_resources(self) -> Reading:
+        # On a busy machine reading all processes takes a second; in this thread it would delay the heartbeat.
         return await asyncio.to_thread(self.meter.read)
 
-    async def _look(self) -> None:
+    async def _record_view(self) -> None:
         view = self._view()
         self.measured.views.append(view)
         reading = self.meter.readings[-1] if self.meter.readings else None
         self.progress.show(view, reading)
 
     def _view(self) -> View:
-        samples = [r.last for r in self.racks if r.alive and r.last is not None]
-        nodes = max(sum(s.nodes for s in samples), 1)
+        samples = [rack.last_sample for rack in self.racks if rack.alive and rack.last_sample is not None]
+        nodes = max(sum(sample.nodes for sample in samples), 1)
         return View(
-            self.now(), know_most=sum(s.know_most for s in samples) / nodes,
-            known=sum(s.known * s.nodes for s in samples) / nodes, told=sum(s.told for s in samples) / nodes,
+            self.now(), know_most=sum(sample.know_most for sample in samples) / nodes,
+            known=sum(sample.known * sample.nodes for sample in samples) / nodes,
+            told=sum(sample.told for sample in samples) / nodes,
         )  # fmt: skip
 
-    def _roles(self) -> dict[int, str]:
+    def _roles_by_pid(self) -> dict[int, str]:
         found = self.real.role_by_pid()
-        if self.lists is not None and self.lists.alive:
-            found[self.lists.pid] = "rig"
-        return found | {rack.pid: HOLLOW for rack in self.racks if rack.alive}
+        if self.discovery is not None and self.discovery.alive:
+            found[self.discovery.pid] = "rig"
+        return found | {rack.pid: STUB_ROLE for rack in self.racks if rack.alive}
 
     # ---- the start
 
@@ -144,124 +150,143 @@
         self.progress.phase(f"start: {self.scenario.members} nodes")
         logs = Path(self.logs or self.folder)
         await self.real.open_parts()
-        self.lists = Lists(logs)
-        await self.lists.start(self.places.lists(), self.scenario.spans.start)
-        self.racks = [Rack(f"rack{i}", logs) for i in range(self.scenario.hollow.processes)]
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
-        until = time.monotonic() + self.scenario.spans.start
+        self.discovery = DiscoveryProcess(logs)
+        await self.discovery.start(self.addresses.discovery_address(), self.scenario.spans.start)
+        self.racks = [Rack(f"rack{i}", logs) for i in range(self.scenario.stubs.processes)]
+        limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
+        deadline = time.monotonic() + self.scenario.spans.start
         await self.real.start_all()
-        await asyncio.gather(*(self._start_rack(i, until, gate) for i in range(len(self.racks))))
+        await asyncio.gather(*(self._start_rack(i, deadline, limit) for i in range(len(self.racks))))
         self.measured.start_s = self.now()
-        # Danger: a machine that is busy with the start alone would be held to be too slow for the run.
+        # Lateness during the start is left out: a machine that is only busy starting processes would
+        # otherwise make the run void.
         self.heartbeat.reset(time.monotonic())
         for rack in self.racks:
-            rack.tell(Order(zero_beats=True))
+            rack.send(Command(zero_beats=True))
 
-    async def _start_rack(self, i: int, until: float, gate: asyncio.Semaphore) -> None:
-        async with gate:
-            rack = self.racks[i]
-            await rack.start(self._plan(i))
+    async def _start_rack(self, index: int, deadline: float, limit: asyncio.Semaphore) -> None:
+        async with limit:
+            rack = self.racks[index]
+            await rack.start(self._plan(index))
             while not rack.ready:
                 if not rack.alive:
-                    raise VoidError(f"{rack.name} ended: {_tail(rack.log)!r}")
-                if time.monotonic() > until:
+                    raise VoidError(f"{rack.name} ended while it started: {_log_tail(rack.log)!r}")
+                if time.monotonic() > deadline:
                     raise VoidError(f"{rack.name} was not up in {self.scenario.spans.start:g} s")
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _plan(self, i: int) -> Plan:
-        numbers = self.scenario.racks()[i]
-        self.lives[i] += 1
-        addresses = [self.real.hollow_addresses[n] for n in numbers]
-        instances = [self.real.listen[o] for o in self.real.scenario.owner_names()]
+    def _plan(self, index: int) -> Plan:
+        numbers = self.scenario.racks()[index]
+        self.start_counts[index] += 1
+        addresses = [self.real.stub_addresses[number] for number in numbers]
+        instances = [self.real.listen[owner] for owner in self.real.scenario.owner_names()]
         return Plan(
-            numbers, addresses, self.real.everybody, instances, CLUSTER, self.places.lists(),
-            self.scenario.sharing, dump(self.real.scenario), self.scenario.seed, self.lives[i],
-            self.scenario.lateness.beat_ms, TELL,
+            numbers, addresses, self.real.everybody, instances, CLUSTER_NAME,
+            self.addresses.discovery_address(), self.scenario.sharing, dump(self.real.scenario),
+            self.scenario.seed, self.start_counts[index], self.scenario.lateness.beat_ms, SAMPLE_INTERVAL_S,
         )  # fmt: skip
 
-    # ---- steady
+    # ---- membership and the steady phase
 
     async def _wait_until_known(self) -> None:
         span = self.scenario.spans.known
         self.progress.phase(f"membership: {span:g} s at the most")
-        self.measured.known_s = await self._until(lambda: self._view().know_most >= MOST, span)
+        self.measured.known_s = await self._wait_until(
+            lambda: self._view().know_most >= CONVERGED_SHARE, span
+        )
         bound = self.scenario.bounds.owner
-        self.measured.owner_first_s = await self._until(lambda: self.real.agreement.agreed, bound)
+        self.measured.owner_first_s = await self._wait_until(lambda: self.real.ownership.complete, bound)
 
     async def _measure_steady(self) -> None:
         self.progress.phase(f"steady: {self.scenario.spans.steady:g} s")
-        before, began = [(r.at, r.last) for r in self.racks], await self._read()
+        before, first_reading = (
+            [(rack.sampled_at, rack.last_sample) for rack in self.racks],
+            await self._read_resources(),
+        )
         await asyncio.sleep(self.scenario.spans.steady)
-        after, ended = [(r.at, r.last) for r in self.racks], await self._read()
-        node = node_cost(before, after, ended.roles[HOLLOW].uss_mb)
+        after, last_reading = (
+            [(rack.sampled_at, rack.last_sample) for rack in self.racks],
+            await self._read_resources(),
+        )
+        node = node_cost(before, after, last_reading.roles[STUB_ROLE].uss_mb)
         samples = [sample for _, sample in after]
         nodes = sum(sample.nodes for sample in samples)
-        busy, stolen = machine_cores(began, ended)
+        busy, stolen = machine_cores_used(first_reading, last_reading)
         self.measured.cost = Cost(
-            node, process_mb=sum(s.base_uss for s in samples) / len(samples) / BYTES_PER_MB,
-            make_s=sum(s.made_s for s in samples) / nodes, connections_s=node.connections_s * nodes,
-            cores=cores_used(began, ended), machine_cores=os.cpu_count() or 0,
-            busy_cores=busy, stolen_cores=stolen,
+            node, process_mb=sum(sample.base_uss for sample in samples) / len(samples) / BYTES_PER_MB,
+            make_s=sum(sample.made_s for sample in samples) / nodes,
+            connections_s=node.connections_s * nodes, cores=cores_by_role(first_reading, last_reading),
+            machine_cores=os.cpu_count() or 0, busy_cores=busy, stolen_cores=stolen,
         )  # fmt: skip
 
-    async def _until(self, held: Callable[[], bool], span: float) -> float | None:
-        """Seconds until it held, or None."""
-        began = time.monotonic()
-        while time.monotonic() - began < span:
-            if held():
-                return time.monotonic() - began
-            await asyncio.sleep(LOOK)
+    async def _wait_until(self, condition: Callable[[], bool], timeout_s: float) -> float | None:
+        """Seconds until the condition was true, or None after the timeout."""
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < timeout_s:
+            if condition():
+                return time.monotonic() - started_at
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     # ---- faults
 
-    def _fault(self, what: str, of: str, nodes: int = 0) -> Fault:
+    def _begin_fault(self, what: str, of: str, nodes: int = 0) -> Fault:
         self.progress.phase(f"fault: {what} {of}")
         fault = Fault(what, of, self.now(), nodes)
         self.measured.faults.append(fault)
         return fault
 
     async def _kill_instance(self) -> None:
-        """The one that leads; another has to, and everything that it held has to be held again."""
+        """Kills the leader; another instance has to lead, and every work has to have a holder again."""
         real, bound = self.real, self.scenario.bounds.owner
-        name = real.agreement.leader or "o0"
-        fault = self._fault("instance", name)
+        name = real.ownership.leader or "o0"
+        fault = self._begin_fault("instance", name)
         real.kill(name)
-        real.agreement.forget(name)
-        fault.dead_s = await self._until(lambda: real.agreement.agreed, bound)
+        real.ownership.remove(name)
+        fault.dead_s = await self._wait_until(lambda: real.ownership.complete, bound)
         await real.processes[name].wait()
         await real._start_owner(name)
         fault.back_s = self.now() - fault.at
 
     async def _kill_rack(self) -> None:
-        """The last hollow process, with all of its nodes."""
+        """Kills the last stub process with all of its nodes, then starts it again."""
         rack, bounds = self.racks[-1], self.scenario.bounds
         members = self.scenario.racks()[-1]
-        fault = self._fault("rack", rack.name, len(members))
+        fault = self._begin_fault("rack", rack.name, len(members))
         await rack.kill()
         for other in self.racks:
-            other.tell(Order(watch=members))
-        fault.dead_s = await self._until(lambda: self._share("watched_dead") >= MOST, bounds.dead)
-        began = time.monotonic()
-        await self._start_rack(len(self.racks) - 1, began + self.scenario.spans.start, asyncio.Semaphore(1))
-        back = await self._until(lambda: self._share("watched_alive") >= MOST, bounds.back)
-        fault.back_s = None if back is None else time.monotonic() - began
-
-    def _share(self, field: str) -> float:
-        """Of the nodes outside the killed rack that see it so."""
-        samples = [rack.last for rack in self.racks[:-1] if rack.alive and rack.last is not None]
-        return sum(getattr(s, field) for s in samples) / max(sum(s.nodes for s in samples), 1)
+            other.send(Command(watch=members))
+        fault.dead_s = await self._wait_until(
+            lambda: self._observed_share("watched_dead") >= CONVERGED_SHARE, bounds.dead
+        )
+        started_at = time.monotonic()
+        await self._start_rack(
+            len(self.racks) - 1, started_at + self.scenario.spans.start, asyncio.Semaphore(1)
+        )
+        back = await self._wait_until(
+            lambda: self._observed_share("watched_alive") >= CONVERGED_SHARE, bounds.back
+        )
+        fault.back_s = None if back is None else time.monotonic() - started_at
+
+    def _observed_share(self, field: str) -> float:
+        """Share of the nodes outside the killed rack that a count of their samples applies to."""
+        samples = [
+            rack.last_sample for rack in self.racks[:-1] if rack.alive and rack.last_sample is not None
+        ]
+        return sum(getattr(sample, field) for sample in samples) / max(
+            sum(sample.nodes for sample in samples), 1
+        )
 
     async def _kill_real_node(self) -> None:
         real, bound = self.real, self.scenario.bounds.real_back
         name = real.scenario.node_names()[-1]
-        fault = self._fault("real node", name, 1)
+        fault = self._begin_fault("real node", name, 1)
         real.kill(name)
         await real.processes[name].wait()
         fault.dead_s = self.now() - fault.at
         start = asyncio.ensure_future(real._start(name))
         done, _ = await asyncio.wait([start], timeout=bound)
-        if done and real.answers(name):
+        if done and real.is_up(name):
             fault.back_s = self.now() - fault.at
         else:
             start.cancel()
@@ -269,27 +294,31 @@
     # ---- the end
 
     async def _close(self) -> None:
-        m = self.measured
-        m.seconds = self.now()
-        m.missing = self.real.missing() + [r.name for r in self.racks if r.wanted and not r.alive]
-        m.late = {r.name: r.last.late for r in self.racks if r.last is not None}
-        m.late |= {"run": self.heartbeat.stats, "rig": LatenessStats(worst_ms=self.real.late)}
+        measured = self.measured
+        measured.seconds = self.now()
+        measured.missing = self.real.missing() + [
+            rack.name for rack in self.racks if rack.expected_alive and not rack.alive
+        ]
+        measured.late = {
+            rack.name: rack.last_sample.late for rack in self.racks if rack.last_sample is not None
+        }
+        measured.late |= {"run": self.heartbeat.stats, "rig": LatenessStats(worst_ms=self.real.late)}
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for process in [*self.racks, *([self.lists] if self.lists is not None else [])]:
+        for process in [*self.racks, *([self.discovery] if self.discovery is not None else [])]:
             await process.kill()
         await self.real._close()
-        self.places.close()
+        self.addresses.close()
 
-    def _conclude(self) -> None:
-        m, events = self.measured, self.real.history.sorted()
-        m.readings = self.meter.readings
-        m.tries = sum(e["ev"] == "ask" for e in events)
-        m.answers = dict(Counter(e["what"] for e in events if e["ev"] == "answer"))
-        m.served = m.answers.get("up", 0)
-        m.breaches = [b.line() for b in judge(self.real.scenario, events, CHECKS, SAME_TURN)]
+    def _collect_results(self) -> None:
+        measured, events = self.measured, self.real.history.sorted()
+        measured.readings = self.meter.readings
+        measured.tries = sum(event["ev"] == "ask" for event in events)
+        measured.answers = dict(Counter(event["what"] for event in events if event["ev"] == "answer"))
+        measured.served = measured.answers.get("up", 0)
+        measured.breaches = [breach.line() for breach in judge(self.real.scenario, events, CHECKS, SAME_TURN)]
 
 
-def _tail(path: Path) -> str:
+def _log_tail(path: Path) -> str:
     return path.read_bytes()[-300:].decode("utf-8", "replace") if path.exists() else ""
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -1,8 +1,8 @@
-"""A process of many hollow nodes: the service of `caperdeck serve` without the front for clients.
+"""A process of many stub nodes: the service of `caperdeck serve` without the protocol front end for clients.
 
-Each node has its own service object, datagram socket, second address and watch on discovery, as a `serve`
-process with --sharing and --owners has; docs/scale.md lists what is left out. The process is told its plan by
-one line on its standard input and ends with it.
+Each node has its own service object, datagram socket, admin address and discovery watch, as a `serve` process
+with --sharing and --owners has; docs/scale.md lists what is left out. The process reads its plan as one line
+from standard input and ends when its input is closed.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 import psutil
 from twisted.internet import stdio
 
+from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
-from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.config import Config, decode_config
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
@@ -32,16 +32,16 @@
 from caperdeck.state.addresses import parse_address
 
 from .heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor
-from .plan import Order, Plan, Sample
+from .plan import Command, Plan, Sample
 from .traffic import Traffic, count_received_datagrams, count_traffic
 
 reactor = install_reactor()
 
-MOST = 0.9  # of the members
-NO_CLIENTS = "127.0.0.1:9"  # where a hollow node would listen for clients
+CONVERGED_SHARE = 0.9  # share of the members that must be in a state before it counts as known
+UNUSED_CLIENT_ADDRESS = "127.0.0.1:9"  # required by the configuration; a stub node does not listen there
 
 
-class CountedFront(Front):
+class CountingAdminServer(Front):
     def __init__(self, reactor: Any, calls: Any, traffic: Traffic) -> None:
         super().__init__(reactor, calls)
         self.traffic = traffic
@@ -51,13 +51,13 @@
         super().came(caller)
 
 
-class HollowNode(Service):
-    """A service that takes no clients, minds no signals and leaves its process's log alone."""
+class StubNode(Service):
+    """A service without clients and signal handlers that leaves the log of its process unchanged."""
 
     def start_control(self, traffic: Traffic) -> None:
         self.know(self.config.known)
         self.discovery.start()
-        CountedFront(self.reactor, self.calls, traffic).listen(self.config.admin)
+        CountingAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
         self.keep_sweeping()
         self.takes = True
         self.join()
@@ -65,120 +65,127 @@
             count_received_datagrams(traffic, self.peers)
 
     def accept(self, on: bool) -> None:
-        """There is no port for clients."""
+        """Does nothing: there is no port for clients."""
 
     def exit(self, code: int = 0) -> None:
-        """The process ends as a whole."""
+        """Does nothing: the nodes of a process end together with it."""
 
 
-def knows(states: list[MemberState], members: int) -> float:
-    """The share of the members that a view has as alive."""
+def alive_share(states: list[MemberState], members: int) -> float:
+    """The share of the members that are alive in one node's membership view."""
     return states.count(MemberState.ALIVE) / members
 
 
-def holds_dead(swim: Any, watched: list[int]) -> bool:
-    """Whether 9 in 10 of the watched members that the view ever knew are silent in it."""
-    seen, silent = [i for i in watched if swim.life[i]], MemberState.SILENT
-    return bool(seen) and sum(swim.state[i] is silent for i in seen) >= MOST * len(seen)
+def sees_silent(swim: Any, watched: list[int]) -> bool:
+    """Whether 9 in 10 of the watched members that the node has ever known are silent in its view."""
+    known, silent = [i for i in watched if swim.life[i]], MemberState.SILENT
+    return bool(known) and sum(swim.state[i] is silent for i in known) >= CONVERGED_SHARE * len(known)
 
 
-def holds_alive(swim: Any, lives: dict[int, int]) -> bool:
-    """Whether 9 in 10 of the watched members are alive in another life than the one given."""
+def sees_restarted(swim: Any, incarnations: dict[int, int]) -> bool:
+    """Whether 9 in 10 of the watched members are alive with a later incarnation than the given one."""
     alive = MemberState.ALIVE
-    back = sum(swim.state[i] is alive and swim.life[i] > life for i, life in lives.items())
-    return bool(lives) and back >= MOST * len(lives)
+    restarted = sum(
+        swim.state[i] is alive and swim.life[i] > incarnation for i, incarnation in incarnations.items()
+    )
+    return bool(incarnations) and restarted >= CONVERGED_SHARE * len(incarnations)
 
 
 def limit_gc_to_new_objects() -> None:
-    """Lets the collector look at what is made after this call only.
+    """Enables the garbage collector for objects that are created after this call.
 
-    It walks all nodes of the process in one go otherwise, a pause that no node with a process of its own has.
+    It would otherwise traverse all nodes of the process at once, a pause that a node in its own process does
+    not have.
     """
     gc.freeze()
     gc.enable()
 
 
-class HollowProcess:
+class StubProcess:
+    """Creates the nodes of a plan one after another, and writes samples of their state at intervals."""
+
     def __init__(self, plan: Plan, traffic: Traffic, write: Any) -> None:
         self.plan, self.traffic, self.write = plan, traffic, write
         self.scenario: Scenario = decode(plan.scenario)
         self.sink = start_logging("ERROR")
-        self.nodes: list[HollowNode] = []
+        self.nodes: list[StubNode] = []
         self.watched: list[int] = []
-        self.lives: list[dict[int, int]] = []  # by node: of the members that are watched, as it knew them
+        self.incarnations: list[dict[int, int]] = []  # by node: of the watched members, when the watch began
         self.heartbeat = HeartbeatMonitor(plan.beat_ms)
         self.base_uss = psutil.Process().memory_full_info().uss
         self.made_s = 0.0
         self.encode = msgspec.json.Encoder().encode
         owners = OwnerEndpoints(plan.cluster, tuple(parse_address(a) for a in plan.instances))
-        # what `serve` is given by its flags, by keyword; another part of control is one more row
-        self.flags: dict[str, Any] = {
+        # Keyword arguments of Service that `serve` sets from its flags.
+        self.service_options: dict[str, Any] = {
             "uses": SharingFeatures(**dict.fromkeys(plan.sharing, True)),
             "owners": owners,
         }
 
     def start(self) -> None:
-        # Danger: the collector would walk all nodes made so far again and again while more are made.
+        # The garbage collector would traverse all existing nodes again and again while more are created.
         gc.disable()
-        reactor.callLater(0, self.start_next)
-        reactor.callLater(self.plan.sample, self.tell)
+        reactor.callLater(0, self.start_next_node)
+        reactor.callLater(self.plan.sample, self.send_sample)
 
-    def start_next(self) -> None:
-        began, i = time.process_time(), len(self.nodes)
-        config = self.config(self.plan.numbers[i], self.plan.addresses[i])
-        node = HollowNode(reactor, config, self.sink, lambda: config, **self.flags)
+    def start_next_node(self) -> None:
+        cpu_before, index = time.process_time(), len(self.nodes)
+        config = self.config(self.plan.numbers[index], self.plan.addresses[index])
+        node = StubNode(reactor, config, self.sink, lambda: config, **self.service_options)
         node.start_control(self.traffic)
         self.nodes.append(node)
-        self.made_s += time.process_time() - began
+        self.made_s += time.process_time() - cpu_before
         if self.ready:
             limit_gc_to_new_objects()
             self.heartbeat.reset(time.monotonic())
-            self.beat()
+            self.record_heartbeat()
         else:
-            reactor.callLater(0, self.start_next)
+            reactor.callLater(0, self.start_next_node)
 
     @property
     def ready(self) -> bool:
+        """Whether all nodes are started."""
         return len(self.nodes) == len(self.plan.numbers)
 
     def config(self, number: int, address: str) -> Config:
+        """The configuration of one node, as a `serve` process would read it from its file."""
         plan = self.plan
         raw = node_config(
-            self.scenario, f"n{number}", NO_CLIENTS, plan.discovery, plan.life, plan.seed, (), "", address,
-            settings={"fleetSize": len(plan.peers)}, admin=address,
+            self.scenario, f"n{number}", UNUSED_CLIENT_ADDRESS, plan.discovery, plan.life, plan.seed, (), "",
+            address, settings={"fleetSize": len(plan.peers)}, admin=address,
         )  # fmt: skip
         config = decode_config(raw)
-        # a process reads its own list of peers; here each node's is taken apart on its own all the same
+        # Each node parses the peer addresses itself, at the cost that a node in its own process has.
         return replace(config, peers=config.peers._replace(addresses=plan.peers, everyone=None))
 
-    def beat(self) -> None:
+    def record_heartbeat(self) -> None:
         self.heartbeat.record_beat(time.monotonic())
-        reactor.callLater(HEARTBEAT_INTERVAL_S, self.beat)
+        reactor.callLater(HEARTBEAT_INTERVAL_S, self.record_heartbeat)
 
-    def views(self) -> list[Any]:
+    def membership_views(self) -> list[Any]:
         return [node.peers.sharing.swim for node in self.nodes if node.peers is not None]
 
-    def order(self, order: Order) -> None:
-        if order.zero_beats:
+    def handle_command(self, command: Command) -> None:
+        if command.zero_beats:
             self.heartbeat.reset(time.monotonic())
-        if order.watch is not None:
-            self.watched = order.watch
-            self.lives = [{i: swim.life[i] for i in order.watch} for swim in self.views()]
+        if command.watch is not None:
+            self.watched = command.watch
+            self.incarnations = [{i: swim.life[i] for i in command.watch} for swim in self.membership_views()]
 
-    def tell(self) -> None:
-        reactor.callLater(self.plan.sample, self.tell)
+    def send_sample(self) -> None:
+        reactor.callLater(self.plan.sample, self.send_sample)
         self.write(self.encode(self.sample()) + b"\n")
 
     def sample(self) -> Sample:
-        views = self.views()
-        shares = [knows(swim.state, swim.members) for swim in views]
-        watched, lives = self.watched, self.lives
+        views = self.membership_views()
+        shares = [alive_share(swim.state, swim.members) for swim in views]
+        watched, incarnations = self.watched, self.incarnations
         return Sample(
-            nodes=len(views), ready=self.ready, know_most=sum(share >= MOST for share in shares),
+            nodes=len(views), ready=self.ready, know_most=sum(share >= CONVERGED_SHARE for share in shares),
             known=sum(shares) / max(len(shares), 1),
             told=sum(node.owned.target.epoch > 0 for node in self.nodes),
-            watched_dead=sum(holds_dead(swim, watched) for swim in views),
-            watched_alive=sum(map(holds_alive, views, lives)),
+            watched_dead=sum(sees_silent(swim, watched) for swim in views),
+            watched_alive=sum(map(sees_restarted, views, incarnations)),
             cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.heartbeat.stats,
             made_s=self.made_s,
         )  # fmt: skip
@@ -189,9 +196,9 @@
     traffic = count_traffic()
 
     def begin(plan: Plan, write: Write) -> TakeOrder:
-        process = HollowProcess(plan, traffic, write)
+        process = StubProcess(plan, traffic, write)
         process.start()
-        return lambda line: process.order(msgspec.json.decode(line, type=Order))
+        return lambda line: process.handle_command(msgspec.json.decode(line, type=Command))
 
     stdio.StandardIO(PlanReader(Plan, begin))
     reactor.run(installSignalHandlers=False)
--- a/caperdeck/lab/scale/traffic.py
+++ b/caperdeck/lab/scale/traffic.py
@@ -1,4 +1,4 @@
-"""Counts what a process reads from and writes to its sockets: payload bytes, without headers."""
+"""Counts the payload bytes, without headers, that a process reads from and writes to its sockets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Traffic(msgspec.Struct):
-    """Since the start of the process."""
+    """Counters since the start of the process."""
 
     datagrams_in: int = 0
     datagrams_out: int = 0
@@ -21,7 +21,10 @@
 
 
 def count_traffic() -> Traffic:
-    """Counts from now on, over all sockets of the process that Twisted reads and writes."""
+    """Starts counters for all sockets of the process that Twisted reads and writes.
+
+    Twisted has no hook for received datagrams; `count_received_datagrams` counts them for one protocol.
+    """
     traffic = Traffic()
     _count_datagrams(traffic)
     _count_streams(traffic)
@@ -31,23 +34,23 @@
 def _count_datagrams(traffic: Traffic) -> None:
     write = udp.Port.write
 
-    def counted(port: Any, data: bytes, address: Any = None) -> Any:
+    def counting_write(port: Any, data: bytes, address: Any = None) -> Any:
         traffic.datagrams_out += 1
         traffic.datagram_bytes_out += len(data)
         return write(port, data, address)
 
-    udp.Port.write = counted
+    udp.Port.write = counting_write
 
 
 def _count_streams(traffic: Traffic) -> None:
-    received, written = tcp.Connection._dataReceived, tcp.Connection.writeSomeData
+    receive, write = tcp.Connection._dataReceived, tcp.Connection.writeSomeData
 
     def count_received(connection: Any, data: bytes) -> Any:
         traffic.stream_bytes_in += len(data)
-        return received(connection, data)
+        return receive(connection, data)
 
     def count_written(connection: Any, data: bytes) -> Any:
-        size = written(connection, data)
+        size = write(connection, data)
         if isinstance(size, int) and size > 0:
             traffic.stream_bytes_out += size
         return size
@@ -56,12 +59,12 @@
 
 
 def count_received_datagrams(traffic: Traffic, protocol: Any) -> None:
-    """Of one protocol; the library reads them in a loop that has no hook."""
-    take = protocol.datagramReceived
+    """Counts the datagrams of one protocol; Twisted reads them in a loop without a hook."""
+    receive = protocol.datagramReceived
 
-    def counted(data: bytes, address: Any) -> None:
+    def counting_receive(data: bytes, address: Any) -> None:
         traffic.datagrams_in += 1
         traffic.datagram_bytes_in += len(data)
-        take(data, address)
+        receive(data, address)
 
-    protocol.datagramReceived = counted
+    protocol.datagramReceived = counting_receive
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -15,20 +15,26 @@
 
 from caperdeck.lab.cli import InterruptedRunError
 from caperdeck.lab.scale import checks
-from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor, LatenessStats
 from caperdeck.lab.scale.checks import Verdict, judge
-from caperdeck.lab.scale.stub_nodes import limit_gc_to_new_objects, holds_alive, holds_dead, knows
-from caperdeck.lab.scale.instances import Agreement, told_nodes
-from caperdeck.lab.scale.measure import BYTES_PER_MB, cores_used, machine_cores, machine_times, node_cost
+from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor, LatenessStats
+from caperdeck.lab.scale.instances import OwnershipTracker, configured_nodes
+from caperdeck.lab.scale.measure import (
+    BYTES_PER_MB,
+    cores_by_role,
+    machine_cores_used,
+    machine_cpu_times,
+    node_cost,
+)
 from caperdeck.lab.scale.measured import Cost, Fault, Measured, NodeCost, Reading, RoleUse, View
-from caperdeck.lab.scale.places import Places
+from caperdeck.lab.scale.places import LoopbackAddresses
 from caperdeck.lab.scale.plan import Sample
 from caperdeck.lab.scale.progress import Progress
-from caperdeck.lab.scale.real_nodes import RealPart
+from caperdeck.lab.scale.real_nodes import RealNodeFleet
 from caperdeck.lab.scale.result import conclude, is_result, read, write
 from caperdeck.lab.scale.run import ScaleRun
 from caperdeck.lab.scale.scenario import decode, load
-from caperdeck.lab.scale.table import lines
+from caperdeck.lab.scale.stub_nodes import alive_share, limit_gc_to_new_objects, sees_restarted, sees_silent
+from caperdeck.lab.scale.table import result_lines
 from caperdeck.lab.scale.traffic import Traffic
 from caperdeck.lab.scenario import ScenarioError
 from caperdeck.owner.config import MAX_NODES, WORKS
@@ -88,7 +94,7 @@
     assert (target.machines, target.instances) == (730, 7)
     assert target.members == target.target_nodes == 730 * target.processes_a_machine == 3650
     assert f"A machine must run **{target.processes_a_machine}** node processes." in CAPACITY.read_text()
-    assert (small.hollow_nodes, small.real.nodes, small.instances) == (90, 3, 3)
+    assert (small.stub_node_count, small.real.nodes, small.instances) == (90, 3, 3)
     assert (small.budget, small.limits) == (target.budget, target.limits)
     assert (target.limits.processes, target.limits.memory_mb) == (200, 12 * 1024)
     # what it waits for leaves half of the half minute that CI has to start processes
@@ -99,7 +105,7 @@
 @pytest.mark.parametrize(("nodes", "path"), PARTS.items())
 def test_a_part_of_the_target_is_held_to_what_the_whole_is(nodes, path):
     part, target = load(str(path)), load(str(TARGET))
-    assert (part.hollow_nodes, part.real.nodes, part.instances) == (nodes, 3, 7)
+    assert (part.stub_node_count, part.real.nodes, part.instances) == (nodes, 3, 7)
     assert part.target_nodes == target.target_nodes
     assert (part.budget, part.limits, part.lateness) == (target.budget, target.limits, target.lateness)
     assert (part.sharing, part.real, part.bounds.owner) == (target.sharing, target.real, target.bounds.owner)
@@ -107,7 +113,7 @@
 
 def test_the_command_line_sets_nodes_processes_and_the_steady_span():
     scenario = load(str(SMALL), nodes=50, processes=4, seconds=9)
-    assert (scenario.hollow_nodes, len(scenario.racks()), scenario.spans.steady) == (50, 4, 9.0)
+    assert (scenario.stub_node_count, len(scenario.racks()), scenario.spans.steady) == (50, 4, 9.0)
 
 
 def test_hollow_nodes_have_the_numbers_after_the_real_ones_and_an_address_each():
@@ -115,9 +121,9 @@
     racks = scenario.racks()
     assert sorted(n for rack in racks for n in rack) == list(range(3, 40))
     assert max(map(len, racks)) - min(map(len, racks)) <= 1
-    places = Places()
+    places = LoopbackAddresses()
     try:
-        addresses = places.of_racks(racks)
+        addresses = places.node_addresses(racks)
     finally:
         places.close()
     assert len(set(addresses.values())) == 37 and all(a.startswith("127.") for a in addresses.values())
@@ -128,16 +134,16 @@
 
 def test_a_view_counts_what_it_knows_as_alive_as_silent_and_as_back():
     swim = Swim(0, 10, 1, 1, 0.0)
-    assert knows(swim.state, 10) == 0.1 and not holds_dead(swim, [1, 2])
+    assert alive_share(swim.state, 10) == 0.1 and not sees_silent(swim, [1, 2])
     for i in range(1, 10):
         swim.state[i], swim.life[i] = MemberState.ALIVE, 5
-    assert knows(swim.state, 10) == 1.0 and not holds_dead(swim, [1, 2])
+    assert alive_share(swim.state, 10) == 1.0 and not sees_silent(swim, [1, 2])
     swim.state[1] = swim.state[2] = MemberState.SILENT
-    assert holds_dead(swim, [1, 2]) and not holds_dead(swim, [1, 2, 3])
+    assert sees_silent(swim, [1, 2]) and not sees_silent(swim, [1, 2, 3])
     # one that was never seen to go is not back
-    assert not holds_alive(swim, {3: 5}) and not holds_alive(swim, {})
+    assert not sees_restarted(swim, {3: 5}) and not sees_restarted(swim, {})
     swim.state[1], swim.life[1] = MemberState.ALIVE, 6
-    assert holds_alive(swim, {1: 5})
+    assert sees_restarted(swim, {1: 5})
 
 
 def test_the_collector_leaves_out_what_was_made_before_it_was_let_on():
@@ -163,21 +169,21 @@
 
 
 def test_owners_are_agreed_again_once_another_leads_and_holds_all_the_work():
-    agreement = Agreement()
-    agreement.take({"ev": "leader", "who": "o0", "leader": "o0"})
-    agreement.take({"ev": "leader", "who": "o1", "leader": "o0"})
+    ownership = OwnershipTracker()
+    ownership.record({"ev": "leader", "who": "o0", "leader": "o0"})
+    ownership.record({"ev": "leader", "who": "o1", "leader": "o0"})
     for work in WORKS:
-        agreement.take({"ev": "held", "who": "o0", "work": work})
-    assert agreement.agreed
-    agreement.forget("o0")
-    assert not agreement.agreed
+        ownership.record({"ev": "held", "who": "o0", "work": work})
+    assert ownership.complete
+    ownership.remove("o0")
+    assert not ownership.complete
     for work in WORKS:
-        agreement.take({"ev": "held", "who": "o2", "work": work})
-    assert not agreement.agreed
-    agreement.take({"ev": "leader", "who": "o2", "leader": "o2"})
-    assert agreement.agreed
-    agreement.take({"ev": "lost", "who": "o2", "work": WORKS[0]})
-    assert not agreement.agreed
+        ownership.record({"ev": "held", "who": "o2", "work": work})
+    assert not ownership.complete
+    ownership.record({"ev": "leader", "who": "o2", "leader": "o2"})
+    assert ownership.complete
+    ownership.record({"ev": "lost", "who": "o2", "work": WORKS[0]})
+    assert not ownership.complete
 
 
 def test_an_instance_takes_all_nodes_of_the_target():
@@ -186,7 +192,7 @@
 
 def test_an_instance_is_told_as_many_nodes_as_its_configuration_takes():
     addresses = {f"n{i}": f"127.0.0.1:{i}" for i in range(MAX_NODES + 1)}
-    assert len(told_nodes(addresses)) == MAX_NODES
+    assert len(configured_nodes(addresses)) == MAX_NODES
 
 
 def test_the_cost_of_a_node_is_the_mean_between_two_samples_of_each_process():
@@ -206,27 +212,27 @@
     def reading(at, **cpu):
         return Reading(at, {role: RoleUse(1, s, 1.0, 1.0) for role, s in cpu.items()})
 
-    used = cores_used(reading(1.0, a=2.0, b=9.0), reading(3.0, a=5.0, b=1.0, c=1.0))
+    used = cores_by_role(reading(1.0, a=2.0, b=9.0), reading(3.0, a=5.0, b=1.0, c=1.0))
     assert used == {"a": 1.5, "b": 0.0}
 
 
 def test_what_others_do_on_the_machine_and_its_host_keeps_is_told_beside_what_the_run_took():
     before = Reading(1.0, {}, machine_cpu_s=100.0, stolen_s=7.0)
     after = Reading(3.0, {}, machine_cpu_s=112.0, stolen_s=8.0)
-    assert machine_cores(before, after) == (6.0, 0.5)
+    assert machine_cores_used(before, after) == (6.0, 0.5)
     m = measured()
     m.cost = msgspec.structs.replace(
         m.cost, cores={"hollow nodes": 2.5, "rig": 1.0}, machine_cores=8, busy_cores=6.0, stolen_cores=0.5
     )
     said = "6.0 of the machine's 8 cores were busy in the steady span, 3.5 by the run; "
-    assert said + "its host kept 0.5 from it" in lines(conclude(scenario(), m))
+    assert said + "its host kept 0.5 from it" in result_lines(conclude(scenario(), m))
 
 
 def test_the_machines_processor_time_goes_on_and_is_less_than_all_its_cores_have():
-    (began, stolen), at = machine_times(), time.monotonic()
+    (began, stolen), at = machine_cpu_times(), time.monotonic()
     while time.monotonic() - at < 0.1:
         pass
-    (spent, kept), span = machine_times(), time.monotonic() - at
+    (spent, kept), span = machine_cpu_times(), time.monotonic() - at
     spent, kept = spent - began, kept - stolen
     # the kernel counts in hundredths of a second, a core each
     assert spent >= 0.0 and kept >= 0.0
@@ -287,7 +293,7 @@
     result = conclude(scenario(), measured())
     assert result.code == 0 and not result.void
     assert {row.verdict for row in result.checks} == {Verdict.HELD}
-    assert lines(result)[-1] == "all checks held"
+    assert result_lines(result)[-1] == "all checks held"
 
 
 BREAKS = [
@@ -333,7 +339,7 @@
     m = measured(**changes)
     assert verdicts(m)[name] is Verdict.GAP
     result = conclude(scenario(), m)
-    assert result.code == 0 and lines(result)[-1] == "all checks held; 1 gaps to what the target needs"
+    assert result.code == 0 and result_lines(result)[-1] == "all checks held; 1 gaps to what the target needs"
 
 
 def test_the_worst_row_is_the_first():
@@ -342,7 +348,7 @@
     assert [row.name for row in rows[:3]] == [
         "processes that ended by themselves", "9 in 10 nodes know 9 in 10", "traffic of control",
     ]  # fmt: skip
-    held = [row.over for row in rows if row.verdict is Verdict.HELD]
+    held = [row.excess for row in rows if row.verdict is Verdict.HELD]
     assert held == sorted(held, reverse=True)
 
 
@@ -351,7 +357,7 @@
     m = measured(breaches=breaches, late={"rack1": LatenessStats(900.0, 3.1, 60.0)})
     result = conclude(scenario(), m)
     assert result.code == VOID and "rack1" in result.void[0]
-    assert lines(result)[-1] == "nothing is said about the nodes"
+    assert result_lines(result)[-1] == "nothing is said about the nodes"
 
 
 @pytest.mark.parametrize(
@@ -417,7 +423,7 @@
             break
     assert done.returncode == 0 and "all checks held" in done.stdout, done.stdout + done.stderr
     m = read(str(out)).measured
-    assert (m.members, m.hollow, m.real, m.instances) == (93, 90, 3, 3)
+    assert (m.members, m.stub_nodes, m.real, m.instances) == (93, 90, 3, 3)
     assert m.cost.node.datagrams_s > 0 and m.cost.node.core_share > 0
     # owners keep their connections; by one for each act it was over one a second
     assert 0 <= m.cost.node.connections_s < 0.1
@@ -429,16 +435,16 @@
 
 def test_an_interrupt_beside_the_steps_ends_the_run_at_once(monkeypatch):
     async def endless(run):
-        run._every(HEARTBEAT_INTERVAL_S, run._beat)
+        run._run_every(HEARTBEAT_INTERVAL_S, run._record_heartbeat)
         await asyncio.Event().wait()
 
     async def interrupted(run):
         raise InterruptedRunError
 
-    monkeypatch.setattr(ScaleRun, "_steps", endless)
-    monkeypatch.setattr(ScaleRun, "_beat", interrupted)
+    monkeypatch.setattr(ScaleRun, "_run_steps", endless)
+    monkeypatch.setattr(ScaleRun, "_record_heartbeat", interrupted)
     with pytest.raises(InterruptedRunError):
-        ScaleRun(scenario(), Progress()).play()
+        ScaleRun(scenario(), Progress()).run()
 
 
 class Alive:
@@ -446,8 +452,8 @@
 
 
 def test_a_real_node_that_lives_and_does_not_answer_is_missing():
-    places = Places()
-    real = RealPart(scenario(), places)
+    places = LoopbackAddresses()
+    real = RealNodeFleet(scenario(), places)
     places.close()
     names = real.scenario.node_names() + real.scenario.owner_names()
     for name in names:
@@ -455,11 +461,11 @@
         real.life(name, "up")
     assert real.missing() == []
     real.life("n1", "killed")
-    assert real.missing() == ["n1"] and not real.answers("n1")
-    real.killed["n1"] = 1
+    assert real.missing() == ["n1"] and not real.is_up("n1")
+    real.kill_counts["n1"] = 1
     assert real.missing() == ["n1"]
     real.life("n1", "up")
-    assert real.missing() == [] and real.answers("n1")
+    assert real.missing() == [] and real.is_up("n1")
     real.life("o0", "killed")
     real.life("o0", "up")
     assert real.missing() == ["o0"]
