--- a/caperdeck/lab/capacity/__init__.py
+++ b/caperdeck/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: what the fleet needs at its target size, worked out from measured cost slopes."""
+"""Capacity planning: the resources that the fleet needs at its target size, computed from measured slopes."""
--- a/caperdeck/lab/capacity/command.py
+++ b/caperdeck/lab/capacity/command.py
@@ -1,4 +1,4 @@
-"""`caperdeck lab capacity`: reads a target and a record of slopes, and says what follows."""
+"""`caperdeck lab capacity`: reads a target and a record of slopes, and prints the resulting tables."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from caperdeck.lab.slopes.record import RecordError, read
 
 from . import page, tables
-from .report import report
+from .report import make_report
 from .target import TargetError, load
 
 
 class CapacityError(Exception):
-    """Bad input; the text is one line."""
+    """Invalid input; the message is one line."""
 
 
 def run(
     slopes: str, target: str, json: str | None, page_path: str | None, say: Callable[[str], None]
 ) -> tuple[str, ...]:
-    """Says the tables; returns the names of measurements that the record lacks.
+    """Prints the tables with `say`; returns the names of measurements that the record lacks.
 
-    Raises CapacityError for files that cannot be used, OSError for those that cannot be opened.
+    Raises CapacityError for files with invalid content and OSError for files that cannot be opened.
     """
     try:
-        made = report(load(target), read(slopes))
-        text = tables.markdown(made)
-        page_text = page.rewritten_file(page_path, text) if page_path else ""
+        report = make_report(load(target), read(slopes))
+        text = tables.markdown(report)
+        page_text = page.replace_generated_part_of_file(page_path, text) if page_path else ""
     except (TargetError, RecordError, page.PageError) as error:
         raise CapacityError(str(error)) from None
     if json:
-        encoded = msgspec.json.encode(made, order="deterministic")
+        encoded = msgspec.json.encode(report, order="deterministic")
         Path(json).write_bytes(msgspec.json.format(encoded, indent=1) + b"\n")
     if page_path:
         Path(page_path).write_text(page_text, encoding="utf-8")
     say(text)
-    return made.missing
+    return report.missing
--- a/caperdeck/lab/capacity/faults.py
+++ b/caperdeck/lab/capacity/faults.py
@@ -1,75 +1,87 @@
-"""What each kind of fault costs at the target."""
+"""The cost of each kind of fault at the target size."""
 
 from __future__ import annotations
 
 import msgspec
+from msgspec import field
 
 from .figure import Figure, figure
 from .fleet import Fleet
-from .load import DAY, YEAR, busy, crowd_seconds, process_memory, set_up_cost
-from .roles.reconnect import crowd_of
+from .load import (
+    SECONDS_PER_DAY,
+    SECONDS_PER_YEAR,
+    on_busy_machine,
+    process_memory,
+    seconds_to_reconnect,
+    setup_cost,
+)
+from .roles.reconnect import reconnects_per_process
 
-DAYS_A_YEAR = YEAR / DAY
+DAYS_PER_YEAR = SECONDS_PER_YEAR / SECONDS_PER_DAY
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One kind of fault, each time that it comes."""
+    """One kind of fault, with the costs of one occurrence."""
 
     name: str
-    a_year: Figure  # times
-    back: Figure  # connections that come back, over the fleet
-    crowd: Figure  # of these, at one of the processes that take them
-    rate: Figure  # the crowd a second
-    core_seconds: Figure  # at one process, busy machine, for the crowd
-    until_served: Figure  # seconds, beside the steady load
-    memory: Figure  # bytes of one machine that takes them, at the peak
-    lists: Figure  # files of nodes that have to change
-    found_by: str  # who finds it out
-    found_after: Figure  # seconds
+    per_year: Figure = field(name="a_year")  # occurrences
+    returning_connections: Figure = field(name="back")  # over the whole fleet
+    returning_per_process: Figure = field(name="crowd")  # at one of the processes that accept them
+    returning_per_s: Figure = field(name="rate")  # at that process
+    core_seconds: Figure  # to accept them at that process on a busy machine
+    seconds_until_served: Figure = field(name="until_served")  # while the steady load goes on
+    memory_bytes: Figure = field(name="memory")  # peak of a machine that accepts them
+    files_to_change: Figure = field(name="lists")  # configuration files of nodes
+    detected_by: str = field(name="found_by")
+    detected_after_s: Figure = field(name="found_after")
 
 
 def faults(fleet: Fleet) -> tuple[Fault, ...]:
-    given = fleet.target.faults
+    """All kinds of faults that the target names."""
+    target = fleet.target.faults
     return (
-        _lost(fleet, "a machine fails", given.machines_failing_a_day * DAYS_A_YEAR, figure(1)),
-        _lost(
+        _machines_lost(fleet, "a machine fails", target.machines_failing_a_day * DAYS_PER_YEAR, figure(1)),
+        _machines_lost(
             fleet,
             "a machine is restarted or replaced",
-            given.machines_replaced_a_day * DAYS_A_YEAR,
+            target.machines_replaced_a_day * DAYS_PER_YEAR,
             figure(1),
         ),
-        _lost(fleet, "a rack or a switch", given.racks_a_year, fleet.assumed("rack_machines")),
-        _lost(fleet, "a zone", given.zones_a_year, figure(fleet.zone_machines)),
+        _machines_lost(fleet, "a rack or a switch", target.racks_a_year, fleet.assumed("rack_machines")),
+        _machines_lost(fleet, "a zone", target.zones_a_year, figure(fleet.machines_per_zone)),
         _region_cut(fleet),
     )
 
 
-def _lost(fleet: Fleet, name: str, a_year: float, machines: Figure) -> Fault:
-    """Machines that go: their clients find it out at once, and are shared out over all that are left."""
-    left = fleet.members - machines * fleet.processes
-    crowd = crowd_of(fleet, machines)
+def _machines_lost(fleet: Fleet, name: str, per_year: float, machines: Figure) -> Fault:
+    """Machines are lost: their clients notice it at once and spread over all remaining processes."""
+    remaining = fleet.members - machines * fleet.processes
+    reconnects = reconnects_per_process(fleet, machines)
     return _fault(
         fleet,
         name,
-        a_year,
-        crowd * left,
-        crowd,
+        per_year,
+        reconnects * remaining,
+        reconnects,
         machines,
-        left,
+        remaining,
         "its clients by themselves, other nodes by membership",
         fleet.lines.at("peers.death", fleet.members),
     )
 
 
 def _region_cut(fleet: Fleet) -> Fault:
-    """All nodes live on; what had its host across comes back at the own region, at the nodes it had."""
-    back = fleet.assumed("cross_region_part") * fleet.target.fleet.connections
+    """Two regions are partitioned from each other while all nodes stay alive.
+
+    Connections with a host in the other region reconnect to their node, which places them in its own region.
+    """
+    returning = fleet.assumed("cross_region_part") * fleet.target.fleet.connections
     return _fault(
         fleet,
         "regions lose each other",
         fleet.target.faults.region_cuts_a_year,
-        back,
-        back / fleet.members,
+        returning,
+        returning / fleet.members,
         figure(0),
         figure(0),
         "both sides hold each other dead, by membership",
@@ -80,25 +92,25 @@
 def _fault(
     fleet: Fleet,
     name: str,
-    a_year: float,
-    back: Figure,
-    crowd: Figure,
+    per_year: float,
+    returning: Figure,
+    reconnects: Figure,
     machines: Figure,
-    lists: Figure,
-    found_by: str,
-    found_after: Figure,
+    files_to_change: Figure,
+    detected_by: str,
+    detected_after_s: Figure,
 ) -> Fault:
     load = fleet.load(machines)
     return Fault(
         name,
-        figure(a_year),
-        back,
-        crowd,
-        crowd / fleet.assumed("return_span"),
-        busy(fleet.target, set_up_cost(fleet.target, fleet.lines, crowd) * crowd),
-        crowd_seconds(fleet.target, fleet.lines, load, crowd),
+        figure(per_year),
+        returning,
+        reconnects,
+        reconnects / fleet.assumed("return_span"),
+        on_busy_machine(fleet.target, setup_cost(fleet.target, fleet.lines, reconnects) * reconnects),
+        seconds_to_reconnect(fleet.target, fleet.lines, load, reconnects),
         process_memory(fleet.target, fleet.lines, load.connections) * fleet.processes,
-        lists,
-        found_by,
-        found_after,
+        files_to_change,
+        detected_by,
+        detected_after_s,
     )
--- a/caperdeck/lab/capacity/figure.py
+++ b/caperdeck/lab/capacity/figure.py
@@ -1,4 +1,4 @@
-"""A worked-out amount that knows where it comes from: measurements, assumptions, and how far lines reach."""
+"""Amounts that record their sources: measurements, assumptions, and how far lines are extrapolated."""
 
 from __future__ import annotations
 
@@ -7,33 +7,41 @@
 from enum import Enum
 
 import msgspec
+from msgspec import field
 
 
 class Origin(Enum):
+    """Where an amount comes from, as printed in the tables."""
+
     NOT_MEASURED = "not measured"
-    MEASURED = "measured"  # read off a line inside the measured sizes
+    MEASURED = "measured"  # a point of a line within the measured sizes
     WORKED_OUT = "worked out"
-    ASSUMED = "assumed"  # no measurement is in it, and an assumption is
+    ASSUMED = "assumed"  # depends on an assumption and on no measurement
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """An amount; None where a measurement that it needs is missing. Arithmetic keeps track of the sources."""
+    """An amount with its sources, which arithmetic combines.
+
+    The value is None if a measurement that it depends on is missing.
+    """
 
     value: float | None
-    stretch: float = 0.0  # the size it was read at, over the largest measured size; 0 without any measurement
-    measured: frozenset[str] = frozenset()  # names of measurements in it
-    missing: frozenset[str] = frozenset()  # names of measurements that it needs and the record lacks
-    assumed: frozenset[str] = frozenset()  # fields of the target's table of assumptions in it
-    bent: frozenset[str] = frozenset()  # of the measurements, those that a straight line does not fit
-    computed: bool = False  # the result of arithmetic
+    # Size at which a line was evaluated over its largest measured size; the maximum of all lines, or 0.
+    extrapolation: float = field(default=0.0, name="stretch")
+    measured: frozenset[str] = frozenset()  # names of the measurements it depends on
+    missing: frozenset[str] = frozenset()  # names of measurements it depends on and the record lacks
+    assumed: frozenset[str] = frozenset()  # fields of the target's table of assumptions it depends on
+    # Names of the measurements that a straight line does not fit.
+    nonlinear: frozenset[str] = field(default=frozenset(), name="bent")
+    computed: bool = False  # result of arithmetic
 
     @property
     def origin(self) -> Origin:
         if self.value is None:
             return Origin.NOT_MEASURED
         if self.measured:
-            read_off = not self.computed and self.stretch <= 1
-            return Origin.MEASURED if read_off else Origin.WORKED_OUT
+            interpolated = not self.computed and self.extrapolation <= 1
+            return Origin.MEASURED if interpolated else Origin.WORKED_OUT
         return Origin.ASSUMED if self.assumed else Origin.WORKED_OUT
 
     def __add__(self, other: Figure | float) -> Figure:
@@ -56,12 +64,13 @@
     def __rtruediv__(self, other: float) -> Figure:
         return figure(other) / self
 
-    def settled(self) -> Figure:
-        """The same amount as a given one, where its sources are shown once and not at all that use it."""
+    def as_given(self) -> Figure:
+        """The same amount without its sources, for a value whose sources are printed in their own table."""
         return Figure(self.value, missing=self.missing, computed=True)
 
 
 def figure(value: Figure | float) -> Figure:
+    """A number as a Figure without sources; a Figure is returned unchanged."""
     return value if isinstance(value, Figure) else Figure(float(value))
 
 
@@ -70,26 +79,26 @@
 
 
 def largest(figures: Iterable[Figure]) -> Figure:
-    """The largest amount, with the sources of all; not measured where one of them is not."""
-    first, *rest = figures
-    for each in rest:
-        first = _combine(first, each, max)
-    return first
+    """The largest amount with the sources of all; without a value if one of them has none."""
+    result, *rest = figures
+    for other in rest:
+        result = _combine(result, other, max)
+    return result
 
 
 def _divide(a: float, b: float) -> float:
     return a / b if b > 0 else math.inf
 
 
-def _combine(one: Figure, other: Figure | float, operation) -> Figure:
-    other = figure(other)
-    missing = one.missing | other.missing
+def _combine(left: Figure, right: Figure | float, operation) -> Figure:
+    right = figure(right)
+    missing = left.missing | right.missing
     return Figure(
-        None if one.value is None or other.value is None else operation(one.value, other.value),
-        max(one.stretch, other.stretch),
-        one.measured | other.measured,
+        None if left.value is None or right.value is None else operation(left.value, right.value),
+        max(left.extrapolation, right.extrapolation),
+        left.measured | right.measured,
         missing,
-        one.assumed | other.assumed,
-        one.bent | other.bent,
+        left.assumed | right.assumed,
+        left.nonlinear | right.nonlinear,
         computed=True,
     )
--- a/caperdeck/lab/capacity/fleet.py
+++ b/caperdeck/lab/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet at its target: the target, the measured lines, and the number of processes that follows."""
+"""The fleet at its target size: the target, the measured lines, and the number of processes that results."""
 
 from __future__ import annotations
 
@@ -7,51 +7,52 @@
 from caperdeck.lab.slopes.record import Record
 
 from .figure import Figure, figure
-from .lines import Lines, assume
-from .load import Load, load_of, zone_machines
-from .sizing import Sizing, settled, size
+from .lines import CostLines, assumption
+from .load import Load, machines_per_zone, process_load
+from .sizing import Sizing, machine_processes, size_machine
 from .target import Target
 
 
 class Fleet:
-    """What the roles' arithmetic starts from."""
+    """The inputs for the computations of all roles."""
 
     def __init__(self, target: Target, record: Record) -> None:
         self.target = target
-        self.lines = Lines(record)
-        self.sizing: Sizing = size(target, self.lines)
-        self.processes = settled(self.sizing)  # a machine
-        self.members: Figure = self.processes * target.fleet.machines  # node processes
+        self.lines = CostLines(record)
+        self.sizing: Sizing = size_machine(target, self.lines)
+        self.processes = machine_processes(self.sizing)  # on each machine
+        self.members: Figure = self.processes * target.fleet.machines  # all node processes
 
     def assumed(self, name: str) -> Figure:
-        return assume(self.target.assumed, name)
+        """A field of the target's table of assumptions."""
+        return assumption(self.target.assumed, name)
 
     def load(self, machines_lost: Figure | float = 0) -> Load:
-        """Of one process, while some machines are lost."""
-        return load_of(self.target, self.processes, machines_lost)
+        """The load of one process while some machines are lost."""
+        return process_load(self.target, self.processes, machines_lost)
 
     @property
-    def zone_machines(self) -> float:
-        return zone_machines(self.target)
+    def machines_per_zone(self) -> float:
+        return machines_per_zone(self.target)
 
     @property
-    def control(self) -> ControlShare:
+    def control_budget(self) -> ControlBudget:
         control = self.target.control
-        return ControlShare(
+        return ControlBudget(
             control.core_part / self.processes,
             control.memory / self.processes,
             control.bytes_per_second / self.processes,
         )
 
     @property
-    def delay_bound(self) -> Figure:
-        """Seconds of a delivery's time that may pass at a node."""
+    def delay_bound_s(self) -> Figure:
+        """Seconds that a delivery may spend at a node."""
         return self.assumed("delay_part") * figure(self.target.deliveries.within)
 
 
-class ControlShare(msgspec.Struct, frozen=True):
-    """What one process may spend on control: its part of its machine's."""
+class ControlBudget(msgspec.Struct, frozen=True):
+    """The limits of one process for control: its share of the limits of its machine."""
 
-    core_part: Figure
-    memory: Figure
+    core_share: Figure
+    memory: Figure  # bytes
     bytes_per_second: Figure
--- a/caperdeck/lab/capacity/lines.py
+++ b/caperdeck/lab/capacity/lines.py
@@ -1,4 +1,4 @@
-"""The measured lines, read as figures; a measurement that the record lacks gives a figure without a value."""
+"""Evaluates the measured lines as figures; a missing measurement gives a figure without a value."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from .figure import Figure, figure
 from .target import PERCENTILES, Assumed, Target
 
-SHORT_LINE, LONG_LINE = 100, 1000  # bytes of the lines in the measured deliveries
+SHORT_LINE_BYTES, LONG_LINE_BYTES = 100, 1000  # lengths of the text lines in the measured deliveries
 
-NAMES = (
+MEASUREMENT_NAMES = (
     "node.memory_own", "node.memory_kernel", "node.set_up", "node.idle", "node.end",
     "node.delivery_100", "node.delivery_1000",
     "node.delivery_p50_100", "node.delivery_p99_100", "node.delivery_p999_100",
@@ -30,11 +30,11 @@
     "distribution.instance_version_cpu_by_size", "distribution.subscribe_cpu",
     "distribution.commit_cpu", "distribution.history_memory",
 )  # fmt: skip
-"""Every measurement that the tables rest on."""
+"""Every measurement that the tables depend on."""
 
 
-class Lines:
-    """The lines of one record."""
+class CostLines:
+    """The fitted lines of one record: each gives a cost as a function of a size."""
 
     def __init__(self, record: Record) -> None:
         self.record = record
@@ -47,38 +47,38 @@
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """The names that the tables rest on and the record lacks."""
-        return tuple(name for name in NAMES if self.find(name) is None)
+        """Names of the measurements that the tables depend on and the record lacks."""
+        return tuple(name for name in MEASUREMENT_NAMES if self.find(name) is None)
 
     def at(self, name: str, size: Figure | float) -> Figure:
-        """The cost at a size, in the unit of the measurement; never under 0, where a line goes below it.
+        """The cost at a size, in the unit of the measurement; 0 where the line is negative.
 
-        A line that falls is not followed past the measured sizes: the cost at the largest counts.
+        A falling line is not extrapolated past the measured sizes: there the cost at the largest size counts.
         """
-        return self._read(name, size, _cost)
+        return self._evaluate(name, size, _cost)
 
-    def up_to(self, name: str, size: Figure | float) -> Figure:
-        """The cost at the least measured size that is no smaller; past all of them, that of the line."""
-        found, read = self.find(name), self.at(name, size)
-        if read.value is None or found is None or read.stretch > 1:
-            return read
+    def at_next_measured(self, name: str, size: Figure | float) -> Figure:
+        """The cost measured at the next size that is not smaller; past the largest size, that of the line."""
+        found, on_line = self.find(name), self.at(name, size)
+        if on_line.value is None or found is None or on_line.extrapolation > 1:
+            return on_line
         points = [point for point in found.points if point.size >= figure(size).value]
         cost = min(points, key=lambda point: point.size).cost
-        return msgspec.structs.replace(read, value=cost, bent=figure(size).bent)
+        return msgspec.structs.replace(on_line, value=cost, nonlinear=figure(size).nonlinear)
 
     def share_at(self, name: str, size: Figure | float) -> Figure:
-        """The same of a part of a whole: never over 1 either."""
-        return self._read(name, size, lambda found, value: min(_cost(found, value), 1.0))
+        """Like `at`, for a measurement that is a share: at most 1."""
+        return self._evaluate(name, size, lambda found, value: min(_cost(found, value), 1.0))
 
-    def each(self, name: str, size: Figure | float) -> Figure:
-        """The cost of one more, up to a size; never under 0."""
-        return self._read(name, size, lambda found, value: max(found.line.slope, 0.0))
+    def per_unit(self, name: str, size: Figure | float) -> Figure:
+        """The marginal cost of one unit at sizes up to `size`; at least 0."""
+        return self._evaluate(name, size, lambda found, value: max(found.line.slope, 0.0))
 
     def fixed(self, name: str) -> Figure:
-        """The cost at size 0; never under 0."""
-        return self._read(name, 0.0, lambda found, value: max(found.line.fixed, 0.0))
+        """The cost at size 0; at least 0."""
+        return self._evaluate(name, 0.0, lambda found, value: max(found.line.fixed, 0.0))
 
-    def _read(self, name: str, size: Figure | float, cost) -> Figure:
+    def _evaluate(self, name: str, size: Figure | float, cost) -> Figure:
         size, found = figure(size), self.find(name)
         if found is None:
             return Figure(None, missing=size.missing | {name}, assumed=size.assumed)
@@ -86,11 +86,11 @@
             return Figure(None, missing=size.missing, measured=frozenset({name}), assumed=size.assumed)
         return Figure(
             cost(found, size.value),
-            max(size.value / largest_size(found), size.stretch),
+            max(size.value / largest_size(found), size.extrapolation),
             size.measured | {name},
             size.missing,
             size.assumed,
-            size.bent if found.line.fits else size.bent | {name},
+            size.nonlinear if found.line.fits else size.nonlinear | {name},
         )
 
 
@@ -104,23 +104,23 @@
     return max(point.size for point in measurement.points)
 
 
-def assume(assumed: Assumed, name: str) -> Figure:
+def assumption(assumed: Assumed, name: str) -> Figure:
     """A field of the table of assumptions."""
     return Figure(float(getattr(assumed, name)), assumed=frozenset({name}))
 
 
-def line_cost(lines: Lines, assumed: Assumed, rate: Figure | float) -> Figure:
-    """Processor seconds of one line at a rate a second, interpolated between the two measured lengths."""
-    part = (assumed.line_bytes - SHORT_LINE) / (LONG_LINE - SHORT_LINE)
-    short, long = lines.each("node.delivery_100", rate), lines.each("node.delivery_1000", rate)
+def line_cost(lines: CostLines, assumed: Assumed, rate: Figure | float) -> Figure:
+    """Processor seconds of one text line at a rate per second, interpolated between the measured lengths."""
+    part = (assumed.line_bytes - SHORT_LINE_BYTES) / (LONG_LINE_BYTES - SHORT_LINE_BYTES)
+    short, long = lines.per_unit("node.delivery_100", rate), lines.per_unit("node.delivery_1000", rate)
     weight = Figure(part, assumed=frozenset({"line_bytes"}))
     if part == 0:
         return short
     return long if part == 1 else short * (1 - weight) + long * weight
 
 
-def delay_name(target: Target) -> str:
-    """The measured delay for the target's part of all deliveries, at the length nearer to the assumed one."""
-    longer = target.assumed.line_bytes > (SHORT_LINE + LONG_LINE) / 2
+def delay_measurement(target: Target) -> str:
+    """Name of the delay measurement for the target's percentile, at the length nearer to the assumed one."""
+    longer = target.assumed.line_bytes > (SHORT_LINE_BYTES + LONG_LINE_BYTES) / 2
     percentile = PERCENTILES[target.deliveries.part_within]
-    return f"node.delivery_{percentile}_{LONG_LINE if longer else SHORT_LINE}"
+    return f"node.delivery_{percentile}_{LONG_LINE_BYTES if longer else SHORT_LINE_BYTES}"
--- a/caperdeck/lab/capacity/needs.py
+++ b/caperdeck/lab/capacity/needs.py
@@ -1,6 +1,6 @@
-"""What the target needs, the mechanism that carries each need today, and what other needs stand on it.
+"""The needs of the target, the mechanism that meets each need today, and the dependencies among them.
 
-The mechanisms are facts of this repository's code; what stands on what is a judgement, not a measurement.
+The mechanisms are facts about this repository's code. The dependencies are a judgement, not a measurement.
 """
 
 from __future__ import annotations
@@ -8,10 +8,12 @@
 from enum import Enum
 from typing import NamedTuple
 
-NOTHING = "none"
+NO_MECHANISM = "none"
 
 
 class Need(Enum):
+    """A need of the target, as printed in the tables."""
+
     DELIVERY = "delivery"
     STANDING = "standing connections"
     RETURN = "returning crowds"
@@ -27,52 +29,54 @@
     CONTROL_BUDGET = "budget of control"
 
 
-class Carrier(NamedTuple):
-    mechanism: str  # NOTHING where nothing carries the need
-    where: str  # in the code, or what is done in its place
-    stands_on: tuple[Need, ...] = ()
+class Mechanism(NamedTuple):
+    """What meets a need."""
+
+    name: str  # NO_MECHANISM if nothing meets the need
+    location: str  # in the code, or what is done instead
+    depends_on: tuple[Need, ...] = ()
 
 
-CARRIERS: dict[Need, Carrier] = {
-    Need.DELIVERY: Carrier("relay of lines in one reactor", "wire/client, wire/host"),
-    Need.STANDING: Carrier("a socket on each side, a session table", "state/sessions"),
-    Need.RETURN: Carrier(
+MECHANISMS: dict[Need, Mechanism] = {
+    Need.DELIVERY: Mechanism("relay of lines in one reactor", "wire/client, wire/host"),
+    Need.STANDING: Mechanism("a socket on each side, a session table", "state/sessions"),
+    Need.RETURN: Mechanism(
         "placement, refusals with a wait",
         "core/decide; each node paces by its own part of the room, nothing paces the fleet",
         (Need.MEMBERSHIP,),
     ),
-    Need.CONFIGURATION: Carrier(
+    Need.CONFIGURATION: Mechanism(
         "a watch at an instance (`--control`; off in `run`)",
         "distribution/, where `serve --control` is given; in `run` a file and a SIGHUP by hand at each "
         "node process",
         (Need.AGREEMENT,),
     ),
-    Need.MEMBER_LIST: Carrier(
-        NOTHING,
+    Need.MEMBER_LIST: Mechanism(
+        NO_MECHANISM,
         "peers stand by number in the file of each node, so a member in another place is a change "
         "at all others, and a version of the configuration may not set them",
         (Need.CONFIGURATION,),
     ),
-    Need.MEMBERSHIP: Carrier("SWIM over datagrams", "peers/swim", (Need.MEMBER_LIST,)),
-    Need.OWNED_WORK: Carrier(
+    Need.MEMBERSHIP: Mechanism("SWIM over datagrams", "peers/swim", (Need.MEMBER_LIST,)),
+    Need.OWNED_WORK: Mechanism(
         "one owner under a lease",
         "leases/runner; asks every node from one process",
         (Need.MEMBER_LIST, Need.AGREEMENT),
     ),
-    Need.AGREEMENT: Carrier("Raft among the instances", "raft/core"),
-    Need.HOST_LIST: Carrier("a watch on discovery at each node process", "wire/discovery"),
-    Need.HOST_FIGURES: Carrier("probes paid by sessions", "core/decide, wire/probe"),
-    Need.TOPICS: Carrier(
-        NOTHING,
+    Need.AGREEMENT: Mechanism("Raft among the instances", "raft/core"),
+    Need.HOST_LIST: Mechanism("a watch on discovery at each node process", "wire/discovery"),
+    Need.HOST_FIGURES: Mechanism("probes paid by sessions", "core/decide, wire/probe"),
+    Need.TOPICS: Mechanism(
+        NO_MECHANISM,
         "a node knows sessions and hosts, no topics and no shards",
         (Need.CONFIGURATION, Need.MEMBERSHIP),
     ),
-    Need.REGIONS: Carrier(
-        NOTHING,
+    Need.REGIONS: Mechanism(
+        NO_MECHANISM,
         "a node knows zones; a cut region is a cut of the one membership and of the one quorum",
         (Need.CONFIGURATION, Need.MEMBERSHIP),
     ),
-    Need.CONTROL_BUDGET: Carrier(
+    Need.CONTROL_BUDGET: Mechanism(
         "each mechanism's own fixed intervals",
         "nothing measures or holds what control spends",
         (Need.MEMBERSHIP, Need.OWNED_WORK),
@@ -80,14 +84,14 @@
 }
 
 
-def standing_on(need: Need) -> frozenset[Need]:
-    """The needs that rest on one, also by way of others."""
-    found: set[Need] = set()
-    waiting = [need]
-    while waiting:
-        below = waiting.pop()
-        for each, carrier in CARRIERS.items():
-            if below in carrier.stands_on and each not in found:
-                found.add(each)
-                waiting.append(each)
-    return frozenset(found)
+def dependents_of(need: Need) -> frozenset[Need]:
+    """The needs that depend on a need, directly or through others."""
+    dependents: set[Need] = set()
+    pending = [need]
+    while pending:
+        dependency = pending.pop()
+        for candidate, mechanism in MECHANISMS.items():
+            if dependency in mechanism.depends_on and candidate not in dependents:
+                dependents.add(candidate)
+                pending.append(candidate)
+    return frozenset(dependents)
--- a/caperdeck/lab/capacity/page.py
+++ b/caperdeck/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The generated part of docs/CAPACITY.md, between two marks."""
+"""Reads and replaces the generated part of docs/CAPACITY.md, which is between two marks."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 
 class PageError(Exception):
-    """The page has not the two marks; the text is one line."""
+    """A page does not have exactly the two marks; the message is one line."""
 
 
-def between(page: str) -> str:
-    """What stands between the marks now."""
-    begin, end = _marks(page)
+def generated_part(page: str) -> str:
+    """The text between the marks."""
+    begin, end = _marker_positions(page)
     return page[begin:end].strip("\n") + "\n"
 
 
-def rewritten(page: str, generated: str) -> str:
-    begin, end = _marks(page)
+def replace_generated_part(page: str, generated: str) -> str:
+    begin, end = _marker_positions(page)
     return f"{page[:begin]}\n\n{generated.strip()}\n\n{page[end:]}"
 
 
-def rewritten_file(path: str, generated: str) -> str:
-    """The text that a page is to have. Raises PageError, and OSError for what cannot be read."""
+def replace_generated_part_of_file(path: str, generated: str) -> str:
+    """The new text of a page, which is not written; raises PageError, or OSError if it cannot be read."""
     try:
-        return rewritten(Path(path).read_text(encoding="utf-8"), generated)
+        return replace_generated_part(Path(path).read_text(encoding="utf-8"), generated)
     except (PageError, UnicodeDecodeError) as error:
         raise PageError(f"{path}: {error}") from None
 
 
-def _marks(page: str) -> tuple[int, int]:
-    """Where the text between the marks begins and ends."""
+def _marker_positions(page: str) -> tuple[int, int]:
+    """The positions at which the text between the marks begins and ends."""
     for mark in (BEGIN, END):
         if page.count(mark) != 1:
-            raise PageError(f"the mark {mark} stands {page.count(mark)} times, not once")
+            raise PageError(f"expected the mark {mark} once, found it {page.count(mark)} times")
     begin, end = page.index(BEGIN) + len(BEGIN), page.index(END)
     if end < begin:
-        raise PageError("the end mark stands before the begin mark")
+        raise PageError("the end mark is before the begin mark")
     return begin, end
--- a/caperdeck/lab/capacity/report.py
+++ b/caperdeck/lab/capacity/report.py
@@ -1,4 +1,4 @@
-"""All that follows from a target and a record, in one typed value."""
+"""All results that follow from a target and a record of measurements, as one value."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
+    """The inputs and all computed tables."""
+
     target: Target
     record: Record
-    missing: tuple[str, ...]  # measurements that the tables rest on and the record lacks
+    missing: tuple[str, ...]  # measurements that the tables depend on and the record lacks
     sizing: Sizing
     roles: tuple[Role, ...]
     faults: tuple[Fault, ...]
@@ -27,16 +29,17 @@
     ranking: tuple[Rank, ...]
 
 
-def report(target: Target, record: Record) -> Report:
+def make_report(target: Target, record: Record) -> Report:
+    """Computes all tables."""
     fleet = Fleet(target, record)
-    made = roles(fleet)
+    computed_roles = roles(fleet)
     return Report(
         target,
         record,
         fleet.lines.missing,
         fleet.sizing,
-        made,
+        computed_roles,
         faults(fleet),
         expectations(fleet),
-        ranking(made),
+        ranking(computed_roles),
     )
--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -6,19 +6,17 @@
 from __future__ import annotations
 
 from caperdeck.distribution.document import MAX_DOCUMENT_BYTES
-from caperdeck.distribution.publisher import BUSY_RETRY_MS, MAX_CONNECTS_PER_SECOND, CONNECT_BURST
-from caperdeck.distribution.subscriber import RECONNECT_SPREAD_MS, PUBLISHER_SILENT_MS
+from caperdeck.distribution.publisher import BUSY_RETRY_MS, CONNECT_BURST, MAX_CONNECTS_PER_SECOND
+from caperdeck.distribution.subscriber import PUBLISHER_SILENT_MS, RECONNECT_SPREAD_MS
 from caperdeck.distribution.watch_server import MAX_WATCHES
 from caperdeck.lifecycle.config import LARGEST
 
 from ..figure import Figure, figure, largest
 from ..fleet import Fleet
-from ..load import MS, busy
+from ..load import MS_PER_S, on_busy_machine
 from ..needs import Need
-from ..row import Kind, Role, Row, row
+from ..row import Kind, Role, Row, make_row
 from ..versions import (
-    most_watches,
-    moved_watches,
     publish_processor,
     version_bytes,
     version_processor,
@@ -27,6 +25,8 @@
     watch_bytes,
     watch_memory,
     watch_processor,
+    watches_per_instance,
+    watches_taken_over,
 )
 
 ONE_REACTOR = 1.0
@@ -52,8 +52,8 @@
     lines, listeners, customers = fleet.lines, fleet.assumed("listeners"), fleet.assumed("customers")
     return (
         lines.at("configuration.apply_by_size", file_bytes(fleet))
-        + lines.each("configuration.apply_by_listeners", listeners) * listeners
-        + lines.each("configuration.apply_by_customers", customers) * customers
+        + lines.per_unit("configuration.apply_by_listeners", listeners) * listeners
+        + lines.per_unit("configuration.apply_by_customers", customers) * customers
     )
 
 
@@ -70,7 +70,7 @@
 def _state(fleet: Fleet) -> list[Row]:
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a version's document",
@@ -79,16 +79,16 @@
             MAX_DOCUMENT_BYTES,
             OWN_LIMIT,
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "watches at one instance",
             "",
-            most_watches(fleet),
+            watches_per_instance(fleet),
             MAX_WATCHES,
             f"{ZONE_WITH_ONE}; {OWN_LIMIT}",
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "versions taken over the fleet, a second at the peak",
@@ -99,43 +99,43 @@
 
 
 def _at_node(fleet: Fleet) -> list[Row]:
-    need, share, rate = Need.CONFIGURATION, fleet.control, version_rate(fleet)
+    need, share, rate = Need.CONFIGURATION, fleet.control_budget, version_rate(fleet)
     watch, version = watch_processor(fleet), version_processor(fleet)
     return [
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "the watch at one process, share of a core",
             "",
             watch,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one process at the mean, share of a core",
             "",
             version * rate.mean,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one process at the peak, share of a core",
             "",
             version * rate.peak,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "one version until it is in force at a process",
             "s",
-            busy(fleet.target, version),
-            fleet.delay_bound,
+            on_busy_machine(fleet.target, version),
+            fleet.delay_bound_s,
             "all threads, one after the other: the reactor serves nobody for most of it",
         ),
-        row(
+        make_row(
             need,
             Kind.MEMORY,
             "the watch and the version in force at one process",
@@ -143,7 +143,7 @@
             watch_memory(fleet),
             share.memory,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes of the watch at one process",
@@ -151,7 +151,7 @@
             watch_bytes(fleet),
             share.bytes_per_second,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes of versions to one process at the mean",
@@ -167,16 +167,20 @@
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     size, publish = version_bytes(fleet), publish_processor(fleet)
     committed = fleet.lines.at("raft.commit_time_by_size", size)
-    in_force = committed + busy(fleet.target, publish) + busy(fleet.target, version_processor(fleet))
+    in_force = (
+        committed
+        + on_busy_machine(fleet.target, publish)
+        + on_busy_machine(fleet.target, version_processor(fleet))
+    )
     return [
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a version to all that watch at one instance, a core's time",
             "s",
             publish,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one instance at the peak, share of a core",
@@ -184,14 +188,14 @@
             publish * rate.peak,
             ONE_REACTOR,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes that one instance sends for a version",
             "B",
-            version_traffic(fleet) * most_watches(fleet),
+            version_traffic(fleet) * watches_per_instance(fleet),
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "a version from its proposal until it is in force at all nodes, no fault",
@@ -205,13 +209,13 @@
 
 def _instance_lost(fleet: Fleet) -> list[Row]:
     """A control machine that falls silent, the only one of its zone."""
-    need, moved = Need.CONFIGURATION, moved_watches(fleet)
-    most = most_watches(fleet)
-    subscriptions = fleet.lines.each("distribution.subscribe_cpu", moved) * moved
+    need, moved = Need.CONFIGURATION, watches_taken_over(fleet)
+    most = watches_per_instance(fleet)
+    subscriptions = fleet.lines.per_unit("distribution.subscribe_cpu", moved) * moved
     refill = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
-    tried = largest([figure(RECONNECT_SPREAD_MS / MS), refill])
+    tried = largest([figure(RECONNECT_SPREAD_MS / MS_PER_S), refill])
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches that move",
@@ -219,7 +223,7 @@
             most,
             note=ZONE_WITH_ONE,
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches at one of its region's others",
@@ -228,19 +232,19 @@
             MAX_WATCHES,
             OWN_LIMIT,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a control machine lost: watches taken up at one of these, a core's time, busy machine",
             "s",
-            busy(fleet.target, subscriptions),
+            on_busy_machine(fleet.target, subscriptions),
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "a control machine lost: until all its nodes watch elsewhere",
             "s",
-            PUBLISHER_SILENT_MS / MS + tried + BUSY_RETRY_MS / MS,
+            PUBLISHER_SILENT_MS / MS_PER_S + tried + BUSY_RETRY_MS / MS_PER_S,
             fleet.target.configuration.within,
             "from the program's bounds: silence, tries spread or connects paced, one refusal with a wait",
         ),
@@ -250,7 +254,7 @@
 def _without_control(fleet: Fleet) -> list[Row]:
     need = Need.CONFIGURATION
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "bytes of one node's file",
@@ -259,16 +263,16 @@
             LARGEST,
             f"{WITHOUT_CONTROL}; {OWN_LIMIT}",
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a file taken: nothing else runs in the reactor so long",
             "s",
-            busy(fleet.target, apply_seconds(fleet)),
-            fleet.delay_bound,
+            on_busy_machine(fleet.target, apply_seconds(fleet)),
+            fleet.delay_bound_s,
             WITHOUT_CONTROL,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one change by hand, one node after another",
@@ -283,14 +287,14 @@
     """A version may not set who is a member."""
     need = Need.MEMBER_LIST
     return [
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "files changed by replaced machines, a day, over the fleet",
             "",
             fleet.members * fleet.target.faults.machines_replaced_a_day,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one replaced machine by hand at all others",
--- a/caperdeck/lab/capacity/roles/control.py
+++ b/caperdeck/lab/capacity/roles/control.py
@@ -6,9 +6,9 @@
 
 from ..figure import Figure, total
 from ..fleet import Fleet
-from ..load import DAY, tick_share
+from ..load import SECONDS_PER_DAY, tick_share
 from ..needs import Need
-from ..row import Kind, Role, Row, row
+from ..row import Kind, Role, Row, make_row
 from ..versions import (
     version_processor,
     version_rate,
@@ -44,17 +44,17 @@
 ) -> list[Row]:
     """A row for each mechanism, over all processes of the machine, and one for the sum."""
     rows = [
-        row(part.need, kind, f"{part.what}, {name}", unit, part.amount * fleet.processes, bound)
+        make_row(part.need, kind, f"{part.what}, {name}", unit, part.amount * fleet.processes, bound)
         for part in parts
     ]
     whole = total(each.amount for each in rows)
-    return [*rows, row(Need.CONTROL_BUDGET, kind, f"all of it, {name}", unit, whole, bound)]
+    return [*rows, make_row(Need.CONTROL_BUDGET, kind, f"all of it, {name}", unit, whole, bound)]
 
 
 def processor(fleet: Fleet) -> tuple[Spent, ...]:
     """Parts of a core."""
     lines, members, hosts = fleet.lines, fleet.members, fleet.assumed("hosts")
-    list_changes = fleet.assumed("hosts_replaced_a_day") / DAY
+    list_changes = fleet.assumed("hosts_replaced_a_day") / SECONDS_PER_DAY
     versions = version_processor(fleet) * version_rate(fleet).mean
     return (
         Spent(Need.MEMBERSHIP, "membership", lines.at("peers.cpu", members)),
@@ -79,7 +79,7 @@
 def sent(fleet: Fleet) -> tuple[Spent, ...]:
     """Bytes a second."""
     lines, members = fleet.lines, fleet.members
-    list_changes = fleet.assumed("hosts_replaced_a_day") / DAY
+    list_changes = fleet.assumed("hosts_replaced_a_day") / SECONDS_PER_DAY
     versions = version_traffic(fleet) * version_rate(fleet).mean
     return (
         Spent(Need.MEMBERSHIP, "membership", lines.at("peers.bytes", members)),
--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -7,13 +7,13 @@
 from caperdeck.leases.census import Census
 from caperdeck.leases.expiry import RENEW_AT_SHARE
 from caperdeck.leases.table import MAX_STATE_LENGTH
-from caperdeck.owner.config import MAX_INSTANCES, MAX_NODES, DEFAULT_SPAN_MS, WORKS
+from caperdeck.owner.config import DEFAULT_SPAN_MS, MAX_INSTANCES, MAX_NODES, WORKS
 
 from ..figure import Figure, figure
 from ..fleet import Fleet
-from ..load import DAY, MS
+from ..load import MS_PER_S, SECONDS_PER_DAY
 from ..needs import Need
-from ..row import Kind, Role, Row, row
+from ..row import Kind, Role, Row, make_row
 from ..versions import instance_memory, instance_processor, instance_traffic, version_bytes, version_rate
 from .configuration import file_changes
 
@@ -30,7 +30,7 @@
 def _owner(fleet: Fleet) -> list[Row]:
     lines, members, need = fleet.lines, fleet.members, Need.OWNED_WORK
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "node processes that one instance may own work at",
@@ -39,7 +39,7 @@
             MAX_NODES,
             "the program's own limit",
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "characters of the census, as agreed on",
@@ -48,15 +48,15 @@
             MAX_STATE_LENGTH,
             "the program's own limit, and its own text for so many nodes",
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "connections to nodes, a second",
             "/s",
             lines.at("owned.connections", members),
         ),
-        row(need, Kind.MESSAGES, "bytes to and from nodes", "B/s", lines.at("owned.bytes", members)),
-        row(
+        make_row(need, Kind.MESSAGES, "bytes to and from nodes", "B/s", lines.at("owned.bytes", members)),
+        make_row(
             need,
             Kind.PROCESSOR,
             "the owner's reactor",
@@ -74,10 +74,10 @@
     followers = (instances - 1) / (MEASURED_INSTANCES - 1)
     entries = entries_a_second(fleet)
     return [
-        row(
+        make_row(
             need, Kind.STATE, "instances that agree", "", instances, MAX_INSTANCES, "the program's own limit"
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "entries agreed on, a second at the peak",
@@ -85,40 +85,40 @@
             entries,
             note="renewals of leases, versions, and replaced members, were they agreed on",
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "the leader's share of a core for them",
             "",
-            lines.each("raft.commit_cpu", entries) * entries * followers,
+            lines.per_unit("raft.commit_cpu", entries) * entries * followers,
             ONE_REACTOR,
             SMALL_ENTRIES,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes that the leader sends for them",
             "B/s",
-            lines.each("raft.commit_bytes", entries) * entries * followers,
+            lines.per_unit("raft.commit_bytes", entries) * entries * followers,
             note=SMALL_ENTRIES,
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "bytes that the leader writes for them",
             "B/s",
-            lines.each("raft.commit_disk", entries) * entries,
+            lines.per_unit("raft.commit_disk", entries) * entries,
             note="small entries",
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one of many entries agreed on, part of the time between two",
             "",
-            lines.each("raft.commit_time", entries) * entries,
+            lines.per_unit("raft.commit_time", entries) * entries,
             1.0,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one entry as large as a version, from question to answer",
@@ -126,7 +126,7 @@
             lines.at("raft.commit_time_by_size", version_bytes(fleet)),
             fleet.target.configuration.within,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "an instance started again, with the census on its disk",
@@ -141,7 +141,7 @@
     """What the distribution of configuration takes of the instance that leads, beside owned work."""
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     return [
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "agreement, watches and versions at the mean, share of a core",
@@ -150,7 +150,7 @@
             ONE_REACTOR,
             LEADS,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "agreement, watches and versions at the peak, share of a core",
@@ -159,7 +159,7 @@
             ONE_REACTOR,
             LEADS,
         ),
-        row(
+        make_row(
             need,
             Kind.MEMORY,
             "the instance with its watches and the versions that it keeps",
@@ -167,14 +167,14 @@
             instance_memory(fleet),
             fleet.assumed("machine_memory"),
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes to and from nodes that watch, at the mean",
             "B/s",
             instance_traffic(fleet, rate.mean),
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes to and from nodes that watch, at the peak",
@@ -186,8 +186,8 @@
 
 def entries_a_second(fleet: Fleet) -> Figure:
     """Renewals of all leases, and changes of configuration at their peak, were they agreed on."""
-    renewals = len(WORKS) * MS / (DEFAULT_SPAN_MS * RENEW_AT_SHARE)
-    return file_changes(fleet) / DAY * fleet.assumed("peak_times") + renewals
+    renewals = len(WORKS) * MS_PER_S / (DEFAULT_SPAN_MS * RENEW_AT_SHARE)
+    return file_changes(fleet) / SECONDS_PER_DAY * fleet.assumed("peak_times") + renewals
 
 
 def census_characters(members: Figure) -> Figure:
--- a/caperdeck/lab/capacity/roles/discovery.py
+++ b/caperdeck/lab/capacity/roles/discovery.py
@@ -7,26 +7,30 @@
 
 from ..figure import Figure
 from ..fleet import Fleet
-from ..load import DAY
+from ..load import SECONDS_PER_DAY
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 WAITS = 2  # spans of back-off that may pass until a watch that fell silent is open again
 
 
 def role(fleet: Fleet) -> Role:
     members, hosts, row_bytes = fleet.members, fleet.assumed("hosts"), fleet.assumed("host_row_bytes")
-    changes = fleet.assumed("hosts_replaced_a_day") / DAY
+    changes = fleet.assumed("hosts_replaced_a_day") / SECONDS_PER_DAY
     calls = members / (UNREACHABLE.max_span_s / 2)
     need = Need.HOST_LIST
     return Role(
         "Discovery",
         (
-            row(need, Kind.STATE, "hosts on the list", "", hosts, MAX_HOSTS, "the program's own limit"),
-            row(need, Kind.STATE, "watches open at the service", "", members),
-            row(need, Kind.MESSAGES, "changes told, a second, over all watches", "/s", members * changes),
-            row(need, Kind.MESSAGES, "whole lists when all nodes start", "B", members * hosts * row_bytes),
-            row(
+            make_row(need, Kind.STATE, "hosts on the list", "", hosts, MAX_HOSTS, "the program's own limit"),
+            make_row(need, Kind.STATE, "watches open at the service", "", members),
+            make_row(
+                need, Kind.MESSAGES, "changes told, a second, over all watches", "/s", members * changes
+            ),
+            make_row(
+                need, Kind.MESSAGES, "whole lists when all nodes start", "B", members * hosts * row_bytes
+            ),
+            make_row(
                 need,
                 Kind.MESSAGES,
                 "calls a second while it cannot be reached",
@@ -35,23 +39,23 @@
                 fleet.assumed("discovery_calls"),
                 "each process calls after half of the longest wait, in the mean",
             ),
-            row(
+            make_row(
                 need,
                 Kind.PROCESSOR,
                 "a whole list taken: nothing else runs in the reactor so long",
                 "s",
                 fleet.lines.at("node.list", hosts),
-                fleet.delay_bound,
+                fleet.delay_bound_s,
             ),
-            row(
+            make_row(
                 need,
                 Kind.PROCESSOR,
                 "one change taken at a process",
                 "s",
                 fleet.lines.at("node.change", hosts),
-                fleet.delay_bound,
+                fleet.delay_bound_s,
             ),
-            row(
+            make_row(
                 need,
                 Kind.TIME,
                 "until a watch that fell silent is open again",
--- a/caperdeck/lab/capacity/roles/host.py
+++ b/caperdeck/lab/capacity/roles/host.py
@@ -6,9 +6,9 @@
 
 from ..figure import Figure
 from ..fleet import Fleet
-from ..load import MS, TICKS
+from ..load import MS_PER_S, TICKS_PER_S
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 
 def role(fleet: Fleet) -> Role:
@@ -17,32 +17,32 @@
     return Role(
         "Host",
         (
-            row(Need.STANDING, Kind.STATE, "standing connections", "", target.fleet.connections / hosts),
-            row(
+            make_row(Need.STANDING, Kind.STATE, "standing connections", "", target.fleet.connections / hosts),
+            make_row(
                 Need.DELIVERY,
                 Kind.MESSAGES,
                 "lines to nodes, a second",
                 "/s",
                 target.deliveries.per_second / hosts,
             ),
-            row(Need.HOST_FIGURES, Kind.MESSAGES, "new connections, a second", "/s", come / hosts),
-            row(
+            make_row(Need.HOST_FIGURES, Kind.MESSAGES, "new connections, a second", "/s", come / hosts),
+            make_row(
                 Need.HOST_FIGURES,
                 Kind.MESSAGES,
                 "probes a second that no session pays for",
                 "/s",
-                Figure(FREE_PROBES * MS / PROBE_INTERVAL_MS),
+                Figure(FREE_PROBES * MS_PER_S / PROBE_INTERVAL_MS),
                 note="of all nodes together, at any size",
             ),
-            row(
+            make_row(
                 Need.HOST_FIGURES,
                 Kind.MESSAGES,
                 "probes a second while it tells no figure yet",
                 "/s",
-                fleet.members * TICKS,
+                fleet.members * TICKS_PER_S,
                 note="each process asks at each tick",
             ),
-            row(
+            make_row(
                 Need.HOST_FIGURES,
                 Kind.PROCESSOR,
                 "one placement at a node process",
--- a/caperdeck/lab/capacity/roles/machine.py
+++ b/caperdeck/lab/capacity/roles/machine.py
@@ -5,7 +5,7 @@
 from ..fleet import Fleet
 from ..load import process_memory, utilisation
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 
 def role(fleet: Fleet) -> Role:
@@ -14,14 +14,16 @@
         fleet.assumed("machine_cores"),
         fleet.assumed("machine_memory") * fleet.assumed("memory_part"),
     )
-    load, lost = fleet.load(), fleet.load(fleet.zone_machines)
+    load, lost = fleet.load(), fleet.load(fleet.machines_per_zone)
     return Role(
         "Node machine",
         (
-            row(Need.DELIVERY, Kind.STATE, "node processes", "", processes, cores, "one reactor each"),
-            row(Need.STANDING, Kind.STATE, "standing connections", "", load.connections * processes),
-            row(Need.DELIVERY, Kind.MESSAGES, "deliveries a second", "/s", load.lines * processes),
-            row(
+            make_row(Need.DELIVERY, Kind.STATE, "node processes", "", processes, cores, "one reactor each"),
+            make_row(Need.STANDING, Kind.STATE, "standing connections", "", load.connections * processes),
+            make_row(
+                Need.DELIVERY, Kind.MESSAGES, "deliveries a second", "/s", load.deliveries_per_s * processes
+            ),
+            make_row(
                 Need.DELIVERY,
                 Kind.PROCESSOR,
                 "cores, busy machine",
@@ -29,7 +31,7 @@
                 utilisation(target, lines, load) * processes,
                 cores,
             ),
-            row(
+            make_row(
                 Need.DELIVERY,
                 Kind.PROCESSOR,
                 "cores, busy machine, a zone lost",
@@ -37,7 +39,7 @@
                 utilisation(target, lines, lost) * processes,
                 cores,
             ),
-            row(
+            make_row(
                 Need.STANDING,
                 Kind.MEMORY,
                 "memory",
@@ -45,7 +47,7 @@
                 process_memory(target, lines, load.connections) * processes,
                 usable,
             ),
-            row(
+            make_row(
                 Need.STANDING,
                 Kind.MEMORY,
                 "memory with a zone lost",
--- a/caperdeck/lab/capacity/roles/membership.py
+++ b/caperdeck/lab/capacity/roles/membership.py
@@ -6,18 +6,18 @@
 
 from ..fleet import Fleet
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 
 def role(fleet: Fleet) -> Role:
-    lines, members, share = fleet.lines, fleet.members, fleet.control
+    lines, members, share = fleet.lines, fleet.members, fleet.control_budget
     within = fleet.assumed("membership_within")
     need = Need.MEMBERSHIP
     return Role(
         "Membership",
         (
-            row(need, Kind.STATE, "members", "", members, MOST_PEERS, "the program's own limit"),
-            row(
+            make_row(need, Kind.STATE, "members", "", members, MOST_PEERS, "the program's own limit"),
+            make_row(
                 need,
                 Kind.MEMORY,
                 "state of one process",
@@ -25,14 +25,14 @@
                 lines.at("peers.state_bytes", members),
                 share.memory,
             ),
-            row(
+            make_row(
                 need,
                 Kind.MESSAGES,
                 "datagrams of one process, a second",
                 "/s",
                 lines.at("peers.messages", members),
             ),
-            row(
+            make_row(
                 need,
                 Kind.MESSAGES,
                 "bytes of one process",
@@ -40,15 +40,15 @@
                 lines.at("peers.bytes", members),
                 share.bytes_per_second,
             ),
-            row(
+            make_row(
                 need,
                 Kind.PROCESSOR,
                 "one process, share of a core",
                 "",
                 lines.at("peers.cpu", members),
-                share.core_part,
+                share.core_share,
             ),
-            row(
+            make_row(
                 need,
                 Kind.TIME,
                 "until nine in ten know nine in ten, after all have started at once",
@@ -56,6 +56,8 @@
                 lines.at("peers.known", members),
                 within,
             ),
-            row(need, Kind.TIME, "until a death is known", "s", lines.at("peers.death", members), within),
+            make_row(
+                need, Kind.TIME, "until a death is known", "s", lines.at("peers.death", members), within
+            ),
         ),
     )
--- a/caperdeck/lab/capacity/roles/process.py
+++ b/caperdeck/lab/capacity/roles/process.py
@@ -4,10 +4,10 @@
 
 from ..figure import total
 from ..fleet import Fleet
-from ..lines import delay_name, line_cost
-from ..load import busy, process_memory, utilisation, utilisation_parts
+from ..lines import delay_measurement, line_cost
+from ..load import on_busy_machine, process_memory, utilisation, utilisation_parts
 from ..needs import Need
-from ..row import Kind, Role, Row, row
+from ..row import Kind, Role, Row, make_row
 
 SOCKETS = 2  # of a standing connection: the client's and the host's
 
@@ -17,11 +17,11 @@
 
 
 def _state(fleet: Fleet) -> list[Row]:
-    load, lost = fleet.load(), fleet.load(fleet.zone_machines)
+    load, lost = fleet.load(), fleet.load(fleet.machines_per_zone)
     return [
-        row(Need.STANDING, Kind.STATE, "standing connections", "", load.connections),
-        row(Need.STANDING, Kind.STATE, "the same with a zone lost", "", lost.connections),
-        row(
+        make_row(Need.STANDING, Kind.STATE, "standing connections", "", load.connections),
+        make_row(Need.STANDING, Kind.STATE, "the same with a zone lost", "", lost.connections),
+        make_row(
             Need.STANDING,
             Kind.STATE,
             "descriptors with a zone lost",
@@ -29,15 +29,15 @@
             lost.connections * SOCKETS,
             fleet.assumed("process_descriptors"),
         ),
-        row(
+        make_row(
             Need.STANDING,
             Kind.MEMORY,
             "memory with a zone lost, the kernel's with it",
             "B",
             process_memory(fleet.target, fleet.lines, lost.connections),
         ),
-        row(Need.DELIVERY, Kind.MESSAGES, "deliveries a second", "/s", load.lines),
-        row(Need.DELIVERY, Kind.MESSAGES, "the same with a zone lost", "/s", lost.lines),
+        make_row(Need.DELIVERY, Kind.MESSAGES, "deliveries a second", "/s", load.deliveries_per_s),
+        make_row(Need.DELIVERY, Kind.MESSAGES, "the same with a zone lost", "/s", lost.deliveries_per_s),
     ]
 
 
@@ -46,39 +46,46 @@
     bound = fleet.assumed("utilisation")
     parts = utilisation_parts(target, lines, load)
     quiet = total(parts.values())
-    lost = utilisation(target, lines, fleet.load(fleet.zone_machines))
+    lost = utilisation(target, lines, fleet.load(fleet.machines_per_zone))
     return [
         *(
-            row(Need.DELIVERY, Kind.PROCESSOR, f"{name}, share of a reactor, quiet machine", "", part)
+            make_row(Need.DELIVERY, Kind.PROCESSOR, f"{name}, share of a reactor, quiet machine", "", part)
             for name, part in parts.items()
         ),
-        row(Need.DELIVERY, Kind.PROCESSOR, "all of it, quiet machine", "", quiet, bound),
-        row(Need.DELIVERY, Kind.PROCESSOR, "all of it, busy machine", "", busy(target, quiet), bound),
-        row(Need.DELIVERY, Kind.PROCESSOR, "all of it, busy machine, a zone lost", "", lost, bound),
+        make_row(Need.DELIVERY, Kind.PROCESSOR, "all of it, quiet machine", "", quiet, bound),
+        make_row(
+            Need.DELIVERY,
+            Kind.PROCESSOR,
+            "all of it, busy machine",
+            "",
+            on_busy_machine(target, quiet),
+            bound,
+        ),
+        make_row(Need.DELIVERY, Kind.PROCESSOR, "all of it, busy machine, a zone lost", "", lost, bound),
     ]
 
 
 def _delays(fleet: Fleet) -> list[Row]:
     target, lines, load = fleet.target, fleet.lines, fleet.load()
     listeners = target.topics.largest_listeners / fleet.members
-    burst = busy(target, line_cost(lines, target.assumed, load.lines)) * listeners
+    burst = on_busy_machine(target, line_cost(lines, target.assumed, load.deliveries_per_s)) * listeners
     return [
-        row(
+        make_row(
             Need.DELIVERY,
             Kind.TIME,
             "a delivery at the node, for the target's part of all",
             "s",
-            lines.up_to(delay_name(target), load.lines),
-            fleet.delay_bound,
+            lines.at_next_measured(delay_measurement(target), load.deliveries_per_s),
+            fleet.delay_bound_s,
             "at the next higher rate that was measured",
         ),
-        row(
+        make_row(
             Need.DELIVERY,
             Kind.TIME,
             "until the last listener of one line of the largest topic has it",
             "s",
             burst,
-            fleet.delay_bound,
+            fleet.delay_bound_s,
             "its listeners evenly over all processes",
         ),
     ]
--- a/caperdeck/lab/capacity/roles/regions.py
+++ b/caperdeck/lab/capacity/roles/regions.py
@@ -4,19 +4,19 @@
 
 from ..figure import figure
 from ..fleet import Fleet
-from ..load import DAY
+from ..load import SECONDS_PER_DAY
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 
 def role(fleet: Fleet) -> Role:
     cut = figure(fleet.target.faults.region_cut)
-    changes = fleet.target.configuration.changes_a_day / DAY
+    changes = fleet.target.configuration.changes_a_day / SECONDS_PER_DAY
     need = Need.REGIONS
     return Role(
         "Regions",
         (
-            row(
+            make_row(
                 need,
                 Kind.STATE,
                 "members of the other region held dead in a cut, a part of them",
@@ -24,10 +24,10 @@
                 fleet.lines.share_at("peers.false_deaths", fleet.members),
                 note="measured in a shorter cut than the target's",
             ),
-            row(
+            make_row(
                 need, Kind.STATE, "changes of configuration made while a region is cut off", "", changes * cut
             ),
-            row(
+            make_row(
                 need,
                 Kind.TIME,
                 "until a change is in force in a region cut off",
@@ -36,7 +36,7 @@
                 fleet.target.configuration.within,
                 "the cut alone",
             ),
-            row(
+            make_row(
                 need,
                 Kind.STATE,
                 "connections whose host is in the other region",
--- a/caperdeck/lab/capacity/roles/topics.py
+++ b/caperdeck/lab/capacity/roles/topics.py
@@ -5,7 +5,7 @@
 from ..figure import figure
 from ..fleet import Fleet
 from ..needs import Need
-from ..row import Kind, Role, row
+from ..row import Kind, Role, make_row
 
 
 def role(fleet: Fleet) -> Role:
@@ -16,15 +16,15 @@
     return Role(
         "Topics",
         (
-            row(need, Kind.STATE, "shards of one host", "", topics.shards / hosts),
-            row(
+            make_row(need, Kind.STATE, "shards of one host", "", topics.shards / hosts),
+            make_row(
                 need,
                 Kind.STATE,
                 "listeners of the largest topic at one process",
                 "",
                 listeners / fleet.members,
             ),
-            row(
+            make_row(
                 need,
                 Kind.STATE,
                 "the largest topic, against the connections of one host",
@@ -33,7 +33,7 @@
                 fleet.target.fleet.connections / hosts,
                 "over 1 one host cannot hold it alone",
             ),
-            row(
+            make_row(
                 need,
                 Kind.MESSAGES,
                 "lines that leave hosts for one line of the largest topic",
@@ -41,6 +41,8 @@
                 listeners,
                 note="a node relays one connection's lines to one client and copies nothing",
             ),
-            row(need, Kind.MESSAGES, "part of all connections that listen to the largest topic", "", part),
+            make_row(
+                need, Kind.MESSAGES, "part of all connections that listen to the largest topic", "", part
+            ),
         ),
     )
--- a/caperdeck/lab/capacity/tables.py
+++ b/caperdeck/lab/capacity/tables.py
@@ -10,16 +10,25 @@
 
 from .faults import Fault
 from .figure import Figure
-from .lines import NAMES, largest_size
-from .needs import CARRIERS
+from .lines import MEASUREMENT_NAMES, largest_size
+from .needs import MECHANISMS
 from .ranking import Rank
 from .report import Report
 from .row import Role, Row
 from .sizing import Sizing
 from .target import Target
-from .text import NOT_MEASURED, amount, bound, number, origin, room, shown, stretch
-
-SMALL = "small sizes; "
+from .text import (
+    NOT_MEASURED,
+    format_amount,
+    format_bound,
+    format_bound_ratio,
+    format_extrapolation,
+    format_figure,
+    format_number,
+    format_origin,
+)
+
+SMALL_SIZES_NOTE = "small sizes; "
 """Begins the note of what `caperdeck lab slopes --small` has measured."""
 
 
@@ -53,7 +62,7 @@
             merged.setdefault(each.provenance, []).append(each.name)
     for provenance, names in merged.items():
         lines.append(f"\nBut {', '.join(names)}: taken {_provenance(provenance)}.")
-    if any(each.note.startswith(SMALL) for each in record.measurements):
+    if any(each.note.startswith(SMALL_SIZES_NOTE) for each in record.measurements):
         lines.append("**Measured at small sizes, to see that it works: the figures say nothing.**")
     if report.missing:
         lines.append(f"**{NOT_MEASURED}:** {', '.join(report.missing)}.")
@@ -64,7 +73,7 @@
     machine = taken.machine
     return (
         f"{taken.taken_at} at revision {taken.revision}: {machine.processor}, {machine.cores} cores, "
-        f"{amount(machine.memory_bytes, 'B')}, {machine.system}, Python {machine.python}"
+        f"{format_amount(machine.memory_bytes, 'B')}, {machine.system}, Python {machine.python}"
     )
 
 
@@ -74,10 +83,10 @@
         (
             each.name,
             _count(each.processes, each.met),
-            shown(each.reached, each.unit),
-            bound(each.bound, each.unit),
-            stretch(each.processes),
-            origin(each.processes),
+            format_figure(each.reached, each.unit),
+            format_bound(each.bound, each.unit),
+            format_extrapolation(each.processes),
+            format_origin(each.processes),
         )
         for each in sizing.conditions
     ]
@@ -88,11 +97,11 @@
     if sizing.processes.value is None:
         return "How many node processes a machine must run is **not measured**."
     least = "" if sizing.complete else "at least "
-    return f"A machine must run **{least}{shown(sizing.processes, '')}** node processes."
+    return f"A machine must run **{least}{format_figure(sizing.processes, '')}** node processes."
 
 
 def _count(processes: Figure, met: bool) -> str:
-    text = shown(processes, "")
+    text = format_figure(processes, "")
     return text if met or processes.value is None else f"more than {text}"
 
 
@@ -116,12 +125,12 @@
     return (
         what,
         row.kind.value,
-        shown(row.amount, row.unit),
-        bound(row.bound, row.unit),
-        room(row.times),
-        CARRIERS[row.need].mechanism,
-        stretch(sources),
-        origin(row.amount),
+        format_figure(row.amount, row.unit),
+        format_bound(row.bound, row.unit),
+        format_bound_ratio(row.bound_ratio),
+        MECHANISMS[row.need].name,
+        format_extrapolation(sources),
+        format_origin(row.amount),
     )
 
 
@@ -144,21 +153,21 @@
 
 
 def _fault(each: Fault) -> tuple[str, ...]:
-    read = (each.core_seconds, each.until_served, each.memory, each.found_after)
-    furthest = max(read, key=lambda figure: figure.stretch)
+    read = (each.core_seconds, each.seconds_until_served, each.memory_bytes, each.detected_after_s)
+    furthest = max(read, key=lambda figure: figure.extrapolation)
     return (
         each.name,
-        shown(each.a_year, ""),
-        shown(each.back, ""),
-        shown(each.crowd, ""),
-        shown(each.rate, "/s"),
-        shown(each.core_seconds, "s"),
-        shown(each.until_served, "s"),
-        shown(each.memory, "B"),
-        shown(each.lists, ""),
-        each.found_by,
-        shown(each.found_after, "s"),
-        stretch(furthest),
+        format_figure(each.per_year, ""),
+        format_figure(each.returning_connections, ""),
+        format_figure(each.returning_per_process, ""),
+        format_figure(each.returning_per_s, "/s"),
+        format_figure(each.core_seconds, "s"),
+        format_figure(each.seconds_until_served, "s"),
+        format_figure(each.memory_bytes, "B"),
+        format_figure(each.files_to_change, ""),
+        each.detected_by,
+        format_figure(each.detected_after_s, "s"),
+        format_extrapolation(furthest),
     )
 
 
@@ -177,16 +186,16 @@
 
 
 def _rank(place: int, rank: Rank) -> tuple[str, ...]:
-    worst = room(rank.times) or (NOT_MEASURED if rank.not_measured else "no bound")
+    worst = format_bound_ratio(rank.bound_ratio) or (NOT_MEASURED if rank.not_measured else "no bound")
     return (
         str(place),
         rank.need.value,
         rank.mechanism,
-        CARRIERS[rank.need].where,
-        str(rank.carries),
+        MECHANISMS[rank.need].location,
+        str(rank.dependents),
         worst,
         rank.worst.what if rank.worst else "",
-        origin(rank.worst.amount) if rank.worst else "",
+        format_origin(rank.worst.amount) if rank.worst else "",
     )
 
 
@@ -194,10 +203,10 @@
     rows = [
         (
             each.what,
-            amount(each.expected, each.unit),
-            shown(each.found, each.unit),
-            "" if each.found.value is None else number(each.found.value / each.expected),
-            stretch(each.found),
+            format_amount(each.expected, each.unit),
+            format_figure(each.found, each.unit),
+            "" if each.found.value is None else format_number(each.found.value / each.expected),
+            format_extrapolation(each.found),
         )
         for each in report.expected
     ]
@@ -216,7 +225,7 @@
 def _measurements(report: Report) -> list[str]:
     found = {each.name: each for each in report.record.measurements}
     heading = ("measurement", "what", "unit", "against", "fixed", "slope", "r²", "largest size", "from")
-    names = [*NAMES, *(name for name in found if name not in NAMES)]
+    names = [*MEASUREMENT_NAMES, *(name for name in found if name not in MEASUREMENT_NAMES)]
     rows = [_measurement(found[name]) if name in found else _unmeasured(name) for name in names]
     return table(heading, rows)
 
@@ -228,10 +237,10 @@
         each.what,
         each.unit,
         each.against,
-        number(line.fixed),
-        number(line.slope),
+        format_number(line.fixed),
+        format_number(line.slope),
         f"{line.r_squared:.3f}" if line.fits else f"**{line.r_squared:.3f}**",
-        number(largest_size(each)),
+        format_number(largest_size(each)),
         each.source.value,
     )
 
--- a/caperdeck/lab/capacity/target.py
+++ b/caperdeck/lab/capacity/target.py
@@ -1,4 +1,4 @@
-"""The target: what the operators ask of the fleet, and what had to be assumed beside it, from a TOML file."""
+"""The target: the operators' requirements for the fleet and the assumptions made, from a TOML file."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
-MOST = 10**15  # past every figure that a fleet can have; keeps infinite values out
+MAX_AMOUNT = 10**15  # larger than any amount of a fleet; keeps out infinite values
 
 PERCENTILES = {0.5: "p50", 0.99: "p99", 0.999: "p999"}
-"""The parts of all deliveries whose delay is measured, and what the measurements call them."""
+"""The shares of all deliveries whose delay is measured, with their names in the measurements."""
 
-Amount = Annotated[float, Meta(gt=0, le=MOST)]
-Count = Annotated[int, Meta(gt=0, le=MOST)]
-Part = Annotated[float, Meta(gt=0, le=1)]
-SeveralZones = Annotated[int, Meta(ge=2, le=1000)]  # with one zone nothing would be left when it is lost
+Amount = Annotated[float, Meta(gt=0, le=MAX_AMOUNT)]
+Count = Annotated[int, Meta(gt=0, le=MAX_AMOUNT)]
+Share = Annotated[float, Meta(gt=0, le=1)]
+AtLeastTwo = Annotated[int, Meta(ge=2, le=1000)]  # with a single zone nothing would remain after its loss
 LineBytes = Annotated[
     float, Meta(ge=100, le=1000)
-]  # both ends are measured, costs between them are interpolated
+]  # costs are measured at both limits and interpolated between them
 
 
 class TargetError(Exception):
-    """The target cannot be used; the text names file, field and reason in one line."""
+    """The target is invalid; the message names file, field and reason in one line."""
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A table of the file, in which every key has to be given."""
+    """A table of the file, in which every key is required."""
 
 
 class FleetTarget(Table, frozen=True):
-    machines: SeveralZones
+    machines: AtLeastTwo
     connections: Count
     regions: Count
-    zones: SeveralZones  # of all regions together
+    zones: AtLeastTwo  # over all regions
 
 
 class Topics(Table, frozen=True):
@@ -46,7 +46,7 @@
 class Deliveries(Table, frozen=True):
     per_second: Amount
     within: Amount  # seconds
-    part_within: Part
+    part_within: Share
 
 
 class Configuration(Table, frozen=True):
@@ -55,9 +55,9 @@
 
 
 class Control(Table, frozen=True):
-    """What one machine of the fleet may spend on control, and how many machines are set aside for it."""
+    """Limits for control on each machine of the fleet, and the number of machines reserved for control."""
 
-    core_part: Part
+    core_part: Share
     memory: Amount  # bytes
     bytes_per_second: Amount
     machines: Count
@@ -73,15 +73,15 @@
 
 
 class Assumed(Table, frozen=True):
-    """What the operators have not said; docs/capacity-questions.md explains each field."""
+    """Values that the operators have not specified; docs/capacity-questions.md explains each field."""
 
     machine_cores: Count
     machine_memory: Amount
-    memory_part: Part
+    memory_part: Share
     utilisation: Annotated[float, Meta(gt=0, lt=1)]
     busy_times: Annotated[float, Meta(ge=1, le=100)]
     line_bytes: LineBytes
-    delay_part: Part
+    delay_part: Share
     connection_life: Amount
     return_span: Amount
     back_within: Amount
@@ -91,12 +91,12 @@
     listeners: Count
     customers: Count
     customer_bytes: Amount
-    peak_times: Annotated[float, Meta(ge=1, le=MOST)]
+    peak_times: Annotated[float, Meta(ge=1, le=MAX_AMOUNT)]
     change_by_hand: Amount
     address_bytes: Amount
     membership_within: Amount
     rack_machines: Count
-    cross_region_part: Part
+    cross_region_part: Share
     discovery_calls: Amount
     process_descriptors: Count
 
@@ -112,7 +112,7 @@
 
 
 def load(path: str) -> Target:
-    """Raises TargetError for a file that cannot be read, an unknown or missing key, or a bad value."""
+    """Reads a target; raises TargetError if it cannot be read, for unknown or missing keys and bad values."""
     try:
         target = msgspec.convert(read_toml(path), Target)
     except TomlError as error:
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -12,16 +12,16 @@
 from caperdeck.lab.capacity import page, tables
 from caperdeck.lab.capacity.figure import Figure, Origin, largest, total
 from caperdeck.lab.capacity.fleet import Fleet
-from caperdeck.lab.capacity.lines import NAMES
-from caperdeck.lab.capacity.load import process_memory, set_up_cost, utilisation, utilisation_parts
-from caperdeck.lab.capacity.needs import CARRIERS, NOTHING, Need, standing_on
+from caperdeck.lab.capacity.lines import MEASUREMENT_NAMES
+from caperdeck.lab.capacity.load import process_memory, setup_cost, utilisation, utilisation_parts
+from caperdeck.lab.capacity.needs import MECHANISMS, NO_MECHANISM, Need, dependents_of
 from caperdeck.lab.capacity.ranking import ranking
-from caperdeck.lab.capacity.report import report
+from caperdeck.lab.capacity.report import make_report
 from caperdeck.lab.capacity.roles import roles
-from caperdeck.lab.capacity.row import Kind, Role, row
-from caperdeck.lab.capacity.sizing import MOST_PROCESSES
+from caperdeck.lab.capacity.row import Kind, Role, make_row
+from caperdeck.lab.capacity.sizing import MAX_PROCESSES
 from caperdeck.lab.capacity.target import TargetError, load
-from caperdeck.lab.capacity.text import amount, room
+from caperdeck.lab.capacity.text import format_amount, format_bound_ratio
 from caperdeck.lab.slopes.line import Point
 from caperdeck.lab.slopes.record import Source, measurement, read, record, write
 
@@ -47,7 +47,7 @@
 
 def stand_in(without=(), **costs):
     lines = STAND_IN | {name.replace("__", "."): cost for name, cost in costs.items()}
-    return record([line(n, *lines.get(n, (0, 1e-6))) for n in NAMES if n not in without])
+    return record([line(n, *lines.get(n, (0, 1e-6))) for n in MEASUREMENT_NAMES if n not in without])
 
 
 def target(**changes):
@@ -82,7 +82,7 @@
     one = Figure(6.0, 0.5, frozenset({"a"}))
     other = Figure(2.0, 3.0, frozenset({"b"}), assumed=frozenset({"hosts"}))
     quotient = one / other
-    assert (quotient.value, quotient.stretch, quotient.measured) == (3.0, 3.0, {"a", "b"})
+    assert (quotient.value, quotient.extrapolation, quotient.measured) == (3.0, 3.0, {"a", "b"})
     assert quotient.origin is Origin.WORKED_OUT and quotient.assumed == {"hosts"}
     assert (1 - one).value == -5.0 and (12 / one).value == 2.0 and total([one, other]).value == 8.0
     assert largest([one, other]).value == 6.0
@@ -98,7 +98,7 @@
     fleet = small_fleet()
     assert fleet.lines.at("node.tick", 8000).origin is Origin.MEASURED
     stretched = fleet.lines.at("node.tick", 16_000)
-    assert (stretched.origin, stretched.stretch) == (Origin.WORKED_OUT, 2.0)
+    assert (stretched.origin, stretched.extrapolation) == (Origin.WORKED_OUT, 2.0)
     assert fleet.assumed("hosts").origin is Origin.ASSUMED
 
 
@@ -108,7 +108,7 @@
     points = [Point(size, cost) for size, cost in zip(SIZES, (0.0, 9.0, 1.0, 8.0), strict=True)]
     bent = measurement("node.tick", "", "s", "hosts", Source.PROCESSES, points)
     fleet = Fleet(target(), record([bent]))
-    assert (fleet.lines.at("node.tick", 10) + 1).bent == {"node.tick"}
+    assert (fleet.lines.at("node.tick", 10) + 1).nonlinear == {"node.tick"}
 
 
 def test_a_line_that_falls_is_not_followed_past_what_was_measured():
@@ -119,10 +119,10 @@
 
 def test_a_delay_is_that_of_the_next_higher_measured_rate():
     lines = Fleet(target(), delays((0.01, 0.02, 0.1, 0.2))).lines
-    assert lines.up_to("node.delivery_p99_100", 1001).value == 0.02
-    assert lines.up_to("node.delivery_p99_100", 2000).value == 0.02
-    beyond = lines.up_to("node.delivery_p99_100", 9000)
-    assert beyond.value == lines.at("node.delivery_p99_100", 9000).value and beyond.stretch == 1.125
+    assert lines.at_next_measured("node.delivery_p99_100", 1001).value == 0.02
+    assert lines.at_next_measured("node.delivery_p99_100", 2000).value == 0.02
+    beyond = lines.at_next_measured("node.delivery_p99_100", 9000)
+    assert beyond.value == lines.at("node.delivery_p99_100", 9000).value and beyond.extrapolation == 1.125
 
 
 # ---- the arithmetic of a process
@@ -130,30 +130,30 @@
 
 def test_load_cost_and_memory_of_a_process_are_exact():
     fleet = small_fleet()
-    load_of_one = fleet.load()
+    process_load = fleet.load()
     assert fleet.processes.value == 1
-    assert (load_of_one.connections.value, load_of_one.lines.value, load_of_one.set_ups.value) == (
-        10_000, 8000, 10,
-    )  # fmt: skip
+    assert (
+        process_load.connections.value, process_load.deliveries_per_s.value, process_load.setups_per_s.value,
+    ) == (10_000, 8000, 10)  # fmt: skip
     parts = {
-        name: part.value for name, part in utilisation_parts(fleet.target, fleet.lines, load_of_one).items()
+        name: part.value for name, part in utilisation_parts(fleet.target, fleet.lines, process_load).items()
     }
     # a line 20 µs; a connection 1 µs a second; one that comes 300 µs and 0.1 µs a host, one that ends 100 µs
     assert parts == pytest.approx({
         "deliveries": 0.16, "standing connections": 0.01, "connections that come and end": 0.005,
         "the decisions' tick": 0.002,
     })  # fmt: skip
-    assert utilisation(fleet.target, fleet.lines, load_of_one).value == pytest.approx(2 * 0.177)
+    assert utilisation(fleet.target, fleet.lines, process_load).value == pytest.approx(2 * 0.177)
     # 20 MB, 15 kB a connection, 1 kB a host
-    assert process_memory(fleet.target, fleet.lines, load_of_one.connections).value == pytest.approx(171e6)
-    assert set_up_cost(fleet.target, fleet.lines, 10).value == pytest.approx(4e-4)
+    assert process_memory(fleet.target, fleet.lines, process_load.connections).value == pytest.approx(171e6)
+    assert setup_cost(fleet.target, fleet.lines, 10).value == pytest.approx(4e-4)
 
 
 @pytest.mark.parametrize(("line_bytes", "cost"), [(100, 20e-6), (550, 29e-6), (1000, 38e-6)])
 def test_lines_between_the_measured_lengths_are_interpolated(line_bytes, cost):
     fleet = small_fleet(assumed__line_bytes=line_bytes)
     parts = utilisation_parts(fleet.target, fleet.lines, fleet.load())
-    assert parts["deliveries"].value == pytest.approx(cost * fleet.load().lines.value)
+    assert parts["deliveries"].value == pytest.approx(cost * fleet.load().deliveries_per_s.value)
 
 
 def test_processes_follow_from_the_steady_load_with_a_zone_lost():
@@ -161,7 +161,7 @@
     assert small_fleet().sizing.conditions[0].reached.value == pytest.approx(0.4415)
     more = small_fleet(deliveries__per_second=120_000)
     assert more.processes.value == 2 and more.members.value == 20
-    assert more.control.core_part.value == pytest.approx(0.006)
+    assert more.control_budget.core_share.value == pytest.approx(0.006)
 
 
 def test_processes_follow_from_the_crowd_of_a_lost_zone():
@@ -182,18 +182,20 @@
     # half of 0.33 s may pass at a node: 4,000 a second do, 8,000 do not, 10,000 are to with a zone lost
     condition = small_fleet(delays((0.01, 0.02, 0.1, 0.2))).sizing.conditions[1]
     assert (condition.processes.value, condition.bound.value) == (3, 4000)
-    assert condition.met and condition.processes.stretch == 1.0
+    assert condition.met and condition.processes.extrapolation == 1.0
 
 
 def test_a_delay_that_no_rate_keeps_is_not_met():
     sizing = small_fleet(delays((0.2, 0.2, 0.3, 0.3))).sizing
     assert not sizing.conditions[1].met and not sizing.complete
-    assert sizing.processes.value == MOST_PROCESSES
+    assert sizing.processes.value == MAX_PROCESSES
 
 
 def test_delays_all_in_time_stretch_their_line_and_say_so():
     condition = small_fleet(delays((0.01, 0.02, 0.04, 0.08))).sizing.conditions[1]
-    assert condition.bound.value == pytest.approx(16_500) and condition.bound.stretch == pytest.approx(2.0625)
+    assert condition.bound.value == pytest.approx(16_500) and condition.bound.extrapolation == pytest.approx(
+        2.0625
+    )
     assert small_fleet(delays((0.01, 0.01, 0.01, 0.009))).sizing.conditions[1].processes.value == 1
 
 
@@ -207,14 +209,14 @@
 
 
 def test_rows_at_the_tree_s_target():
-    made = report(target(), stand_in())
+    made = make_report(target(), stand_in())
     processes = made.sizing.processes.value
     members = 730 * processes
     assert find(made, "members").amount.value == members
     known = find(made, "until nine in ten know nine in ten, after all have started at once")
     assert known.amount.value == pytest.approx(10 + 0.4 * members)
     assert find(made, "membership, bytes").bound.value == 4000
-    assert find(made, "the owner's reactor").times == pytest.approx(members / 1000)
+    assert find(made, "the owner's reactor").bound_ratio == pytest.approx(members / 1000)
     assert find(made, "one change by hand, one node after another").amount.value == pytest.approx(
         10 * members
     )
@@ -224,9 +226,9 @@
     assert leader.amount.value == pytest.approx(entries * 1e-6 * 3)
     # the census's own text: 13 bytes a node in base85, and what an instance takes follows from their room
     census = find(made, "characters of the census, as agreed on")
-    assert census.amount.value == pytest.approx(13 * 5 / 4 * members, abs=128) and census.times < 1
-    assert find(made, "node processes that one instance may own work at").times == pytest.approx(
-        census.times, rel=0.01
+    assert census.amount.value == pytest.approx(13 * 5 / 4 * members, abs=128) and census.bound_ratio < 1
+    assert find(made, "node processes that one instance may own work at").bound_ratio == pytest.approx(
+        census.bound_ratio, rel=0.01
     )
 
 
@@ -247,7 +249,7 @@
         "assumed__peak_times": 10.0, "configuration__changes_a_day": 8640.0, "control__machines": 6,
         "fleet__regions": 2,
     }  # fmt: skip
-    return report(target(**SMALL | changed), made)
+    return make_report(target(**SMALL | changed), made)
 
 
 def test_versions_cost_nodes_and_instances_what_their_lines_say():
@@ -290,16 +292,16 @@
     until = "a control machine lost: until all its nodes watch elsewhere"
     assert find(made, until).amount.value == pytest.approx(2.0 + 0.5 + 1.0)
     # at the tree's target the connects are paced: 400 a second after the first 100
-    whole = report(target(), stand_in())
+    whole = make_report(target(), stand_in())
     moved = 730 * whole.sizing.processes.value / 5 / 2
     paced = max(0.5, (moved - 100) / 400)
     assert find(whole, until).amount.value == pytest.approx(2.0 + paced + 1.0)
 
 
 def test_configuration_is_carried_and_says_where_it_is_off():
-    mechanism = CARRIERS[Need.CONFIGURATION]
-    assert mechanism.mechanism != NOTHING and "off in `run`" in mechanism.mechanism
-    by_hand = find(report(target(), stand_in()), "one change by hand, one node after another")
+    mechanism = MECHANISMS[Need.CONFIGURATION]
+    assert mechanism.name != NO_MECHANISM and "off in `run`" in mechanism.name
+    by_hand = find(make_report(target(), stand_in()), "one change by hand, one node after another")
     assert by_hand.bound is None and "`run`" in by_hand.note
 
 
@@ -311,22 +313,22 @@
         for each in made.measurements
     ]
     first, _ = tables.markdown(
-        report(target(), msgspec.structs.replace(made, measurements=tuple(merged)))
+        make_report(target(), msgspec.structs.replace(made, measurements=tuple(merged)))
     ).split("## How many node processes")
-    names = ", ".join(name for name in NAMES if name.startswith("peers."))
+    names = ", ".join(name for name in MEASUREMENT_NAMES if name.startswith("peers."))
     assert f"But {names}: taken " in first and "at revision fedcba9876:" in first
     assert f"at revision {made.revision}:" in first
 
 
 def test_a_lost_zone_brings_its_connections_to_the_rest():
-    zone = next(fault for fault in report(target(), stand_in()).faults if fault.name == "a zone")
-    processes = report(target(), stand_in()).sizing.processes.value
-    assert zone.back.value == pytest.approx(7_000_000)
-    assert zone.crowd.value == pytest.approx(7_000_000 / (584 * processes))
-    assert zone.rate.value == pytest.approx(zone.crowd.value / 2)
-    assert zone.core_seconds.value == pytest.approx(zone.crowd.value * (3e-4 + 1.2e-4) * 1.9)
-    assert zone.until_served.value > zone.core_seconds.value
-    assert zone.lists.value == pytest.approx(584 * processes)
+    zone = next(fault for fault in make_report(target(), stand_in()).faults if fault.name == "a zone")
+    processes = make_report(target(), stand_in()).sizing.processes.value
+    assert zone.returning_connections.value == pytest.approx(7_000_000)
+    assert zone.returning_per_process.value == pytest.approx(7_000_000 / (584 * processes))
+    assert zone.returning_per_s.value == pytest.approx(zone.returning_per_process.value / 2)
+    assert zone.core_seconds.value == pytest.approx(zone.returning_per_process.value * (3e-4 + 1.2e-4) * 1.9)
+    assert zone.seconds_until_served.value > zone.core_seconds.value
+    assert zone.files_to_change.value == pytest.approx(584 * processes)
 
 
 def test_time_taken_up_by_crowds_is_a_part_of_the_year():
@@ -343,49 +345,51 @@
 
 
 def test_a_cut_between_regions_takes_no_node_away():
-    cut = next(f for f in report(target(), stand_in()).faults if f.name == "regions lose each other")
-    assert (cut.back.value, cut.lists.value) == (pytest.approx(700_000), 0)
+    cut = next(f for f in make_report(target(), stand_in()).faults if f.name == "regions lose each other")
+    assert (cut.returning_connections.value, cut.files_to_change.value) == (pytest.approx(700_000), 0)
 
 
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", MEASUREMENT_NAMES)
 def test_any_missing_measurement_is_named_and_shown(name):
-    made = report(target(), stand_in(without=(name,)))
+    made = make_report(target(), stand_in(without=(name,)))
     assert made.missing == (name,)
     text = tables.markdown(made)
     assert f"**not measured:** {name}." in text and f"| {name} | not measured |" in text
 
 
 def test_nothing_measured_gives_no_figure_that_needs_a_line():
-    made = report(target(), record([]))
-    assert made.missing == NAMES and made.sizing.processes.value is None
+    made = make_report(target(), record([]))
+    assert made.missing == MEASUREMENT_NAMES and made.sizing.processes.value is None
     assert find(made, "memory").amount.value is None and find(made, "shards of one host").amount.value == 100
     assert "must run is **not measured**" in tables.markdown(made)
 
 
 def test_a_record_of_small_sizes_is_called_that():
     small = [msgspec.structs.replace(each, note="small sizes; x") for each in stand_in().measurements]
-    assert "the figures say nothing" in tables.markdown(report(target(), record(small)))
-    assert "the figures say nothing" not in tables.markdown(report(target(), stand_in()))
+    assert "the figures say nothing" in tables.markdown(make_report(target(), record(small)))
+    assert "the figures say nothing" not in tables.markdown(make_report(target(), stand_in()))
 
 
 # ---- the ranking
 
 
 def test_needs_that_others_stand_on_are_counted_through_others():
-    assert Need.MEMBERSHIP in standing_on(Need.CONFIGURATION)
-    assert Need.REGIONS in standing_on(Need.MEMBER_LIST)
-    assert standing_on(Need.DELIVERY) == frozenset()
+    assert Need.MEMBERSHIP in dependents_of(Need.CONFIGURATION)
+    assert Need.REGIONS in dependents_of(Need.MEMBER_LIST)
+    assert dependents_of(Need.DELIVERY) == frozenset()
 
 
 def test_the_worst_comes_first():
-    over = row(Need.DELIVERY, Kind.PROCESSOR, "over", "", 3.0, 1.0)
-    further = row(Need.HOST_LIST, Kind.PROCESSOR, "further", "", 9.0, 1.0)
-    room_left = row(Need.STANDING, Kind.MEMORY, "room", "B", 1.0, 2.0)
-    unknown = row(Need.HOST_FIGURES, Kind.TIME, "unknown", "s", Figure(None, missing=frozenset({"x"})), 1.0)
-    topics = row(Need.TOPICS, Kind.STATE, "topics", "", 1.0, 2.0)
+    over = make_row(Need.DELIVERY, Kind.PROCESSOR, "over", "", 3.0, 1.0)
+    further = make_row(Need.HOST_LIST, Kind.PROCESSOR, "further", "", 9.0, 1.0)
+    room_left = make_row(Need.STANDING, Kind.MEMORY, "room", "B", 1.0, 2.0)
+    unknown = make_row(
+        Need.HOST_FIGURES, Kind.TIME, "unknown", "s", Figure(None, missing=frozenset({"x"})), 1.0
+    )
+    topics = make_row(Need.TOPICS, Kind.STATE, "topics", "", 1.0, 2.0)
     ranks = ranking([Role("all", (room_left, unknown, over, further, topics))])
     assert len(ranks) == len(Need)
-    first = [rank.need for rank in ranks if rank.mechanism == NOTHING]
+    first = [rank.need for rank in ranks if rank.mechanism == NO_MECHANISM]
     assert [rank.need for rank in ranks[: len(first)]] == first == [
         Need.MEMBER_LIST, Need.TOPICS, Need.REGIONS,
     ]  # fmt: skip
@@ -395,7 +399,7 @@
 
 
 def test_every_need_has_a_carrier():
-    assert set(CARRIERS) == set(Need)
+    assert set(MECHANISMS) == set(Need)
 
 
 # ---- text
@@ -410,11 +414,15 @@
     ],
 )  # fmt: skip
 def test_amounts_as_text(value, unit, text):
-    assert amount(value, unit) == text
+    assert format_amount(value, unit) == text
 
 
 def test_room_as_text():
-    assert (room(None), room(2.5), room(0.5)) == ("", "**2.5 times over**", "2 times under")
+    assert (format_bound_ratio(None), format_bound_ratio(2.5), format_bound_ratio(0.5)) == (
+        "",
+        "**2.5 times over**",
+        "2 times under",
+    )
 
 
 # ---- bad input
@@ -506,7 +514,7 @@
     assert main(words) == 0
     text = file.read_text()
     assert text.startswith("before\n") and text.endswith(f"{page.END}\nafter\n") and "\nold\n" not in text
-    assert page.between(text).strip() in capsys.readouterr().out
+    assert page.generated_part(text).strip() in capsys.readouterr().out
     assert json.loads(out.read_text())["missing"] == []
     first = out.read_bytes()
     assert main(words) == 0 and (file.read_text(), out.read_bytes()) == (text, first)
@@ -520,11 +528,11 @@
 
 def generated():
     """What the page has to say for the files in the tree."""
-    return tables.markdown(report(load(str(TARGET)), read(SLOPES))) if SLOPES.exists() else page.MISSING
+    return tables.markdown(make_report(load(str(TARGET)), read(SLOPES))) if SLOPES.exists() else page.MISSING
 
 
 def test_page_slopes_and_target_in_the_tree_agree():
-    assert page.between(PAGE.read_text()) == generated()
+    assert page.generated_part(PAGE.read_text()) == generated()
 
 
 def test_every_assumption_has_its_question():
