--- a/caperdeck/lab/capacity/load.py
+++ b/caperdeck/lab/capacity/load.py
@@ -54,7 +54,7 @@
     return lines.at("node.tick", assumption(target.assumed, "hosts")) * TICKS_PER_S
 
 
-def utilisation_parts(target: Target, lines: CostLines, load: Load) -> dict[str, Figure]:
+def utilisation_shares(target: Target, lines: CostLines, load: Load) -> dict[str, Figure]:
     """Shares of a reactor that a steady load takes on a quiet machine, by kind of work."""
     setup = setup_cost(target, lines, load.connections)
     end = lines.per_unit("node.end", load.connections)
@@ -68,7 +68,7 @@
 
 def utilisation(target: Target, lines: CostLines, load: Load) -> Figure:
     """Share of a reactor that a steady load takes on a busy machine."""
-    return on_busy_machine(target, total(utilisation_parts(target, lines, load).values()))
+    return on_busy_machine(target, total(utilisation_shares(target, lines, load).values()))
 
 
 def seconds_to_reconnect(target: Target, lines: CostLines, load: Load, reconnects: Figure) -> Figure:
--- a/caperdeck/lab/capacity/roles/__init__.py
+++ b/caperdeck/lab/capacity/roles/__init__.py
@@ -1,4 +1,4 @@
-"""The roles of the fleet at the target, one module each; each makes its rows from a Fleet."""
+"""The roles of the fleet, one module each, whose function `role` computes its table from a Fleet."""
 
 from ..fleet import Fleet
 from ..row import Role
@@ -32,4 +32,5 @@
 
 
 def roles(fleet: Fleet) -> tuple[Role, ...]:
+    """The tables of all roles, in the order of the page."""
     return tuple(module.role(fleet) for module in ROLES)
--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -1,6 +1,6 @@
-"""Distribution of configuration: versions that instances publish, and that each node process watches for.
+"""Distribution of configuration: instances publish versions, and each node process watches for them.
 
-Carried where `serve --control` is given. In `run` it is off: a file at each node, and a SIGHUP by hand.
+It is on with `serve --control`. In `run` it is off: each node has a file, and an operator sends SIGHUP.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 ONE_REACTOR = 1.0
 OWN_LIMIT = "the program's own limit"
 WITHOUT_CONTROL = "in `run`, and wherever `--control` is not given"
-ZONE_WITH_ONE = "a whole zone's, where instances do not go twice round the zones"
+ZONE_WITH_ONE_INSTANCE = "a whole zone's, where instances do not go twice round the zones"
 
 
 def file_bytes(fleet: Fleet) -> Figure:
-    """Bytes of one node's whole file: its listeners, customers, known hosts and members."""
+    """Bytes of the whole configuration file of one node: listeners, customers, known hosts and members."""
     listeners = fleet.lines.at("configuration.bytes_by_listeners", fleet.assumed("listeners"))
     customers = fleet.assumed("customers") * fleet.assumed("customer_bytes")
     hosts = fleet.assumed("hosts") * fleet.assumed("host_row_bytes")
@@ -44,10 +44,10 @@
 
 
 def apply_seconds(fleet: Fleet) -> Figure:
-    """Processor seconds in which a node takes a file.
+    """Processor seconds in which a node applies a file.
 
-    The line by size is of the reading; what listeners and customers cost beyond it is added by their
-    own slopes, in which their part of the reading is counted once more.
+    The line by size covers reading the file. The further costs of listeners and customers are added from
+    their own slopes, which include their share of the reading, so that share is counted twice.
     """
     lines, listeners, customers = fleet.lines, fleet.assumed("listeners"), fleet.assumed("customers")
     return (
@@ -58,13 +58,13 @@
 
 
 def file_changes(fleet: Fleet) -> Figure:
-    """Times a day that a node's file has to change: the operators' changes, and members replaced."""
+    """Changes of a node's file per day: changes by operators, and replaced members."""
     return figure(fleet.target.configuration.changes_a_day) + fleet.target.faults.machines_replaced_a_day
 
 
 def role(fleet: Fleet) -> Role:
-    parts = (_state, _at_node, _at_instance, _instance_lost, _without_control, _members)
-    return Role("Distribution of configuration", tuple(made for part in parts for made in part(fleet)))
+    sections = (_state, _at_node, _at_instance, _instance_lost, _without_control, _members)
+    return Role("Distribution of configuration", tuple(row for section in sections for row in section(fleet)))
 
 
 def _state(fleet: Fleet) -> list[Row]:
@@ -86,7 +86,7 @@
             "",
             watches_per_instance(fleet),
             MAX_WATCHES,
-            f"{ZONE_WITH_ONE}; {OWN_LIMIT}",
+            f"{ZONE_WITH_ONE_INSTANCE}; {OWN_LIMIT}",
         ),
         make_row(
             need,
@@ -208,27 +208,27 @@
 
 
 def _instance_lost(fleet: Fleet) -> list[Row]:
-    """A control machine that falls silent, the only one of its zone."""
+    """The only control machine of a zone falls silent."""
     need, moved = Need.CONFIGURATION, watches_taken_over(fleet)
-    most = watches_per_instance(fleet)
+    watches = watches_per_instance(fleet)
     subscriptions = fleet.lines.per_unit("distribution.subscribe_cpu", moved) * moved
-    refill = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
-    tried = largest([figure(RECONNECT_SPREAD_MS / MS_PER_S), refill])
+    paced_s = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
+    reconnect_s = largest([figure(RECONNECT_SPREAD_MS / MS_PER_S), paced_s])
     return [
         make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches that move",
             "",
-            most,
-            note=ZONE_WITH_ONE,
+            watches,
+            note=ZONE_WITH_ONE_INSTANCE,
         ),
         make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches at one of its region's others",
             "",
-            most + moved,
+            watches + moved,
             MAX_WATCHES,
             OWN_LIMIT,
         ),
@@ -244,7 +244,7 @@
             Kind.TIME,
             "a control machine lost: until all its nodes watch elsewhere",
             "s",
-            PUBLISHER_SILENT_MS / MS_PER_S + tried + BUSY_RETRY_MS / MS_PER_S,
+            PUBLISHER_SILENT_MS / MS_PER_S + reconnect_s + BUSY_RETRY_MS / MS_PER_S,
             fleet.target.configuration.within,
             "from the program's bounds: silence, tries spread or connects paced, one refusal with a wait",
         ),
@@ -284,7 +284,7 @@
 
 
 def _members(fleet: Fleet) -> list[Row]:
-    """A version may not set who is a member."""
+    """The list of members, which a version may not set."""
     need = Need.MEMBER_LIST
     return [
         make_row(
--- a/caperdeck/lab/capacity/roles/control.py
+++ b/caperdeck/lab/capacity/roles/control.py
@@ -1,4 +1,4 @@
-"""What all node processes of one machine spend on control, against the machine's part for it."""
+"""The resources that all node processes of one machine spend on control, and the machine's limits for it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Spent(NamedTuple):
-    """What one mechanism spends at one process."""
+    """The resources that one mechanism spends at one process."""
 
     need: Need
     what: str
@@ -40,19 +40,21 @@
 
 
 def _rows(
-    fleet: Fleet, kind: Kind, name: str, unit: str, parts: tuple[Spent, ...], bound: float
+    fleet: Fleet, kind: Kind, name: str, unit: str, mechanisms: tuple[Spent, ...], bound: float
 ) -> list[Row]:
-    """A row for each mechanism, over all processes of the machine, and one for the sum."""
+    """A row for each mechanism over all processes of the machine, and one for the sum."""
     rows = [
-        make_row(part.need, kind, f"{part.what}, {name}", unit, part.amount * fleet.processes, bound)
-        for part in parts
+        make_row(
+            mechanism.need, kind, f"{mechanism.what}, {name}", unit, mechanism.amount * fleet.processes, bound
+        )
+        for mechanism in mechanisms
     ]
-    whole = total(each.amount for each in rows)
+    whole = total(row.amount for row in rows)
     return [*rows, make_row(Need.CONTROL_BUDGET, kind, f"all of it, {name}", unit, whole, bound)]
 
 
 def processor(fleet: Fleet) -> tuple[Spent, ...]:
-    """Parts of a core."""
+    """Shares of a core by mechanism."""
     lines, members, hosts = fleet.lines, fleet.members, fleet.assumed("hosts")
     list_changes = fleet.assumed("hosts_replaced_a_day") / SECONDS_PER_DAY
     versions = version_processor(fleet) * version_rate(fleet).mean
@@ -67,7 +69,7 @@
 
 
 def memory(fleet: Fleet) -> tuple[Spent, ...]:
-    """Bytes."""
+    """Bytes of memory by mechanism."""
     lines = fleet.lines
     return (
         Spent(Need.MEMBERSHIP, "membership", lines.at("peers.state_bytes", fleet.members)),
@@ -77,7 +79,7 @@
 
 
 def sent(fleet: Fleet) -> tuple[Spent, ...]:
-    """Bytes a second."""
+    """Bytes per second by mechanism."""
     lines, members = fleet.lines, fleet.members
     list_changes = fleet.assumed("hosts_replaced_a_day") / SECONDS_PER_DAY
     versions = version_traffic(fleet) * version_rate(fleet).mean
--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -1,4 +1,4 @@
-"""The machines set aside for control: instances that agree and publish, one of which owns work for all."""
+"""The machines reserved for control: instances that agree and publish, one of which owns work for all nodes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .configuration import file_changes
 
 ONE_REACTOR = 1.0
-MEASURED_INSTANCES = 3  # that the lines of agreement were measured with
+MEASURED_INSTANCES = 3  # cluster size in the measurements of agreement
 LEADS = "it commits versions too; without owned work, and idle as an instance that follows"
 SMALL_ENTRIES = "small entries; times the followers there are, over those measured"
 
@@ -138,7 +138,7 @@
 
 
 def _publisher(fleet: Fleet) -> list[Row]:
-    """What the distribution of configuration takes of the instance that leads, beside owned work."""
+    """The cost of distributing configuration at the leader, without the cost of owned work."""
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     return [
         make_row(
@@ -185,13 +185,13 @@
 
 
 def entries_a_second(fleet: Fleet) -> Figure:
-    """Renewals of all leases, and changes of configuration at their peak, were they agreed on."""
+    """Log entries per second: renewals of all leases, and the peak of configuration changes as entries."""
     renewals = len(WORKS) * MS_PER_S / (DEFAULT_SPAN_MS * RENEW_AT_SHARE)
     return file_changes(fleet) / SECONDS_PER_DAY * fleet.assumed("peak_times") + renewals
 
 
 def census_characters(members: Figure) -> Figure:
-    """Length of the census's agreed text when all of so many node processes live with like shares."""
+    """Length of the replicated text of the census with `members` live node processes and equal shares."""
     if members.value is None:
         return members
     names = [f"n{number:04}" for number in range(math.ceil(members.value))]
--- a/caperdeck/lab/capacity/roles/discovery.py
+++ b/caperdeck/lab/capacity/roles/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one service that every node process keeps a watch open at."""
+"""Discovery: one service at which every node process keeps a watch open."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..needs import Need
 from ..row import Kind, Role, make_row
 
-WAITS = 2  # spans of back-off that may pass until a watch that fell silent is open again
+BACKOFF_WAITS = 2  # back-off waits that may pass until a silent watch is open again
 
 
 def role(fleet: Fleet) -> Role:
@@ -60,7 +60,7 @@
                 Kind.TIME,
                 "until a watch that fell silent is open again",
                 "s",
-                Figure(SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + WAITS * UNREACHABLE.max_span_s),
+                Figure(SILENCE_TIMEOUT_S + ANSWER_TIMEOUT_S + BACKOFF_WAITS * UNREACHABLE.max_span_s),
                 fleet.target.configuration.within,
             ),
         ),
--- a/caperdeck/lab/capacity/roles/host.py
+++ b/caperdeck/lab/capacity/roles/host.py
@@ -1,4 +1,4 @@
-"""A host: it holds its part of the connections and answers the probes of all node processes."""
+"""A host, which has its share of the connections and answers the probes of all node processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 def role(fleet: Fleet) -> Role:
     target, hosts = fleet.target, fleet.assumed("hosts")
-    come = target.fleet.connections / fleet.assumed("connection_life")
+    new_connections = target.fleet.connections / fleet.assumed("connection_life")
     return Role(
         "Host",
         (
@@ -25,7 +25,9 @@
                 "/s",
                 target.deliveries.per_second / hosts,
             ),
-            make_row(Need.HOST_FIGURES, Kind.MESSAGES, "new connections, a second", "/s", come / hosts),
+            make_row(
+                Need.HOST_FIGURES, Kind.MESSAGES, "new connections, a second", "/s", new_connections / hosts
+            ),
             make_row(
                 Need.HOST_FIGURES,
                 Kind.MESSAGES,
--- a/caperdeck/lab/capacity/roles/membership.py
+++ b/caperdeck/lab/capacity/roles/membership.py
@@ -1,4 +1,4 @@
-"""Membership: who lives, by SWIM among all node processes."""
+"""Membership: which node processes are alive, by SWIM among all of them."""
 
 from __future__ import annotations
 
--- a/caperdeck/lab/capacity/roles/process.py
+++ b/caperdeck/lab/capacity/roles/process.py
@@ -1,15 +1,15 @@
-"""A node process: one reactor that relays lines for its part of the connections."""
+"""A node process: one reactor that relays lines for its share of the connections."""
 
 from __future__ import annotations
 
 from ..figure import total
 from ..fleet import Fleet
 from ..lines import delay_measurement, line_cost
-from ..load import on_busy_machine, process_memory, utilisation, utilisation_parts
+from ..load import on_busy_machine, process_memory, utilisation, utilisation_shares
 from ..needs import Need
 from ..row import Kind, Role, Row, make_row
 
-SOCKETS = 2  # of a standing connection: the client's and the host's
+SOCKETS_PER_CONNECTION = 2  # one to the client, one to the host
 
 
 def role(fleet: Fleet) -> Role:
@@ -26,7 +26,7 @@
             Kind.STATE,
             "descriptors with a zone lost",
             "",
-            lost.connections * SOCKETS,
+            lost.connections * SOCKETS_PER_CONNECTION,
             fleet.assumed("process_descriptors"),
         ),
         make_row(
@@ -44,13 +44,13 @@
 def _processor(fleet: Fleet) -> list[Row]:
     target, lines, load = fleet.target, fleet.lines, fleet.load()
     bound = fleet.assumed("utilisation")
-    parts = utilisation_parts(target, lines, load)
-    quiet = total(parts.values())
+    shares = utilisation_shares(target, lines, load)
+    quiet = total(shares.values())
     lost = utilisation(target, lines, fleet.load(fleet.machines_per_zone))
     return [
         *(
-            make_row(Need.DELIVERY, Kind.PROCESSOR, f"{name}, share of a reactor, quiet machine", "", part)
-            for name, part in parts.items()
+            make_row(Need.DELIVERY, Kind.PROCESSOR, f"{name}, share of a reactor, quiet machine", "", share)
+            for name, share in shares.items()
         ),
         make_row(Need.DELIVERY, Kind.PROCESSOR, "all of it, quiet machine", "", quiet, bound),
         make_row(
--- a/caperdeck/lab/capacity/roles/reconnect.py
+++ b/caperdeck/lab/capacity/roles/reconnect.py
@@ -1,4 +1,4 @@
-"""The client's reconnect: crowds that lost their connections and come back."""
+"""The client's reconnect: many clients that lost their connections at once and return."""
 
 from __future__ import annotations
 
@@ -30,55 +30,55 @@
                 "s",
                 setup_cost(fleet.target, fleet.lines, load.connections) * load.connections * fleet.processes,
             ),
-            *_crowd(fleet, "a machine", 1),
-            *_crowd(fleet, "a rack", fleet.assumed("rack_machines")),
-            *_crowd(fleet, "a zone", fleet.machines_per_zone),
+            *_after_loss(fleet, "a machine", 1),
+            *_after_loss(fleet, "a rack", fleet.assumed("rack_machines")),
+            *_after_loss(fleet, "a zone", fleet.machines_per_zone),
             make_row(
                 Need.RETURN,
                 Kind.TIME,
                 "time in which a process takes up crowds, and deliveries wait, part of all",
                 "",
-                _busy_with_crowds(fleet),
+                _reconnect_time_share(fleet),
                 1 - fleet.target.deliveries.part_within,
             ),
         ),
     )
 
 
-def _busy_with_crowds(fleet: Fleet) -> Figure:
-    """Share of the time that one process spends on the crowds of machines, racks and zones that go."""
+def _reconnect_time_share(fleet: Fleet) -> Figure:
+    """Share of the time that one process spends on clients of lost machines, racks and zones."""
     faults = fleet.target.faults
     machines_a_day = faults.machines_failing_a_day + faults.machines_replaced_a_day
-    a_year = (
+    losses_per_year = (
         (machines_a_day * SECONDS_PER_YEAR / SECONDS_PER_DAY, figure(1)),
         (faults.racks_a_year, fleet.assumed("rack_machines")),
         (faults.zones_a_year, figure(fleet.machines_per_zone)),
     )
     return total(
         seconds_to_reconnect(fleet.target, fleet.lines, fleet.load(lost), reconnects_per_process(fleet, lost))
-        * times
+        * count
         / SECONDS_PER_YEAR
-        for times, lost in a_year
+        for count, lost in losses_per_year
     )
 
 
 def reconnects_per_process(fleet: Fleet, machines_lost: Figure | float) -> Figure:
-    """Connections that come back at one of the processes that are left."""
+    """Connections that return to one of the remaining processes."""
     return fleet.load(machines_lost).connections - fleet.load().connections
 
 
-def _crowd(fleet: Fleet, name: str, machines_lost: Figure | float) -> list[Row]:
-    load, crowd = fleet.load(machines_lost), reconnects_per_process(fleet, machines_lost)
-    left = 1 - utilisation(fleet.target, fleet.lines, load)
-    taken = left / on_busy_machine(fleet.target, setup_cost(fleet.target, fleet.lines, crowd))
+def _after_loss(fleet: Fleet, name: str, machines_lost: Figure | float) -> list[Row]:
+    load, reconnects = fleet.load(machines_lost), reconnects_per_process(fleet, machines_lost)
+    idle_share = 1 - utilisation(fleet.target, fleet.lines, load)
+    max_rate = idle_share / on_busy_machine(fleet.target, setup_cost(fleet.target, fleet.lines, reconnects))
     return [
         make_row(
             Need.RETURN,
             Kind.MESSAGES,
             f"after {name}: connections a second at one process",
             "/s",
-            crowd / fleet.assumed("return_span"),
-            taken,
+            reconnects / fleet.assumed("return_span"),
+            max_rate,
             "bound: what it can take up beside its load",
         ),
         make_row(
@@ -86,7 +86,7 @@
             Kind.TIME,
             f"after {name}: until all are served again",
             "s",
-            seconds_to_reconnect(fleet.target, fleet.lines, load, crowd),
+            seconds_to_reconnect(fleet.target, fleet.lines, load, reconnects),
             fleet.assumed("back_within"),
         ),
     ]
--- a/caperdeck/lab/capacity/roles/regions.py
+++ b/caperdeck/lab/capacity/roles/regions.py
@@ -1,4 +1,4 @@
-"""Regions that lose each other: nothing in the program knows regions, only one fleet with zones."""
+"""Partitions between regions. The program has no notion of a region, only of one fleet with zones."""
 
 from __future__ import annotations
 
--- a/caperdeck/lab/capacity/roles/topics.py
+++ b/caperdeck/lab/capacity/roles/topics.py
@@ -1,4 +1,4 @@
-"""Topics and their shards: nothing in the program knows them."""
+"""Topics and their shards, of which the program has no notion."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def role(fleet: Fleet) -> Role:
     topics, hosts = fleet.target.topics, fleet.assumed("hosts")
     listeners = figure(topics.largest_listeners)
-    part = listeners / fleet.target.fleet.connections
+    listener_share = listeners / fleet.target.fleet.connections
     need = Need.TOPICS
     return Role(
         "Topics",
@@ -42,7 +42,11 @@
                 note="a node relays one connection's lines to one client and copies nothing",
             ),
             make_row(
-                need, Kind.MESSAGES, "part of all connections that listen to the largest topic", "", part
+                need,
+                Kind.MESSAGES,
+                "part of all connections that listen to the largest topic",
+                "",
+                listener_share,
             ),
         ),
     )
--- a/caperdeck/lab/capacity/tables.py
+++ b/caperdeck/lab/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables in Markdown."""
+"""Writes the report as Markdown tables."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 )
 
 SMALL_SIZES_NOTE = "small sizes; "
-"""Begins the note of what `caperdeck lab slopes --small` has measured."""
+"""Start of the note of a measurement made by `caperdeck lab slopes --small`."""
 
 
 def table(heading: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
+    """The lines of a Markdown table."""
     lines = ["| " + " | ".join(heading) + " |", "| " + " | ".join("---" for _ in heading) + " |"]
     return lines + ["| " + " | ".join(row) + " |" for row in rows]
 
 
 def markdown(report: Report) -> str:
-    """All tables, as they stand on the page."""
+    """All tables, in the order of the page."""
     parts = [
         _source(report),
         ["## How many node processes", "", *_sizing(report.sizing)],
@@ -54,15 +55,16 @@
 
 
 def _source(report: Report) -> list[str]:
+    """When and where the lines were measured, and what is missing."""
     record = report.record
     lines = [f"Lines taken {_provenance(record.provenance)}."]
     merged: dict[Provenance, list[str]] = {}
-    for each in record.measurements:
-        if each.provenance is not None:
-            merged.setdefault(each.provenance, []).append(each.name)
+    for measurement in record.measurements:
+        if measurement.provenance is not None:
+            merged.setdefault(measurement.provenance, []).append(measurement.name)
     for provenance, names in merged.items():
         lines.append(f"\nBut {', '.join(names)}: taken {_provenance(provenance)}.")
-    if any(each.note.startswith(SMALL_SIZES_NOTE) for each in record.measurements):
+    if any(measurement.note.startswith(SMALL_SIZES_NOTE) for measurement in record.measurements):
         lines.append("**Measured at small sizes, to see that it works: the figures say nothing.**")
     if report.missing:
         lines.append(f"**{NOT_MEASURED}:** {', '.join(report.missing)}.")
@@ -81,14 +83,14 @@
     heading = ("with a zone lost", "processes a machine", "comes to", "bound", "line stretched", "origin")
     rows = [
         (
-            each.name,
-            _count(each.processes, each.met),
-            format_figure(each.reached, each.unit),
-            format_bound(each.bound, each.unit),
-            format_extrapolation(each.processes),
-            format_origin(each.processes),
+            condition.name,
+            _count(condition.processes, condition.met),
+            format_figure(condition.reached, condition.unit),
+            format_bound(condition.bound, condition.unit),
+            format_extrapolation(condition.processes),
+            format_origin(condition.processes),
         )
-        for each in sizing.conditions
+        for condition in sizing.conditions
     ]
     return [*table(heading, rows), "", _verdict(sizing)]
 
@@ -149,24 +151,24 @@
         "after",
         "line stretched",
     )
-    return table(heading, [_fault(each) for each in faults])
+    return table(heading, [_fault(fault) for fault in faults])
 
 
-def _fault(each: Fault) -> tuple[str, ...]:
-    read = (each.core_seconds, each.seconds_until_served, each.memory_bytes, each.detected_after_s)
-    furthest = max(read, key=lambda figure: figure.extrapolation)
+def _fault(fault: Fault) -> tuple[str, ...]:
+    estimates = (fault.core_seconds, fault.seconds_until_served, fault.memory_bytes, fault.detected_after_s)
+    furthest = max(estimates, key=lambda figure: figure.extrapolation)
     return (
-        each.name,
-        format_figure(each.per_year, ""),
-        format_figure(each.returning_connections, ""),
-        format_figure(each.returning_per_process, ""),
-        format_figure(each.returning_per_s, "/s"),
-        format_figure(each.core_seconds, "s"),
-        format_figure(each.seconds_until_served, "s"),
-        format_figure(each.memory_bytes, "B"),
-        format_figure(each.files_to_change, ""),
-        each.detected_by,
-        format_figure(each.detected_after_s, "s"),
+        fault.name,
+        format_figure(fault.per_year, ""),
+        format_figure(fault.returning_connections, ""),
+        format_figure(fault.returning_per_process, ""),
+        format_figure(fault.returning_per_s, "/s"),
+        format_figure(fault.core_seconds, "s"),
+        format_figure(fault.seconds_until_served, "s"),
+        format_figure(fault.memory_bytes, "B"),
+        format_figure(fault.files_to_change, ""),
+        fault.detected_by,
+        format_figure(fault.detected_after_s, "s"),
         format_extrapolation(furthest),
     )
 
@@ -182,13 +184,13 @@
         "row",
         "origin",
     )
-    return table(heading, [_rank(place, rank) for place, rank in enumerate(ranks, 1)])
+    return table(heading, [_rank(position, rank) for position, rank in enumerate(ranks, 1)])
 
 
-def _rank(place: int, rank: Rank) -> tuple[str, ...]:
+def _rank(position: int, rank: Rank) -> tuple[str, ...]:
     worst = format_bound_ratio(rank.bound_ratio) or (NOT_MEASURED if rank.not_measured else "no bound")
     return (
-        str(place),
+        str(position),
         rank.need.value,
         rank.mechanism,
         MECHANISMS[rank.need].location,
@@ -202,13 +204,15 @@
 def _expected(report: Report) -> list[str]:
     rows = [
         (
-            each.what,
-            format_amount(each.expected, each.unit),
-            format_figure(each.found, each.unit),
-            "" if each.found.value is None else format_number(each.found.value / each.expected),
-            format_extrapolation(each.found),
+            expectation.what,
+            format_amount(expectation.expected, expectation.unit),
+            format_figure(expectation.found, expectation.unit),
+            ""
+            if expectation.found.value is None
+            else format_number(expectation.found.value / expectation.expected),
+            format_extrapolation(expectation.found),
         )
-        for each in report.expected
+        for expectation in report.expected
     ]
     return table(("what", "expected", "found", "found over expected", "line stretched"), rows)
 
@@ -223,25 +227,25 @@
 
 
 def _measurements(report: Report) -> list[str]:
-    found = {each.name: each for each in report.record.measurements}
+    measured = {measurement.name: measurement for measurement in report.record.measurements}
     heading = ("measurement", "what", "unit", "against", "fixed", "slope", "r²", "largest size", "from")
-    names = [*MEASUREMENT_NAMES, *(name for name in found if name not in MEASUREMENT_NAMES)]
-    rows = [_measurement(found[name]) if name in found else _unmeasured(name) for name in names]
+    names = [*MEASUREMENT_NAMES, *(name for name in measured if name not in MEASUREMENT_NAMES)]
+    rows = [_measurement(measured[name]) if name in measured else _unmeasured(name) for name in names]
     return table(heading, rows)
 
 
-def _measurement(each: Measurement) -> tuple[str, ...]:
-    line = each.line
+def _measurement(measurement: Measurement) -> tuple[str, ...]:
+    line = measurement.line
     return (
-        each.name,
-        each.what,
-        each.unit,
-        each.against,
+        measurement.name,
+        measurement.what,
+        measurement.unit,
+        measurement.against,
         format_number(line.fixed),
         format_number(line.slope),
         f"{line.r_squared:.3f}" if line.fits else f"**{line.r_squared:.3f}**",
-        format_number(largest_size(each)),
-        each.source.value,
+        format_number(largest_size(measurement)),
+        measurement.source.value,
     )
 
 
--- a/caperdeck/lab/capacity/versions.py
+++ b/caperdeck/lab/capacity/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration: what they hold, where they are watched, and what they cost each side."""
+"""Versions of the configuration: their size, the number of watches, and the costs at nodes and instances."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from .fleet import Fleet
 from .load import SECONDS_PER_DAY
 
-WATCHES_PER_PROCESS = 1.0  # of a node process
+WATCHES_PER_PROCESS = 1.0
 
 
 class VersionRate(msgspec.Struct, frozen=True):
-    """Versions a second."""
+    """Published versions per second."""
 
     mean: Figure
     peak: Figure
@@ -24,45 +24,45 @@
 
 
 def version_bytes(fleet: Fleet) -> Figure:
-    """Bytes of a version's document: what is alike at all nodes, its listeners and customers."""
+    """Bytes of a version's document, which holds what all nodes have in common: listeners and customers."""
     listeners, customers = fleet.assumed("listeners"), fleet.assumed("customers")
-    of_listeners = fleet.lines.per_unit("configuration.bytes_by_listeners", listeners) * listeners
-    return of_listeners + customers * fleet.assumed("customer_bytes")
+    listener_bytes = fleet.lines.per_unit("configuration.bytes_by_listeners", listeners) * listeners
+    return listener_bytes + customers * fleet.assumed("customer_bytes")
 
 
 # ---- at a node process
 
 
 def watch_processor(fleet: Fleet) -> Figure:
-    """Share of a core that the watch takes while no version comes."""
+    """Share of a core that the watch takes while no version is published."""
     return fleet.lines.per_unit("distribution.node_cpu", WATCHES_PER_PROCESS)
 
 
 def watch_bytes(fleet: Fleet) -> Figure:
-    """Bytes a second of the watch, both ways, while no version comes."""
+    """Bytes per second of the watch, in both directions, while no version is published."""
     return fleet.lines.per_unit("distribution.node_bytes", WATCHES_PER_PROCESS)
 
 
 def watch_memory(fleet: Fleet) -> Figure:
-    """Bytes of the watch, and of the version in force."""
+    """Bytes of memory for the watch and the active version."""
     size = version_bytes(fleet)
     version = fleet.lines.per_unit("distribution.version_memory", size) * size
     return fleet.lines.per_unit("distribution.node_memory", WATCHES_PER_PROCESS) + version
 
 
 def version_processor(fleet: Fleet) -> Figure:
-    """Processor seconds of a node until a version is in force.
+    """Processor seconds of a node to apply a version.
 
-    Documents of the measured versions hold customers; what listeners cost beyond their bytes is added by
-    their own slope.
+    The measured documents hold customers only, so the cost of listeners beyond their bytes is added from the
+    slope that was measured for listeners.
     """
     lines, listeners = fleet.lines, fleet.assumed("listeners")
-    of_listeners = lines.per_unit("configuration.apply_by_listeners", listeners) * listeners
-    return lines.at("distribution.version_cpu", version_bytes(fleet)) + of_listeners
+    listener_cost = lines.per_unit("configuration.apply_by_listeners", listeners) * listeners
+    return lines.at("distribution.version_cpu", version_bytes(fleet)) + listener_cost
 
 
 def version_traffic(fleet: Fleet) -> Figure:
-    """Bytes to and from a node for a version: its lists are sent whole, as a change within one sends it."""
+    """Bytes to and from a node for a version: whole lists, as a change within a list sends all of it."""
     return fleet.lines.at("distribution.version_bytes", version_bytes(fleet))
 
 
@@ -70,38 +70,41 @@
 
 
 def watches_per_instance(fleet: Fleet) -> Figure:
-    """Watches at one instance: those of a whole zone, where instances do not go twice round the zones."""
+    """Watches at one instance: those of a whole zone, unless each zone has at least two instances."""
     zones = fleet.target.fleet.zones
-    of_a_zone = max(fleet.target.control.machines // zones, 1)
-    return fleet.members / zones / of_a_zone
+    instances_per_zone = max(fleet.target.control.machines // zones, 1)
+    return fleet.members / zones / instances_per_zone
 
 
 def watches_taken_over(fleet: Fleet) -> Figure:
-    """Watches that one instance takes up when another, the one of its zone, is lost to its region's rest."""
+    """Watches that one instance takes over when another one, the only one of its zone, is lost.
+
+    The watches of the lost instance spread over the remaining instances of its region.
+    """
     others = max(fleet.target.control.machines // fleet.target.fleet.regions - 1, 1)
     return watches_per_instance(fleet) / others
 
 
 def publish_processor(fleet: Fleet) -> Figure:
-    """Processor seconds of an instance for a version to all that watch there."""
-    a_watch = fleet.lines.at("distribution.instance_version_cpu_by_size", version_bytes(fleet))
-    return a_watch * watches_per_instance(fleet)
+    """Processor seconds of an instance to send a version to all its watches."""
+    per_watch = fleet.lines.at("distribution.instance_version_cpu_by_size", version_bytes(fleet))
+    return per_watch * watches_per_instance(fleet)
 
 
 def instance_processor(fleet: Fleet, versions_a_second: Figure) -> Figure:
-    """Share of a core of an instance that leads, publishes and owns no work."""
+    """Share of a core of an instance that leads and publishes and holds no works."""
     size, watches = version_bytes(fleet), watches_per_instance(fleet)
     version = publish_processor(fleet) + fleet.lines.at("distribution.commit_cpu", size)
     return fleet.lines.at("distribution.instance_cpu", watches) + version * versions_a_second
 
 
 def instance_memory(fleet: Fleet) -> Figure:
-    """Bytes of an instance: its process with all watches, and the versions that it keeps."""
+    """Bytes of memory of an instance: its process with all watches, and the versions that it keeps."""
     size = version_bytes(fleet)
     versions = fleet.lines.per_unit("distribution.history_memory", size) * size
     return fleet.lines.at("distribution.instance_memory", watches_per_instance(fleet)) + versions
 
 
 def instance_traffic(fleet: Fleet, versions_a_second: Figure) -> Figure:
-    """Bytes a second to and from the nodes that watch at one instance."""
+    """Bytes per second to and from the nodes that watch at one instance."""
     return watches_per_instance(fleet) * (watch_bytes(fleet) + version_traffic(fleet) * versions_a_second)
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -13,7 +13,7 @@
 from caperdeck.lab.capacity.figure import Figure, Origin, largest, total
 from caperdeck.lab.capacity.fleet import Fleet
 from caperdeck.lab.capacity.lines import MEASUREMENT_NAMES
-from caperdeck.lab.capacity.load import process_memory, setup_cost, utilisation, utilisation_parts
+from caperdeck.lab.capacity.load import process_memory, setup_cost, utilisation, utilisation_shares
 from caperdeck.lab.capacity.needs import MECHANISMS, NO_MECHANISM, Need, dependents_of
 from caperdeck.lab.capacity.ranking import ranking
 from caperdeck.lab.capacity.report import make_report
@@ -136,7 +136,7 @@
         process_load.connections.value, process_load.deliveries_per_s.value, process_load.setups_per_s.value,
     ) == (10_000, 8000, 10)  # fmt: skip
     parts = {
-        name: part.value for name, part in utilisation_parts(fleet.target, fleet.lines, process_load).items()
+        name: part.value for name, part in utilisation_shares(fleet.target, fleet.lines, process_load).items()
     }
     # a line 20 µs; a connection 1 µs a second; one that comes 300 µs and 0.1 µs a host, one that ends 100 µs
     assert parts == pytest.approx({
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(("line_bytes", "cost"), [(100, 20e-6), (550, 29e-6), (1000, 38e-6)])
 def test_lines_between_the_measured_lengths_are_interpolated(line_bytes, cost):
     fleet = small_fleet(assumed__line_bytes=line_bytes)
-    parts = utilisation_parts(fleet.target, fleet.lines, fleet.load())
+    parts = utilisation_shares(fleet.target, fleet.lines, fleet.load())
     assert parts["deliveries"].value == pytest.approx(cost * fleet.load().deliveries_per_s.value)
 
 
