--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -1,4 +1,4 @@
-"""The machines reserved for control: instances that agree and publish, one of which owns work for all nodes."""
+"""The machines reserved for control: instances that agree and publish; one of them owns work for all."""
 
 from __future__ import annotations
 
