--- a/caperdeck/lab/capacity/lines.py
+++ b/caperdeck/lab/capacity/lines.py
@@ -111,12 +111,12 @@
 
 def line_cost(lines: CostLines, assumed: Assumed, rate: Figure | float) -> Figure:
     """Processor seconds of one text line at a rate per second, interpolated between the measured lengths."""
-    part = (assumed.line_bytes - SHORT_LINE_BYTES) / (LONG_LINE_BYTES - SHORT_LINE_BYTES)
+    long_share = (assumed.line_bytes - SHORT_LINE_BYTES) / (LONG_LINE_BYTES - SHORT_LINE_BYTES)
     short, long = lines.per_unit("node.delivery_100", rate), lines.per_unit("node.delivery_1000", rate)
-    weight = Figure(part, assumed=frozenset({"line_bytes"}))
-    if part == 0:
+    weight = Figure(long_share, assumed=frozenset({"line_bytes"}))
+    if long_share == 0:
         return short
-    return long if part == 1 else short * (1 - weight) + long * weight
+    return long if long_share == 1 else short * (1 - weight) + long * weight
 
 
 def delay_measurement(target: Target) -> str:
