--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -11,7 +11,7 @@
 from .progress import Progress
 from .result import conclude, write
 from .run import ScaleRun
-from .scenario import MAX_SECONDS, MAX_STUB_PROCESSES, MOST_PEERS, load
+from .scenario import MAX_PEERS, MAX_SECONDS, MAX_STUB_PROCESSES, load
 from .table import result_lines
 
 
@@ -30,7 +30,7 @@
         return None if text is None else number(text, name, 1, maximum, 0)
 
     scenario = load(
-        arguments["SCENARIO"][0], option("nodes", MOST_PEERS), option("processes", MAX_STUB_PROCESSES),
+        arguments["SCENARIO"][0], option("nodes", MAX_PEERS), option("processes", MAX_STUB_PROCESSES),
         option("seconds", int(MAX_SECONDS)),
     )  # fmt: skip
     for name in ("--json", "--out", "--logs"):
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -10,7 +10,7 @@
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
-from caperdeck.lifecycle.sharing import MOST_PEERS
+from caperdeck.lifecycle.sharing import MAX_PEERS
 from caperdeck.lifecycle.toml import TomlError, read_toml
 
 MAX_STUB_PROCESSES = 180
@@ -167,7 +167,7 @@
 
 def _invalid_fields(scenario: ScaleScenario):
     for field_path, value, minimum, maximum in (
-        ("machines", scenario.machines, 1, MOST_PEERS),
+        ("machines", scenario.machines, 1, MAX_PEERS),
         ("processes_a_machine", scenario.processes_a_machine, 1, 64),
         ("instances", scenario.instances, 1, MOST_OWNERS),
         ("real.nodes", scenario.real.nodes, 1, MOST_PROCESSES),
@@ -176,7 +176,7 @@
             "hollow.nodes",
             scenario.stub_node_count,
             scenario.stubs.processes,
-            MOST_PEERS - scenario.real.nodes,
+            MAX_PEERS - scenario.real.nodes,
         ),
         ("limits.processes", scenario.limits.processes, 1, 10_000),
         ("spans.start", scenario.spans.start, 1.0, MAX_SECONDS),
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -26,7 +26,7 @@
 from caperdeck.lifecycle.logs import start_logging
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.lifecycle.service import Service
-from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.ops.admin_server import AdminConnection, AdminServer
 from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.peers.swim import MemberState
 from caperdeck.state.addresses import parse_address
@@ -41,30 +41,32 @@
 UNUSED_CLIENT_ADDRESS = "127.0.0.1:9"  # required by the configuration; a stub node does not listen there
 
 
-class CountingAdminServer(Front):
+class CountingAdminServer(AdminServer):
+    """Counts the accepted connections."""
+
     def __init__(self, reactor: Any, calls: Any, traffic: Traffic) -> None:
         super().__init__(reactor, calls)
         self.traffic = traffic
 
-    def came(self, caller: Caller) -> None:
+    def connection_opened(self, connection: AdminConnection) -> None:
         self.traffic.connections_in += 1
-        super().came(caller)
+        super().connection_opened(connection)
 
 
 class StubNode(Service):
     """A service without clients and signal handlers that leaves the log of its process unchanged."""
 
     def start_control(self, traffic: Traffic) -> None:
-        self.know(self.config.known)
+        self.load_hosts(self.config.known_hosts)
         self.discovery.start()
         CountingAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
-        self.keep_sweeping()
-        self.takes = True
-        self.join()
+        self.start_sweeping()
+        self.takes_clients = True
+        self.join_peers()
         if self.peers is not None:
             count_received_datagrams(traffic, self.peers)
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """Does nothing: there is no port for clients."""
 
     def exit(self, code: int = 0) -> None:
@@ -156,7 +158,7 @@
         )  # fmt: skip
         config = decode_config(raw)
         # Each node parses the peer addresses itself, at the cost that a node in its own process has.
-        return replace(config, peers=config.peers._replace(addresses=plan.peers, everyone=None))
+        return replace(config, peers=config.peers._replace(addresses=plan.peers, all_peers_address=None))
 
     def record_heartbeat(self) -> None:
         self.heartbeat.record_beat(time.monotonic())
@@ -183,7 +185,7 @@
         return Sample(
             nodes=len(views), ready=self.ready, know_most=sum(share >= CONVERGED_SHARE for share in shares),
             known=sum(shares) / max(len(shares), 1),
-            told=sum(node.owned.target.epoch > 0 for node in self.nodes),
+            told=sum(node.owned_node.target.epoch > 0 for node in self.nodes),
             watched_dead=sum(sees_silent(swim, watched) for swim in views),
             watched_alive=sum(map(sees_restarted, views, incarnations)),
             cpu=time.process_time(), base_uss=self.base_uss, traffic=self.traffic, late=self.heartbeat.stats,
--- a/caperdeck/owner/instance.py
+++ b/caperdeck/owner/instance.py
@@ -21,7 +21,7 @@
 from caperdeck.leases.runner import Action, Proposal, Runner, RunnerEvent
 from caperdeck.leases.table import LeaseTable
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.lifecycle.logs import one_line
+from caperdeck.lifecycle.logs import traceback_line
 from caperdeck.raft.core import Raft, Role, Save
 from caperdeck.raft.driver import Driver
 from caperdeck.raft.log import Entry, Members
@@ -379,7 +379,7 @@
         # Nothing may be answered or sent that depends on a write which may not be on disk.
         self.driver.close()
         known = failure.check(StorageError) is not None
-        self.on_failure(str(failure.value) if known else one_line(failure))
+        self.on_failure(str(failure.value) if known else traceback_line(failure))
 
     def _receive(self, message: Any) -> None:
         self.driver.receive(message)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -26,9 +26,9 @@
 from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
 from caperdeck.leases.census_state import MAX_NODES
 from caperdeck.lifecycle.config import ConfigError
-from caperdeck.lifecycle.owners import Owned
-from caperdeck.lifecycle.owners import load as load_for_node
-from caperdeck.ops.admin_server import PATIENCE, Front
+from caperdeck.lifecycle.owners import OwnedNode
+from caperdeck.lifecycle.owners import load_owners_for_node
+from caperdeck.ops.admin_server import CALLER_TIMEOUT_S, AdminServer
 from caperdeck.owner.commands import call_instance
 from caperdeck.owner.config import OwnerError, load_instance, load_owners
 from caperdeck.owner.instance import Instance
@@ -88,7 +88,7 @@
 
     config = load_config(write_config(tmp_path / "c", CONFIG))
     with pytest.raises(ConfigError, match="admin_addr"):
-        load_for_node(str(ROOT / "deploy/owners.toml"), config)
+        load_owners_for_node(str(ROOT / "deploy/owners.toml"), config)
 
 
 # ---- frames
@@ -210,22 +210,22 @@
 
 def test_a_node_keeps_an_owners_connection_while_actions_arrive(tmp_path):
     d, service, owned = make_owned_node(tmp_path)
-    service.calls.add("act", 3, owned.act, owned.longest, keeps=True)
-    front = Front(d.reactor, service.calls)
+    service.calls.add("act", 3, owned.act, owned.max_argument_bytes, keep_open=True)
+    front = AdminServer(d.reactor, service.calls)
     conn, wire = front.buildProtocol(None), RecordingTransport()
     conn.makeConnection(wire)
     line = action_line("hosts", 1, {"number": 1, "out": [], "ms": 2000, "ask": []})
     for _ in range(3):
         conn.dataReceived(line)
-        d.reactor.advance(PATIENCE - 1)
+        d.reactor.advance(CALLER_TIMEOUT_S - 1)
     conn.dataReceived(line + line.replace(b" 1 ", b" 0 "))
     assert [answer[:5] for answer in wire.lines()] == [b"ACK {"] * 4 + [b"NAK n"] and not wire.ended
     assert wire.producer is conn  # no further action is read while answers cannot be written
-    d.reactor.advance(PATIENCE + 1)
+    d.reactor.advance(CALLER_TIMEOUT_S + 1)
     assert wire.ended == "reset"
     conn.dataReceived(b"")
     conn.connectionLost(Failure(ConnectionDone()))
-    assert not front.open
+    assert not front.connections
 
 
 # ---- disk failures
@@ -280,7 +280,7 @@
     d = make_handler(hosts=8)
     service = service_over(d, tmp_path)
     owners = load_owners(str(ROOT / "deploy/owners.toml"))
-    owned = service.owned = Owned(d.reactor, d, owners, "n0", 4, service.bans_of)
+    owned = service.owned_node = OwnedNode(d.reactor, d, owners, "n0", 4, service.excluded_hosts)
     for work in ("hosts", "census"):
         owned.target.fence.record_token(work, 0)
     return d, service, owned
@@ -328,14 +328,14 @@
 
 def test_an_action_with_the_longest_lists_is_accepted(tmp_path):
     from caperdeck.leases.outlier_ejection import EJECTION_LEASE_MS, MAX_UID_CHARACTERS, truncate_uids
-    from caperdeck.ops.admin_server import LONGEST_CALL
+    from caperdeck.ops.admin_server import MAX_CALL_BYTES
 
     uids = truncate_uids([f"slot-servers-{i}-{'x' * 60}" for i in range(20)])
     body = {"number": 123456, "out": uids, "ms": EJECTION_LEASE_MS, "ask": uids}
     line = action_line("hosts", 1 << 40, body)
-    assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= LONGEST_CALL
+    assert sum(map(len, uids)) <= MAX_UID_CHARACTERS and len(line) <= MAX_CALL_BYTES
     d, service, owned = make_owned_node(tmp_path)
-    service.calls.add("act", 3, owned.act, owned.longest)
+    service.calls.add("act", 3, owned.act, owned.max_argument_bytes)
     said = []
     service.calls.call(line.rstrip(b"\n"), said.append)
     assert said[0][0].startswith("ACK")
