--- a/caperdeck/lab/capacity/figure.py
+++ b/caperdeck/lab/capacity/figure.py
@@ -37,6 +37,7 @@
 
     @property
     def origin(self) -> Origin:
+        """Where the value comes from: not measured, measured, computed or assumed."""
         if self.value is None:
             return Origin.NOT_MEASURED
         if self.measured:
@@ -75,6 +76,7 @@
 
 
 def total(figures: Iterable[Figure]) -> Figure:
+    """The sum, with the sources of all."""
     return sum(figures, Figure(0.0))
 
 
--- a/caperdeck/lab/capacity/lines.py
+++ b/caperdeck/lab/capacity/lines.py
@@ -40,6 +40,7 @@
         self.record = record
 
     def find(self, name: str) -> Measurement | None:
+        """The measurement with a name, if the record has it."""
         try:
             return self.record.find(name)
         except RecordError:
@@ -101,6 +102,7 @@
 
 
 def largest_size(measurement: Measurement) -> float:
+    """The largest size at which the cost was measured."""
     return max(point.size for point in measurement.points)
 
 
--- a/caperdeck/lab/capacity/load.py
+++ b/caperdeck/lab/capacity/load.py
@@ -35,6 +35,7 @@
 
 
 def machines_per_zone(target: Target) -> float:
+    """The mean number of machines in a zone."""
     return target.fleet.machines / target.fleet.zones
 
 
--- a/caperdeck/lab/capacity/page.py
+++ b/caperdeck/lab/capacity/page.py
@@ -23,6 +23,7 @@
 
 
 def replace_generated_part(page: str, generated: str) -> str:
+    """The text of a page with new text between the marks."""
     begin, end = _marker_positions(page)
     return f"{page[:begin]}\n\n{generated.strip()}\n\n{page[end:]}"
 
--- a/caperdeck/lab/capacity/ranking.py
+++ b/caperdeck/lab/capacity/ranking.py
@@ -26,6 +26,7 @@
 
     @property
     def bound_ratio(self) -> float | None:
+        """The worst row's amount over its bound; None if no row has a bound and a value."""
         return self.worst.bound_ratio if self.worst else None
 
 
--- a/caperdeck/lab/capacity/target.py
+++ b/caperdeck/lab/capacity/target.py
@@ -32,6 +32,8 @@
 
 
 class FleetTarget(Table, frozen=True):
+    """Size of the fleet."""
+
     machines: AtLeastTwo
     connections: Count
     regions: Count
@@ -39,17 +41,23 @@
 
 
 class Topics(Table, frozen=True):
+    """Number of topic shards, and the listeners of the largest topic."""
+
     shards: Count
     largest_listeners: Count
 
 
 class Deliveries(Table, frozen=True):
+    """Rate of deliveries, and the time within which a share of them must arrive."""
+
     per_second: Amount
     within: Amount  # seconds
     part_within: Share
 
 
 class Configuration(Table, frozen=True):
+    """Rate of configuration changes, and the time within which one must be active everywhere."""
+
     changes_a_day: Amount
     within: Amount  # seconds
 
@@ -64,6 +72,8 @@
 
 
 class Faults(Table, frozen=True):
+    """Expected rates of faults over the whole fleet."""
+
     machines_failing_a_day: Amount
     machines_replaced_a_day: Amount
     racks_a_year: Amount
@@ -102,6 +112,8 @@
 
 
 class Target(Table, frozen=True):
+    """The whole file."""
+
     fleet: FleetTarget
     topics: Topics
     deliveries: Deliveries
--- a/caperdeck/lab/capacity/text.py
+++ b/caperdeck/lab/capacity/text.py
@@ -53,6 +53,7 @@
 
 
 def format_figure(figure: Figure, unit: str) -> str:
+    """The value of a figure with its unit."""
     return format_amount(figure.value, unit)
 
 
--- a/caperdeck/lab/capacity/versions.py
+++ b/caperdeck/lab/capacity/versions.py
@@ -19,6 +19,7 @@
 
 
 def version_rate(fleet: Fleet) -> VersionRate:
+    """The target's changes of configuration, each published as a version."""
     mean = figure(fleet.target.configuration.changes_a_day) / SECONDS_PER_DAY
     return VersionRate(mean, mean * fleet.assumed("peak_times"))
 
--- a/caperdeck/lab/scale/checks.py
+++ b/caperdeck/lab/scale/checks.py
@@ -21,6 +21,8 @@
 
 
 class Verdict(enum.StrEnum):
+    """The result of a check, in the order in which checks are listed."""
+
     BROKEN = "broken"
     GAP = "gap"
     HELD = "held"
@@ -83,6 +85,7 @@
 
 
 def exit_code(checks: Iterable[Check], void: list[str]) -> int:
+    """The exit code of a run; the reasons in `void` take precedence over all checks."""
     if void:
         return LAB_VOID
     return LAB_BROKEN if any(check.verdict is Verdict.BROKEN for check in checks) else LAB_HELD
--- a/caperdeck/lab/scale/heartbeat.py
+++ b/caperdeck/lab/scale/heartbeat.py
@@ -32,6 +32,7 @@
         self.stats, self.last_beat_at = LatenessStats(), now
 
     def record_beat(self, now: float) -> None:
+        """Adds the time since the last heartbeat and its lateness to the statistics."""
         behind = max(now - self.last_beat_at - HEARTBEAT_INTERVAL_S, 0.0)
         self.stats.seconds += now - self.last_beat_at
         self.stats.worst_ms = max(self.stats.worst_ms, behind * 1000.0)
--- a/caperdeck/lab/scale/measure.py
+++ b/caperdeck/lab/scale/measure.py
@@ -93,6 +93,7 @@
 
 
 def total_bytes(traffic) -> int:
+    """Payload bytes of datagrams and streams, sent and received."""
     return (
         traffic.datagram_bytes_in + traffic.datagram_bytes_out
         + traffic.stream_bytes_in + traffic.stream_bytes_out
@@ -100,4 +101,5 @@
 
 
 def total_datagrams(traffic) -> int:
+    """Datagrams sent and received."""
     return traffic.datagrams_in + traffic.datagrams_out
--- a/caperdeck/lab/scale/places.py
+++ b/caperdeck/lab/scale/places.py
@@ -31,6 +31,7 @@
         raise OSError("no free loopback addresses")
 
     def discovery_address(self) -> str:
+        """The address of the process that serves discovery to the stub nodes."""
         return f"{self.network}.{DISCOVERY_SUFFIX}:{FIRST_PORT}"
 
     def node_addresses(self, racks: list[list[int]]) -> dict[int, str]:
@@ -41,4 +42,5 @@
         }  # fmt: skip
 
     def close(self) -> None:
+        """Releases the network."""
         self.reserved_socket.close()
--- a/caperdeck/lab/scale/processes.py
+++ b/caperdeck/lab/scale/processes.py
@@ -27,6 +27,7 @@
         self.process: Any = None
 
     async def spawn(self, *arguments: str) -> None:
+        """Starts the module with command-line arguments."""
         with open(self.log, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-B", "-m", self.module, *arguments, cwd=ROOT, limit=MAX_LINE_BYTES,
@@ -56,6 +57,7 @@
         super().__init__("lists", "caperdeck.lab.scale.lists", folder / "lists.log")
 
     async def start(self, address: str, within: float) -> None:
+        """Starts the process; raises VoidError or TimeoutError if it does not listen within some seconds."""
         await self.spawn(address)
         if await asyncio.wait_for(self.process.stdout.readline(), within) != READY_LINE:
             raise VoidError("the rig's discovery process did not start listening")
@@ -72,6 +74,7 @@
         self.reader: Any = None
 
     async def start(self, plan: Plan) -> None:
+        """Starts the process with a plan and reads its samples from then on."""
         self.last_sample, self.expected_alive = None, True
         await self.spawn()
         self._write(plan)
@@ -81,6 +84,7 @@
         self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     def send(self, command: Command) -> None:
+        """Sends a command unless the process has ended."""
         if self.alive:
             self._write(command)
 
--- a/caperdeck/lab/scale/real_nodes.py
+++ b/caperdeck/lab/scale/real_nodes.py
@@ -36,6 +36,7 @@
         return {"fleetSize": self.scale.members}
 
     async def open_parts(self) -> None:
+        """Starts the rig's worker processes and assigns all addresses."""
         nodes, hosts = self.scenario.node_names(), self.scenario.host_names()
         owners = self.scenario.owner_names()
         await self._start_workers()
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -95,6 +95,7 @@
 
     @property
     def target_nodes(self) -> int:
+        """The number of nodes of the whole target fleet."""
         return self.machines * self.processes_a_machine
 
     @property
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -57,6 +57,7 @@
     """A service without clients and signal handlers that leaves the log of its process unchanged."""
 
     def start_control(self, traffic: Traffic) -> None:
+        """Starts the parts of the service that need no clients: discovery, admin server and membership."""
         self.load_hosts(self.config.known_hosts)
         self.discovery.start()
         CountingAdminServer(self.reactor, self.calls, traffic).listen(self.config.admin)
@@ -131,6 +132,7 @@
         reactor.callLater(self.plan.sample, self.send_sample)
 
     def start_next_node(self) -> None:
+        """Creates one node, so that the reactor runs between two of them."""
         cpu_before, index = time.process_time(), len(self.nodes)
         config = self.config(self.plan.numbers[index], self.plan.addresses[index])
         node = StubNode(reactor, config, self.sink, lambda: config, **self.service_options)
--- a/caperdeck/lab/scale/table.py
+++ b/caperdeck/lab/scale/table.py
@@ -15,6 +15,7 @@
 
 
 def verdict_lines(result: Result) -> list[str]:
+    """The reasons for a void run, or the verdict with the number of gaps."""
     if result.void:
         return [*(f"void: {reason}" for reason in result.void), "nothing is said about the nodes"]
     gaps = sum(check.verdict == "gap" for check in result.checks)
@@ -66,6 +67,7 @@
 
 
 def check_lines(checks: list[Check]) -> list[str]:
+    """A table of the checks with its heading."""
     head = f"{'':<8}{'what':<37}{'needed':>16}  {'measured':>20}  evidence"
     return [head, *map(check_line, checks)]
 
