--- a/caperdeck/lab/capacity/roles/control_machine.py
+++ b/caperdeck/lab/capacity/roles/control_machine.py
@@ -196,5 +196,5 @@
         return members
     names = [f"n{number:04}" for number in range(math.ceil(members.value))]
     census = Census(names, seed=0)
-    census.want = census.held = dict.fromkeys(names, 1.0 / len(names))
+    census.wanted_shares = census.held_shares = dict.fromkeys(names, 1.0 / len(names))
     return figure(len(census.dump())) * (members / members.value)
