--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -20,14 +20,14 @@
 from caperdeck.distribution.subscriber import HeldVersion, State
 from caperdeck.lab.parent_death import end_with_parent
 from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
-from caperdeck.lab.scale.heartbeat import BEAT, Beats
-from caperdeck.lab.scale.stub_nodes import collect_from_now_on
+from caperdeck.lab.scale.heartbeat import HEARTBEAT_INTERVAL_S, HeartbeatMonitor
+from caperdeck.lab.scale.stub_nodes import limit_gc_to_new_objects
 from caperdeck.lab.scale.traffic import Traffic, count_traffic
 from caperdeck.lifecycle.config import Config, decode
 from caperdeck.lifecycle.control import Control, Instance
 from caperdeck.lifecycle.logs import start_logging
-from caperdeck.lifecycle.merge import STAND_IN
-from caperdeck.lifecycle.published import Published
+from caperdeck.lifecycle.merge import PLACEHOLDER_CONFIG
+from caperdeck.lifecycle.published import PublishedConfig
 from caperdeck.lifecycle.reactor import install_reactor
 from caperdeck.owner.process import boottime_ms
 from caperdeck.state.addresses import parse_address
@@ -42,7 +42,7 @@
 
 
 class Metrics:
-    """What `Published` counts at a service."""
+    """What `PublishedConfig` counts at a service."""
 
     rejected_configs = 0
 
@@ -52,18 +52,18 @@
         self.metrics = Metrics()
 
 
-class ControlledNode(Published):
+class ControlledNode(PublishedConfig):
     """Stands for the service too: takes a configuration by keeping it."""
 
     clock = staticmethod(boottime_ms)
 
     def __init__(self, control: Control, disk: DiskThread, put: list[InForce], refuses: bool) -> None:
-        own = STAND_IN | {"name": control.place.name}
+        own = PLACEHOLDER_CONFIG | {"name": control.place.name}
         if refuses:
             own |= {"settings": own["settings"] | ONE_AIM}
-        super().__init__(reactor, control, lambda: replace(decode(own, None), own=own), disk)
+        super().__init__(reactor, control, lambda: replace(decode(own, None), file_values=own), disk)
         self.put, self.handler = put, SessionHandler()
-        self.config = self.first(self.read_own())
+        self.config = self.initial_config(self.read_file())
 
     @property
     def name(self) -> str:
@@ -72,7 +72,7 @@
     def refusal(self) -> Refused:
         return Refused(self.name, *self.watch.refused)
 
-    def take(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         self.config = config
 
     def activate(self, held: HeldVersion, prepared: Config) -> None:
@@ -95,7 +95,7 @@
         start_logging("ERROR")
         self.put: list[InForce] = []
         self.begun: list[InForce] = []
-        self.beats = Beats(plan.beat_ms)
+        self.heartbeat = HeartbeatMonitor(plan.beat_ms)
         self.base_uss = psutil.Process().memory_full_info().uss
         self.encode = msgspec.json.Encoder().encode
         self.instances = {region: instances_of(plan, region) for region in (NORTH, SOUTH)}
@@ -111,14 +111,14 @@
     def start(self) -> None:
         for node in self.nodes:
             node.start(node)
-        collect_from_now_on()
-        self.beats.zero(time.monotonic())
+        limit_gc_to_new_objects()
+        self.heartbeat.reset(time.monotonic())
         self.beat()
         self.report()
 
     def beat(self) -> None:
-        self.beats.beat(time.monotonic())
-        reactor.callLater(BEAT, self.beat)
+        self.heartbeat.record_beat(time.monotonic())
+        reactor.callLater(HEARTBEAT_INTERVAL_S, self.beat)
 
     def report(self) -> None:
         reactor.callLater(self.plan.report, self.report)
@@ -127,7 +127,7 @@
         report = Report(
             not uncurrent, self.put.copy(), self.begun.copy(), [node.name for node in uncurrent], stale,
             [node.refusal() for node in self.nodes if node.watch.refused is not None],
-            time.process_time(), self.base_uss, self.traffic, self.beats.late,
+            time.process_time(), self.base_uss, self.traffic, self.heartbeat.stats,
         )  # fmt: skip
         self.put.clear()
         self.begun.clear()
--- a/caperdeck/ops/handover.py
+++ b/caperdeck/ops/handover.py
@@ -1,4 +1,4 @@
-"""A standing connection put into a packet with its two descriptors, and taken up from one."""
+"""Hands an established session over to another process: its state in a packet, with its two descriptors."""
 
 from __future__ import annotations
 
@@ -15,63 +15,79 @@
     from caperdeck.state.sessions import Session
     from caperdeck.wire.session_handler import SessionHandler
 
-MOST_BUFFERED = 32 << 10  # bytes of a connection; one that holds more is handed on once they have gone
+MAX_BUFFERED_BYTES = 32 << 10  # per connection; a session with more is handed over once they have been sent
 
 
-def text(data: bytes) -> str:
+def decode_text(data: bytes) -> str:
+    """The bytes as text for JSON, one character per byte."""
     return data.decode("latin-1")
 
 
-def unsent(transport: Any) -> bytes:
-    """What has been written to the transport and has not gone out yet."""
+def unsent_bytes(transport: Any) -> bytes:
+    """The bytes that were written to the transport and have not been sent yet."""
     return b"".join((bytes(transport.dataBuffer)[transport.offset :], *transport._tempDataBuffer))
 
 
-def may_go(s: Session) -> bool:
-    """Stands whole: both sides are open and nothing of its end is on the way."""
-    client, conn = s.client, s.host_connection
+def can_hand_over(session: Session) -> bool:
+    """Whether the session is established, both sides are open, and neither has begun to close."""
+    client, host_side = session.client, session.host_connection
     if (
-        not s.established_at
-        or s.finished
+        not session.established_at
+        or session.finished
         or client.closing
-        or conn is None
-        or conn.ended
-        or conn.announced_end
+        or host_side is None
+        or host_side.ended
+        or host_side.announced_end
     ):
         return False
-    if not client.connected or not conn.connected:
+    if not client.connected or not host_side.connected:
         return False
-    held = (client._buffer, conn._buffer, unsent(client.transport), unsent(conn.transport))
-    return max(map(len, held)) <= MOST_BUFFERED
-
-
-def packet(handler: SessionHandler, s: Session) -> tuple[dict[str, Any], list[int]]:
-    client, conn = s.client, s.host_connection
+    buffers = (
+        client._buffer,
+        host_side._buffer,
+        unsent_bytes(client.transport),
+        unsent_bytes(host_side.transport),
+    )
+    return max(map(len, buffers)) <= MAX_BUFFERED_BYTES
+
+
+def encode_session(handler: SessionHandler, session: Session) -> tuple[dict[str, Any], list[int]]:
+    """The message that hands the session over, and the descriptors that go with it: client, then host."""
+    client, host_side = session.client, session.host_connection
     message = {
-        "say": "session", "line": text(s.request.line), "host": handler.hosts.uids[s.host], "dial": s.dial,
-        "since": s.requested_at, "deadline": s.deadline, "up_at": s.established_at,
-        "heard_at": s.client_heard_at, "asked": bool(s.unanswered_since),
-        "read": [text(client._buffer), text(conn._buffer)],
-        "unsent": [text(unsent(client.transport)), text(unsent(conn.transport))],
-    }  # fmt: skip
-    return message, [client.transport.fileno(), conn.transport.fileno()]
-
-
-def let_go(protocol: Any) -> None:
-    """Closes this process's descriptor of a connection that lives on in another one."""
+        "say": "session",
+        "line": decode_text(session.request.line),
+        "host": handler.hosts.uids[session.host],
+        "dial": session.dial,
+        "since": session.requested_at,
+        "deadline": session.deadline,
+        "up_at": session.established_at,
+        "heard_at": session.client_heard_at,
+        "asked": bool(session.unanswered_since),
+        "read": [decode_text(client._buffer), decode_text(host_side._buffer)],
+        "unsent": [
+            decode_text(unsent_bytes(client.transport)),
+            decode_text(unsent_bytes(host_side.transport)),
+        ],
+    }
+    return message, [client.transport.fileno(), host_side.transport.fileno()]
+
+
+def release_connection(protocol: Any) -> None:
+    """Closes this process's descriptor of a connection that goes on in another process."""
     transport = protocol.transport
     transport.unregisterProducer()
     transport.stopReading()
     transport.stopWriting()
-    # Danger: the library would shut the connection down, at the other process too, when this one ends.
+    # Twisted would shut the connection down when this process ends, for the other process as well.
     sock = transport.socket
     del transport.socket
     transport.connected, transport.disconnected, protocol.connected = 0, 1, 0
     sock.close()
 
 
-def alive(fd: int) -> bool:
-    with socket.socket(fileno=os.dup(fd)) as sock:
+def is_connected(descriptor: int) -> bool:
+    with socket.socket(fileno=os.dup(descriptor)) as sock:
         try:
             sock.getpeername()
         except OSError:
@@ -79,27 +95,31 @@
     return True
 
 
-def take_up(handler: SessionHandler, message: dict[str, Any], fds: list[int]) -> bool:
-    """Goes on with a session that another process of this node has handed on; False if a side has gone."""
+def adopt_session(handler: SessionHandler, message: dict[str, Any], descriptors: list[int]) -> bool:
+    """Takes over a session that another process of this node handed over; False if a side has gone."""
     try:
-        if len(fds) != 2 or not all(map(alive, fds)):
+        if len(descriptors) != 2 or not all(map(is_connected, descriptors)):
             return False
         client = ClientConnection(handler)
-        adopt(handler, fds[0], client)
-        s = handler.sessions.create(
+        adopt_connection(handler, descriptors[0], client)
+        session = handler.sessions.create(
             parse_request(message["line"].encode("latin-1")), client, message["since"]
         )
-        conn = HostConnection(handler, s, message["deadline"])
-        conn.taken_over = True
-        adopt(handler, fds[1], conn)
-        s.host, s.dial, s.host_connection = handler.hosts.index_of(message["host"]), message["dial"], conn
-        handler.sessions.mark_established(s, message["up_at"])
-        s.deadline, s.client_heard_at = message["deadline"], message["heard_at"]
-        handler.session_taken_over(s, message["asked"])
+        host_side = HostConnection(handler, session, message["deadline"])
+        host_side.taken_over = True
+        adopt_connection(handler, descriptors[1], host_side)
+        session.host, session.dial, session.host_connection = (
+            handler.hosts.index_of(message["host"]),
+            message["dial"],
+            host_side,
+        )
+        handler.sessions.mark_established(session, message["up_at"])
+        session.deadline, session.client_heard_at = message["deadline"], message["heard_at"]
+        handler.session_taken_over(session, message["asked"])
     finally:
-        for fd in fds:
-            os.close(fd)
-    sides = (client, conn)
+        for descriptor in descriptors:
+            os.close(descriptor)
+    sides = (client, host_side)
     for side, data in zip(sides, message["unsent"], strict=True):
         if data:
             side.transport.write(data.encode("latin-1"))
@@ -109,5 +129,5 @@
     return True
 
 
-def adopt(handler: SessionHandler, fd: int, protocol: Any) -> None:
-    handler.reactor.adoptStreamConnection(fd, socket.AF_INET, SingleConnectionFactory(protocol))
+def adopt_connection(handler: SessionHandler, descriptor: int, protocol: Any) -> None:
+    handler.reactor.adoptStreamConnection(descriptor, socket.AF_INET, SingleConnectionFactory(protocol))
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -229,7 +229,7 @@
     """A service that has just started on loopback with an old host list."""
 
     def __init__(self, folder, monkeypatch, hosts=2):
-        monkeypatch.setattr(Service, "mind_signals", lambda self: None)
+        monkeypatch.setattr(Service, "install_signal_handlers", lambda self: None)
         self.reactor, self.discovery, self.hosts = (
             SteppedReactor(),
             FakePeer(),
