--- a/caperdeck/lab/propagation/__init__.py
+++ b/caperdeck/lab/propagation/__init__.py
@@ -1,1 +1,1 @@
-"""How long a version takes from its commit until it is in force at all nodes, over loopback TCP."""
+"""Measures how long a version takes from its commit until all nodes have applied it, over loopback TCP."""
--- a/caperdeck/lab/propagation/instances.py
+++ b/caperdeck/lab/propagation/instances.py
@@ -1,4 +1,4 @@
-"""The instances of a run: `caperdeck owner serve` as processes, killed, stopped and asked."""
+"""The control instances of a run: starts, stops, kills and queries `caperdeck owner serve` processes."""
 
 from __future__ import annotations
 
@@ -25,58 +25,62 @@
 
 from .plan import CLUSTER, NORTH, SOUTH, instance_places
 
-PORT_KIND = 1  # of the ports' keeper
-LEADS_WITHIN = 20.0  # seconds
-LOOK = 0.05  # seconds
+SOCKET_TYPE = 1  # socket.SOCK_STREAM, for reserved ports
+LEADER_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 
 
-class Published(msgspec.Struct):
-    """A committed version. It was committed between `asked` and `answered`, in ms of the shared clock."""
+class PublishedVersion(msgspec.Struct):
+    """A version that was committed between `asked` and `answered`, in ms of the shared clock."""
 
     revision: int
     asked: float
     answered: float
 
 
-class WatchFigures(msgspec.Struct):
-    """Of one instance, since its start."""
+class WatchStats(msgspec.Struct):
+    """Watch counters of one instance since its start."""
 
     instance: str
     open: int
-    most: int  # that it takes
-    connects_in_a_second: int  # the highest, of those that it took
-    snapshots_at_once: int  # the highest
-    turned_away: int  # told to come later
+    most: int  # limit of open watches
+    connects_in_a_second: int  # highest number of accepted connections
+    snapshots_at_once: int  # highest number
+    turned_away: int  # connections that were told to retry later
 
 
 class Instances:
+    """The processes of all instances, with their addresses and configuration files."""
+
     def __init__(self, count: int, folder: Path) -> None:
         self.places = instance_places(count)
         self.folder, self.ports = folder, Ports()
-        self.addresses = [f"127.0.0.1:{self.ports.take(PORT_KIND)}" for _ in range(count)]
+        self.addresses = [f"127.0.0.1:{self.ports.take(SOCKET_TYPE)}" for _ in range(count)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.owners: dict[str, OwnerEndpoints] = {}  # what operators know, by their region
+        self.owners: dict[str, OwnerEndpoints] = {}  # the operators' configuration, by region
 
-    def write_files(self, across: dict[str, str]) -> None:
-        """`across`: by name, where whoever is in the other region reaches an instance, if elsewhere."""
+    def write_files(self, relay_addresses: dict[str, str]) -> None:
+        """Writes all configuration files; `relay_addresses` are those for the other region, by name."""
         for region in (NORTH, SOUTH):
             path = self.folder / f"owners-{region}.toml"
-            path.write_text(tomli_w.dumps({"cluster": CLUSTER, "instances": self._table(region, across)}))
+            path.write_text(
+                tomli_w.dumps({"cluster": CLUSTER, "instances": self._table(region, relay_addresses)})
+            )
             self.owners[region] = load_owners(str(path))
         for i, place in enumerate(self.places):
-            table = self._table(place.region, across)
+            table = self._table(place.region, relay_addresses)
             row = {"cluster": CLUSTER, "me": i, "folder": str(self.folder / f"o{i}"), "instances": table}
             self._file(i).write_text(tomli_w.dumps(row))
 
-    def _table(self, region: str, across: dict[str, str]) -> dict[str, str]:
-        """By number, where whoever is in that region reaches the instances."""
+    def _table(self, region: str, relay_addresses: dict[str, str]) -> dict[str, str]:
+        """Addresses at which a region reaches the instances, by their numbers."""
         return {
-            str(i): address if place.region == region else across.get(place.name, address)
-            for i, (place, address) in enumerate(self.placed())
+            str(i): address if place.region == region else relay_addresses.get(place.name, address)
+            for i, (place, address) in enumerate(self.places_with_addresses())
         }
 
-    def placed(self) -> list[tuple[Place, str]]:
-        """Each with its own address."""
+    def places_with_addresses(self) -> list[tuple[Place, str]]:
+        """All instances, each with its own address."""
         return list(zip(self.places, self.addresses, strict=True))
 
     def _file(self, i: int) -> Path:
@@ -116,44 +120,46 @@
     # ---- calls
 
     async def leader(self) -> int:
-        """The number of the one that leads and has a quorum. Raises VoidError where none does in time."""
-        until = boottime_ms() + LEADS_WITHIN * 1000.0
+        """Number of the leader that has a quorum; raises VoidError if there is none in time."""
+        until = boottime_ms() + LEADER_TIMEOUT_S * 1000.0
         while boottime_ms() < until:
             for i in range(len(self.places)):
-                said = await self._ask(i, {"do": "versions"})
-                known = await self._ask(i, {"do": "status"}) if said else None
-                if known and known.get("leader") is not None:
-                    return known["leader"]
-            await asyncio.sleep(LOOK)
-        raise VoidError(f"no instance led within {LEADS_WITHIN:g} s")
+                versions = await self._ask(i, {"do": "versions"})
+                status = await self._ask(i, {"do": "status"}) if versions else None
+                if status and status.get("leader") is not None:
+                    return status["leader"]
+            await asyncio.sleep(POLL_INTERVAL_S)
+        raise VoidError(f"no instance led within {LEADER_TIMEOUT_S:g} s")
 
     async def _ask(self, i: int, body: dict[str, Any]) -> Any:
         if self.processes[i].returncode is not None:
             return None
         return await asyncio.to_thread(call_instance, parse_address(self.addresses[i]), CLUSTER, body)
 
-    async def lead_from(self, i: int) -> None:
-        """That instance leads from now on. Raises VoidError."""
-        until = boottime_ms() + LEADS_WITHIN * 1000.0
+    async def transfer_leadership(self, i: int) -> None:
+        """Transfers leadership to an instance; raises VoidError if that fails."""
+        until = boottime_ms() + LEADER_TIMEOUT_S * 1000.0
         while (leader := await self.leader()) != i:
             if boottime_ms() > until:
-                raise VoidError(f"o{i} did not come to lead within {LEADS_WITHIN:g} s")
+                raise VoidError(f"o{i} did not come to lead within {LEADER_TIMEOUT_S:g} s")
             await self._ask(leader, {"do": "transfer", "number": i})
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def watches(self) -> list[WatchFigures]:
-        """What each instance that answers says of its watches."""
-        said = [(i, await self._ask(i, {"do": "status"})) for i in self.processes]
+    async def watches(self) -> list[WatchStats]:
+        """Watch counters of each instance that answers."""
+        statuses = [(i, await self._ask(i, {"do": "status"})) for i in self.processes]
         return [
-            WatchFigures(f"o{i}", **known["watches"]) for i, known in said if known and known.get("watches")
+            WatchStats(f"o{i}", **status["watches"])
+            for i, status in statuses
+            if status and status.get("watches")
         ]
 
-    async def publish(self, document: Document) -> Published:
-        """By the operators' command in the larger region; raises VoidError where it does not commit."""
+    async def publish(self, document: Document) -> PublishedVersion:
+        """Publishes with the operators' command in the larger region; raises VoidError if it fails."""
         times: list[float] = []
         revisions: list[int] = []
 
-        def timed(address: Address, cluster: str, body: Any) -> Any:
+        def timed_call(address: Address, cluster: str, body: Any) -> Any:
             if body["do"] == "publish":
                 times.append(boottime_ms())
             answer = call_instance(address, cluster, body)
@@ -162,12 +168,12 @@
                 revisions.append(answer["revision"])
             return answer
 
-        def call() -> int:
+        def run_command() -> int:
             with contextlib.redirect_stdout(io.StringIO()):
-                return commands.publish(self.owners[NORTH], document, None, timed)
+                return commands.publish(self.owners[NORTH], document, None, timed_call)
 
         try:
-            await asyncio.to_thread(call)
+            await asyncio.to_thread(run_command)
         except (commands.InputError, commands.UnknownError) as error:
             raise VoidError(f"publish: {error}") from None
-        return Published(revisions[-1], times[0], times[-1])
+        return PublishedVersion(revisions[-1], times[0], times[-1])
--- a/caperdeck/lab/propagation/plan.py
+++ b/caperdeck/lab/propagation/plan.py
@@ -1,4 +1,4 @@
-"""What the run and the processes of its nodes say to each other, a JSON object a line; who stands where."""
+"""Messages between a run and its processes of nodes, one JSON object per line, and the places of both."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from caperdeck.lab.scale.traffic import Traffic
 
 CLUSTER = "in-force"
-INSTANCE_ZONES = (0, 1, 3, 2, 4, 0, 3)  # of each instance; seven of them: four in the larger region
+INSTANCE_ZONES = (0, 1, 3, 2, 4, 0, 3)  # zone by instance; four of seven are in the larger region
 NORTH, SOUTH = "north", "south"  # regions, the larger one first
 ZONES = 5
 ZONES_OF_NORTH = 3
-LEAST_INSTANCES, MOST_INSTANCES = 3, len(INSTANCE_ZONES)
+MIN_INSTANCES, MAX_INSTANCES = 3, len(INSTANCE_ZONES)
 
 
 class NodePlan(msgspec.Struct):
-    """One node; `folder` is its own and exists."""
+    """One node; `folder` exists and is used by this node only."""
 
     place: Place
     folder: str
-    refuses: bool = False  # its own file does not bear a version with two listeners
+    refuses: bool = False  # its configuration file is incompatible with a version that has two listeners
 
 
 class Plan(msgspec.Struct):
-    """The one line to a process of nodes."""
+    """The only message to a process of nodes."""
 
     nodes: list[NodePlan]
-    instances: dict[str, tuple[Place, str]]  # by name, with the address
+    instances: dict[str, tuple[Place, str]]  # place and address by name
     beat_ms: float
     report: float  # seconds between reports
-    across: dict[str, str] = {}  # by name, the address for nodes of the other region, where it is another
+    across: dict[str, str] = {}  # addresses for nodes of the other region, by name
 
 
-class InForce(msgspec.Struct):
-    """A node has put a revision in force; `at` is in ms of the clock that all processes share."""
+class AppliedVersion(msgspec.Struct):
+    """A node has applied a revision; `at` is in ms of the clock that all processes share."""
 
     node: str
     revision: int
     at: float
 
 
-class Refused(msgspec.Struct):
-    """The version that a node has refused last."""
+class RefusedVersion(msgspec.Struct):
+    """The last version that a node has refused."""
 
     node: str
     revision: int
@@ -51,16 +51,20 @@
 
 
 class Report(msgspec.Struct):
-    """Of all nodes of a process together; `put` and `begun` hold what came since the report before."""
+    """State of all nodes of a process.
+
+    `put` (applied versions) and `begun` (versions with which nodes started) hold the entries since the report
+    before.
+    """
 
     ready: bool
-    put: list[InForce]
-    begun: list[InForce]  # what each node began its life with, 0 where its folder had nothing
-    uncurrent: list[str]  # nodes that do not call themselves current
-    stale: list[str]  # of these the ones that say so of themselves
-    refused: list[Refused]
-    cpu: float  # seconds of processor time
-    base_uss: int  # bytes of memory before its nodes were made
+    put: list[AppliedVersion]
+    begun: list[AppliedVersion]  # revision 0 if the folder of the node was empty
+    uncurrent: list[str]  # nodes that do not report themselves as current
+    stale: list[str]  # those of them that report themselves as stale
+    refused: list[RefusedVersion]
+    cpu: float  # processor time in seconds
+    base_uss: int  # private memory in bytes before the nodes were made
     traffic: Traffic
     late: LatenessStats
 
@@ -74,7 +78,7 @@
 
 
 def node_places(count: int) -> list[Place]:
-    """Spread evenly over the zones."""
+    """Places of nodes that are spread evenly over the zones."""
     return [place_in(f"n{i}", i % ZONES) for i in range(count)]
 
 
@@ -83,5 +87,5 @@
 
 
 def refusing_names(places: list[Place]) -> set[str]:
-    """Every second node of each zone: these cannot serve a version that is made for it."""
+    """Names of every second node of each zone; these refuse a version with two listeners."""
     return {place.name for i, place in enumerate(places) if i // ZONES % 2}
--- a/caperdeck/lab/propagation/relay.py
+++ b/caperdeck/lab/propagation/relay.py
@@ -1,8 +1,9 @@
-"""The process that all traffic between the two regions of a run goes through, so that it can be cut.
+"""Relay process for all traffic between the two regions of a run, so that the regions can be cut off.
 
-Standard input: the plan, then orders, a JSON object a line. Standard output: a line for each once it is done.
-While the regions are cut off from each other, connections hang half open: what is written on them comes after
-the heal, their ends too; new ones are not refused but not answered either (`caperdeck/lab/relay.py`).
+It reads the plan and then commands from standard input, one JSON object per line, and writes one line for
+each to standard output when it is done. During a cut, open connections hang: data and ends of connections
+are delivered after the cut has ended, and new connections are neither refused nor answered
+(`caperdeck/lab/relay.py`).
 """
 
 from __future__ import annotations
@@ -33,52 +34,54 @@
 
 
 class RelayPlan(msgspec.Struct):
-    """The instances that are reached from the other region through here."""
+    """The instances that the other region reaches through the relay."""
 
-    instances: list[tuple[Place, str]]  # with the address of each
+    instances: list[tuple[Place, str]]  # place and address of each
 
 
-class Across(msgspec.Struct):
-    """The answer to the plan: by name of an instance the address for whoever is in the other region."""
+class RelayAddresses(msgspec.Struct):
+    """The answer to the plan: the relay's address for each instance, by its name."""
 
     addresses: dict[str, str]
 
 
-class Order(msgspec.Struct):
-    """The regions are cut off from each other from now on, or not any more."""
+class CutCommand(msgspec.Struct):
+    """Starts or ends a cut between the regions."""
 
     cut: bool
 
 
-class Done(msgspec.Struct):
-    """The order is carried out."""
+class CommandDone(msgspec.Struct):
+    """The command has been carried out."""
 
 
 class RegionRelay:
+    """The relay inside the process; each instance is relayed for the other region."""
+
     def __init__(self, plan: RelayPlan, write: Write) -> None:
         self.write = write
         self.relay = Relay(reactor, Links(0, lambda a, b: NO_DELAY), lambda *_, **__: None)
-        self.across: dict[str, str] = {}
+        self.addresses: dict[str, str] = {}
         for place, address in plan.instances:
             host, port = self.relay.way(other_region(place.region), place.name, parse_address(address))
-            self.across[place.name] = f"{host}:{port}"
-        self._answer(Across(self.across))
+            self.addresses[place.name] = f"{host}:{port}"
+        self._answer(RelayAddresses(self.addresses))
 
     def take(self, line: bytes) -> None:
-        self._carry_out(msgspec.json.decode(line, type=Order))
-        self._answer(Done())
+        self._carry_out(msgspec.json.decode(line, type=CutCommand))
+        self._answer(CommandDone())
 
-    def _answer(self, answer: Across | Done) -> None:
+    def _answer(self, answer: RelayAddresses | CommandDone) -> None:
         self.write(msgspec.json.encode(answer) + LINE)
 
-    def _carry_out(self, order: Order) -> None:
+    def _carry_out(self, command: CutCommand) -> None:
         for region, instance in self.relay.ways:
             for a, b in ((region, instance), (instance, region)):
-                self.relay.trouble(a, b, {"cut": int(order.cut)})
+                self.relay.trouble(a, b, {"cut": int(command.cut)})
 
 
 class RelayChild(ChildProcess):
-    """The run's side of that process."""
+    """The parent's side of the relay process."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__("relay", "caperdeck.lab.propagation.relay", folder / "relay.log")
@@ -86,12 +89,12 @@
 
     async def start(self, plan: RelayPlan) -> None:
         await self.spawn()
-        self.addresses = (await self._ask(plan, Across)).addresses
+        self.addresses = (await self._ask(plan, RelayAddresses)).addresses
 
     async def cut(self, on: bool) -> None:
-        await self._ask(Order(on), Done)
+        await self._ask(CutCommand(on), CommandDone)
 
-    async def _ask(self, message: RelayPlan | Order, answer: Any) -> Any:
+    async def _ask(self, message: RelayPlan | CutCommand, answer: Any) -> Any:
         self.process.stdin.write(msgspec.json.encode(message) + LINE)
         line = await self.process.stdout.readline()
         if not line.endswith(LINE):
