--- a/caperdeck/lab/distribution/__init__.py
+++ b/caperdeck/lab/distribution/__init__.py
@@ -1,6 +1,6 @@
-"""Distribution of configuration in virtual time: instances with one agreed log, publishers, nodes, faults.
+"""Simulates the distribution of configuration in virtual time: instances, publishers, nodes and faults.
 
-Agreement itself is not played (`raft_simulation.py` does that): an entry is committed at one moment,
-instances that reach a majority learn of it and confirm themselves, others do not. Every property is
-checked all along.
+Consensus itself is not simulated (`raft_simulation.py` does that): an entry is committed at one point in
+time. Instances that reach a majority learn of it and confirm their state, others do not. All properties are
+checked throughout a run.
 """
--- a/caperdeck/lab/distribution/schedule.py
+++ b/caperdeck/lab/distribution/schedule.py
@@ -1,4 +1,4 @@
-"""What happens to a fleet in a play, and when; times in milliseconds."""
+"""The schedule of faults and publications in a simulation; times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -6,12 +6,16 @@
 
 
 class Fault(NamedTuple):
-    """`do`: kill, sleep or isolate an instance (from the other instances); cut the south off; torment all
-    links of nodes (messages lost, doubled, late); restart seven in ten nodes, or replace them, their files
-    lost; doze: half of the nodes are stopped."""
+    """A fault that begins at a time and lasts for a span.
+
+    The values of `do` are: `kill` and `sleep` (suspend) an instance, `isolate` it from the other instances,
+    `cut` the southern region off, `torment` all links of nodes (messages are lost, duplicated and delayed),
+    `restart` 70% of the nodes, `replace` 70% of the nodes with new ones without files, and `doze` (suspend
+    half of the nodes).
+    """
 
     do: str
-    of: int  # instance
+    of: int  # number of the instance
     at: float
     span: float
 
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -1,4 +1,4 @@
-"""The simulation of a fleet to which versions are published: agreement, network, faults."""
+"""Simulates a fleet to which versions are published: commits, network and faults."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from caperdeck.lab.events import EventQueue
 from caperdeck.raft.log import Entry, Kind
 
-from .instance import LEARN, Instance
+from .instance import LEARN_INTERVAL_MS, Instance
 from .node import Node
 from .schedule import Fault, Publish
 
-ELECTION = 600.0  # milliseconds from the loss of a leader to the next
-LATENCY = (1.0, 30.0)  # milliseconds, as is the next
-TORMENT_LATENCY = (1.0, 1500.0)
-TORMENT_LOSS, TORMENT_DOUBLE = 0.3, 0.3
-# Region and zone of the seven instances, and of the nodes where a play names no others.
+ELECTION_MS = 600.0  # from the loss of a leader to the next election
+LATENCY_MS = (1.0, 30.0)
+TORMENT_LATENCY_MS = (1.0, 1500.0)
+TORMENT_LOSS, TORMENT_DUPLICATION = 0.3, 0.3
+# Region and zone of the seven instances, and of the nodes unless a simulation names others.
 ZONES = [
     ("north", "a"), ("north", "a"), ("north", "b"), ("north", "c"),
     ("south", "d"), ("south", "d"), ("south", "e"),
@@ -35,7 +35,10 @@
 
 
 class Simulation(EventQueue):
-    """Instances and nodes, the agreed log, the network between them, and faults; checks are in `World`."""
+    """Instances and nodes, the committed log, the network between them, and faults.
+
+    The properties are checked in `World`.
+    """
 
     def __init__(
         self, seed: int = 0, publisher_kind: type[Publisher] = Publisher,
@@ -46,63 +49,67 @@
         self.random = random.Random(seed)
         self.publisher_kind, self.subscriber_kind = publisher_kind, subscriber_kind
         self.log: list[Entry] = []
-        self.agreed = VersionTable()
-        self.committed: dict[int, tuple[str, float]] = {}  # by revision: digest, when
+        self.committed_table = VersionTable()
+        self.committed: dict[int, tuple[str, float]] = {}  # digest and commit time, by revision
         self.leader: int | None = 0
         self.term = 1
-        self.cut = self.torment = 0  # faults of the kind under way
-        self.words: dict[tuple[str, int], tuple[Any, ...]] = {}  # what was so as a node said it
+        self.cut = self.torment = 0  # numbers of active faults of these kinds
+        # Revision, digest and refusal of a node when it sent a message, by node and message number.
+        self.reported_states: dict[tuple[str, int], tuple[Any, ...]] = {}
         self.subscriptions: dict[tuple[str, str], int] = {}
-        self.arrivals: dict[tuple[str, str], float] = {}  # the last one in one direction
+        self.last_arrivals: dict[tuple[str, str], float] = {}  # by sender and receiver
         self.places = [Place(f"p{i}", zone, region) for i, (region, zone) in enumerate(ZONES)]
         self.instances = [instance_kind(self, i) for i in range(len(ZONES))]
         self.nodes = [Node(self, i, *place) for i, place in enumerate(places)]
-        self.node_of = {node.place.name: node for node in self.nodes}
-        self.instance_of = {instance.place.name: instance for instance in self.instances}
+        self.node_by_name = {node.place.name: node for node in self.nodes}
+        self.instance_by_name = {instance.place.name: instance for instance in self.instances}
         for i, instance in enumerate(self.instances):
-            self.call_later(i * LEARN / len(self.instances), instance.ask_leader)
+            self.call_later(i * LEARN_INTERVAL_MS / len(self.instances), instance.ask_leader)
 
-    # ---- agreement
+    # ---- commits
 
-    def meets(self, a: Instance, b: Instance) -> bool:
-        apart = self.cut and a.place.region != b.place.region
-        return a is b or not (apart or a.isolated or b.isolated)
+    def is_connected(self, a: Instance, b: Instance) -> bool:
+        is_separated = self.cut and a.place.region != b.place.region
+        return a is b or not (is_separated or a.isolated or b.isolated)
 
-    def is_current(self, number: int) -> bool:
-        """The instance runs and meets a majority that runs."""
-        me = self.instances[number]
-        met = sum(other.runs and self.meets(me, other) for other in self.instances)
-        return me.runs and met > len(self.instances) // 2
+    def has_quorum(self, number: int) -> bool:
+        """Whether the instance runs and reaches a majority of instances that run."""
+        instance = self.instances[number]
+        reachable = sum(other.runs and self.is_connected(instance, other) for other in self.instances)
+        return instance.runs and reachable > len(self.instances) // 2
 
     def check_leader(self) -> None:
-        if self.leader is not None and not self.is_current(self.leader):
+        if self.leader is not None and not self.has_quorum(self.leader):
             self.leader = None
-            self.call_later(ELECTION, self.elect)
+            self.call_later(ELECTION_MS, self.elect)
 
     def elect(self) -> None:
-        able = [i for i in range(len(self.instances)) if self.is_current(i)]
-        if self.leader is None and able:
-            self.leader, self.term = self.random.choice(able), self.term + 1
-            # a leader has all that is committed
+        candidates = [i for i in range(len(self.instances)) if self.has_quorum(i)]
+        if self.leader is None and candidates:
+            self.leader, self.term = self.random.choice(candidates), self.term + 1
+            # An elected leader has all committed entries.
             self.instances[self.leader].learn(self.now, len(self.log))
         elif self.leader is None:
-            self.call_later(ELECTION, self.elect)
+            self.call_later(ELECTION_MS, self.elect)
 
     def publish(self, change: Publish) -> None:
-        """An operator's new version: proposed where somebody leads or thinks so, committed a little later."""
+        """Proposes a new version at the leader and at instances that may still think that they lead.
+
+        The leader commits it after a latency. A leader that was cut off has proposals in its log that are
+        never committed.
+        """
         self.check_leader()
-        # Danger: one that led and was cut off has proposals in its log that are never committed.
         for number, instance in enumerate(self.instances):
             if instance.runs and (number == self.leader or instance.isolated or self.cut):
                 newest = instance.table.newest.revision
-                command = publish_command(instance.table, newest, self.next(change), self.term)
+                command = publish_command(instance.table, newest, self.next_document(change), self.term)
                 entry = Entry(self.term, Kind.COMMAND, orjson.dumps(command))
                 instance.proposed(entry)
                 if number == self.leader:
                     self.call_later(self.latency(), self.commit, number, self.term, entry)
 
-    def next(self, change: Publish) -> dict[str, Any]:
-        document = orjson.loads(orjson.dumps(self.agreed.document))
+    def next_document(self, change: Publish) -> dict[str, Any]:
+        document = orjson.loads(orjson.dumps(self.committed_table.document))
         document["count"] = self.random.random()
         group = document.setdefault(f"group{self.random.randrange(4)}", {})
         group[f"key{self.random.randrange(4)}"] = [self.random.randrange(100)]
@@ -116,59 +123,61 @@
     def commit(self, leader: int, term: int, entry: Entry) -> None:
         self.check_leader()
         if (self.leader, self.term) != (leader, term):
-            return  # lost with its leader
+            return  # the entry was lost with its leader
         self.log.append(entry)
-        answer = self.agreed.apply(orjson.loads(entry.data))
+        answer = self.committed_table.apply(orjson.loads(entry.data))
         if "ok" in answer:
             self.committed[answer["revision"]] = answer["digest"], self.now
 
     # ---- the network
 
     def latency(self) -> float:
-        return self.random.uniform(*LATENCY)
+        return self.random.uniform(*LATENCY_MS)
 
-    def linked(self, node: Node, instance: Instance) -> bool:
+    def is_linked(self, node: Node, instance: Instance) -> bool:
         return not (self.cut and node.place.region != instance.place.region)
 
-    def deliver(self, a: str, b: str, do: Callable, *args: Any) -> None:
-        """In order and once; in torment neither."""
+    def deliver(self, a: str, b: str, function: Callable, *args: Any) -> None:
+        """Delivers a message in order and once, but neither of it while links are tormented."""
         if not self.torment:
-            arrival = max(self.now + self.latency(), self.arrivals.get((a, b), 0.0))
-            self.arrivals[a, b] = arrival
-            self.call_later(arrival - self.now, do, *args)
+            arrival = max(self.now + self.latency(), self.last_arrivals.get((a, b), 0.0))
+            self.last_arrivals[a, b] = arrival
+            self.call_later(arrival - self.now, function, *args)
         elif self.random.random() >= TORMENT_LOSS:
-            for _ in range(1 + (self.random.random() < TORMENT_DOUBLE)):
-                self.call_later(self.random.uniform(*TORMENT_LATENCY), do, *args)
+            for _ in range(1 + (self.random.random() < TORMENT_DUPLICATION)):
+                self.call_later(self.random.uniform(*TORMENT_LATENCY_MS), function, *args)
 
-    def to_publisher(self, node: Node, name: str, message: NodeMessage) -> None:
-        in_force = node.file.revision, node.file.digest, node.refusal
-        self.words[node.place.name, message.number] = in_force
+    def send_to_publisher(self, node: Node, name: str, message: NodeMessage) -> None:
+        reported_state = node.active_version.revision, node.active_version.digest, node.refusal
+        self.reported_states[node.place.name, message.number] = reported_state
         if isinstance(message, Subscribe):
             self.subscriptions[node.place.name, name] = message.number
-        instance = self.instance_of[name]
-        if not self.linked(node, instance):
+        instance = self.instance_by_name[name]
+        if not self.is_linked(node, instance):
             return
         if not instance.up:
-            self.call_later(self.latency(), node.act, node.lost, node.life, name)
+            self.call_later(self.latency(), node.act, node.connection_lost, node.life, name)
             return
         self.deliver(node.place.name, name, instance.act, instance.receive, message)
 
-    def to_node(self, number: int, name: str, message: PublisherMessage) -> None:
-        node, instance = self.node_of[name], self.instances[number]
-        if self.linked(node, instance):
+    def send_to_node(self, number: int, name: str, message: PublisherMessage) -> None:
+        node, instance = self.node_by_name[name], self.instances[number]
+        if self.is_linked(node, instance):
             self.deliver(instance.place.name, name, node.act, node.receive, instance.place.name, message)
 
-    def left(self, node: Node, name: str) -> None:
-        number, instance = self.subscriptions[node.place.name, name], self.instance_of[name]
-        if self.linked(node, instance):
-            self.deliver(node.place.name, name, instance.act, self.gone, instance, node.place.name, number)
+    def node_left(self, node: Node, name: str) -> None:
+        number, instance = self.subscriptions[node.place.name, name], self.instance_by_name[name]
+        if self.is_linked(node, instance):
+            self.deliver(
+                node.place.name, name, instance.act, self.disconnect, instance, node.place.name, number
+            )
 
-    def gone(self, instance: Instance, name: str, number: int) -> None:
+    def disconnect(self, instance: Instance, name: str, number: int) -> None:
         instance.send(instance.publisher.connection_lost(self.now, name, number))
 
     # ---- faults
 
-    def begin(self, fault: Fault) -> None:
+    def inject_fault(self, fault: Fault) -> None:
         instance = self.instances[fault.of]
         match fault.do:
             case "kill" if instance.up:
@@ -197,7 +206,7 @@
     def heal(self, do: str) -> None:
         setattr(self, do, getattr(self, do) - 1)
 
-    # ---- what is checked
+    # ---- hook for checks
 
     def check_version(self, node: Node, version: HeldVersion) -> None:
-        """A node is about to put a version in force."""
+        """Called when a node is about to apply a version."""
--- a/caperdeck/lab/distribution/surroundings.py
+++ b/caperdeck/lab/distribution/surroundings.py
@@ -1,4 +1,4 @@
-"""What a simulated instance and a simulated node use of the simulation they are in."""
+"""The interface of the simulation that simulated instances and nodes use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 from caperdeck.raft.log import Entry
 
 
-class Surroundings(Protocol):
+class SimulationEnvironment(Protocol):
+    """The simulation as seen by an instance or a node."""
+
     now: float  # milliseconds
     random: Random
     publisher_kind: type[Publisher]
@@ -22,23 +24,23 @@
     log: list[Entry]  # committed
     leader: int | None
 
-    def call_later(self, wait: float, do: Callable, *args: Any) -> None:
-        """Calls it after so many milliseconds."""
+    def call_later(self, delay_ms: float, function: Callable, *args: Any) -> None:
+        """Schedules a call."""
 
     def latency(self) -> float:
-        """Of one message between instances, in milliseconds."""
+        """Draws the latency of one message between instances, in milliseconds."""
 
-    def is_current(self, number: int) -> bool:
-        """Whether an instance runs and meets a majority that runs."""
+    def has_quorum(self, number: int) -> bool:
+        """Whether an instance runs and reaches a majority of instances that run."""
 
-    def to_node(self, number: int, name: str, message: PublisherMessage) -> None:
-        """From the instance of that number to the node of that name."""
+    def send_to_node(self, number: int, name: str, message: PublisherMessage) -> None:
+        """Sends a message from the instance with that number to the node with that name."""
 
-    def to_publisher(self, node: Any, name: str, message: NodeMessage) -> None:
-        """From a node to the instance of that name."""
+    def send_to_publisher(self, node: Any, name: str, message: NodeMessage) -> None:
+        """Sends a message from a node to the instance with that name."""
 
-    def left(self, node: Any, name: str) -> None:
-        """A node has left the instance of that name."""
+    def node_left(self, node: Any, name: str) -> None:
+        """Called when a node has left the instance with that name."""
 
     def check_version(self, node: Any, version: HeldVersion) -> None:
-        """A node is about to put a version in force."""
+        """Called when a node is about to apply a version."""
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -30,7 +30,7 @@
 )
 from caperdeck.distribution.table import VersionTable, publish_command
 from caperdeck.lab.distribution.schedule import Fault, Publish
-from caperdeck.lab.distribution.world import World, play
+from caperdeck.lab.distribution.world import World, simulate
 from caperdeck.raft.log import Entry, Kind
 from caperdeck.raft.sessions import Sessions
 
@@ -516,21 +516,21 @@
 
 
 def active_revisions(world):
-    return [node.file.revision for node in world.nodes]
+    return [node.active_version.revision for node in world.nodes]
 
 
 def test_a_leader_killed_between_commit_and_send():
-    world = play([Publish(3000.0)], [], 3000.0)
+    world = simulate([Publish(3000.0)], [], 3000.0)
     while not world.committed:
         world.run(1.0)
     assert world.instances[0].applied == 0, "the leader has not sent it to any node"
-    world.begin(Fault("kill", 0, 0.0, 20_000.0))
+    world.inject_fault(Fault("kill", 0, 0.0, 20_000.0))
     world.run(9000.0)
     assert active_revisions(world) == [1] * 6 and world.breaches == []
 
 
 def test_an_instance_resumed_with_old_data_takes_no_node_back():
-    world = play([Publish(1000.0), Publish(6000.0)], [Fault("sleep", 1, 5000.0, 10_000.0)], 14_900.0)
+    world = simulate([Publish(1000.0), Publish(6000.0)], [Fault("sleep", 1, 5000.0, 10_000.0)], 14_900.0)
     assert world.instances[1].table.newest.revision == 1 and active_revisions(world) == [2] * 6
     world.run(10_000.0)
     assert active_revisions(world) == [2] * 6 and world.breaches == []
@@ -538,7 +538,7 @@
 
 def test_a_region_partitioned_for_a_minute_keeps_serving_as_stale_and_catches_up():
     changes = [Publish(1000.0)] + [Publish(5000.0 + 2000.0 * k) for k in range(30)]
-    world = play(changes, [Fault("cut", 0, 4000.0, 60_000.0)], 63_000.0)
+    world = simulate(changes, [Fault("cut", 0, 4000.0, 60_000.0)], 63_000.0)
     assert active_revisions(world)[:4] == [30] * 4 and active_revisions(world)[4:] == [1] * 2
     assert [node.subscriber.state(world.now) for node in world.nodes[4:]] == [State.STALE] * 2
     world.run(10_000.0)
@@ -546,23 +546,23 @@
 
 
 def test_a_node_replaced_without_a_quorum_gets_the_committed_version_but_is_not_current():
-    world = play([Publish(1000.0)], [Fault("cut", 0, 4000.0, 30_000.0)], 10_000.0)
+    world = simulate([Publish(1000.0)], [Fault("cut", 0, 4000.0, 30_000.0)], 10_000.0)
     node = world.nodes[4]
     node.die(True)
     node.start()
     world.run(8000.0)
-    assert node.file.revision == 1 and node.subscriber.state(world.now) is State.STARTING
+    assert node.active_version.revision == 1 and node.subscriber.state(world.now) is State.STARTING
     assert world.breaches == []
 
 
 def test_thirty_changes_in_one_minute_are_applied_in_time():
-    world = play([Publish(1000.0 + 2000.0 * k) for k in range(30)], [], 62_000.0)
+    world = simulate([Publish(1000.0 + 2000.0 * k) for k in range(30)], [], 62_000.0)
     assert active_revisions(world) == [30] * 6 and world.breaches == []
 
 
 def test_a_version_that_half_of_the_nodes_refuse():
-    world = play([Publish(1000.0), Publish(4000.0, refused_by_half=True)], [], 8000.0)
-    summary = summarise([i.publisher.status(world.now) for i in world.instances], world.node_of)
+    world = simulate([Publish(1000.0), Publish(4000.0, refused_by_half=True)], [], 8000.0)
+    summary = summarise([i.publisher.status(world.now) for i in world.instances], world.node_by_name)
     assert (summary.up_to_date, summary.oldest) == (("n0", "n2", "n4"), 1)
     assert [name for name, _ in summary.refused] == ["n1", "n3", "n5"]
     world.publish(Publish(0.0))
@@ -571,18 +571,18 @@
 
 
 def test_the_loss_of_an_instance_moves_its_subscribers_evenly_within_four_seconds():
-    world = play([Publish(500.0)], [], 5000.0, places=MANY_NODE_ZONES)
+    world = simulate([Publish(500.0)], [], 5000.0, places=MANY_NODE_ZONES)
     lost = [node for node in world.nodes if node.subscriber.publisher == "p2"]
     assert len(lost) > 30
-    world.begin(Fault("sleep", 2, 0.0, 60_000.0))
-    tries, send = [], world.to_publisher
+    world.inject_fault(Fault("sleep", 2, 0.0, 60_000.0))
+    tries, send = [], world.send_to_publisher
 
     def counted(node, name, message):
         if isinstance(message, Subscribe):
             tries.append(world.now)
         send(node, name, message)
 
-    world.to_publisher = counted
+    world.send_to_publisher = counted
     world.run(4000.0)
     assert all(node.subscriber.phase is Phase.WATCHING for node in world.nodes)
     now_at = Counter(node.subscriber.publisher for node in lost)
@@ -593,7 +593,7 @@
 
 @pytest.mark.parametrize("do", ["restart", "replace"])
 def test_seventy_percent_of_the_nodes_restart_at_once(do):
-    world = play(
+    world = simulate(
         [Publish(500.0), Publish(6000.0)], [Fault(do, 0, 5000.0, 1500.0)], 15_500.0, places=MANY_NODE_ZONES
     )
     assert set(active_revisions(world)) == {2} and world.breaches == []
--- a/tests/test_distribution_properties.py
+++ b/tests/test_distribution_properties.py
@@ -13,7 +13,7 @@
 from caperdeck.distribution.subscriber import Subscriber
 from caperdeck.lab.distribution.instance import Instance
 from caperdeck.lab.distribution.schedule import Fault, Publish
-from caperdeck.lab.distribution.world import play
+from caperdeck.lab.distribution.world import simulate
 
 RULES = ["back", "committed", "whole", "in-force", "status", "current"]
 FAULTS_END = 32_000  # milliseconds; every fault has ended by then
@@ -49,7 +49,7 @@
 
 @cache  # each rule checks the same schedules, so every schedule is run once
 def run_schedule(schedule):
-    return play(*schedule, SPAN)
+    return simulate(*schedule, SPAN)
 
 
 @pytest.mark.parametrize("rule", RULES)
@@ -62,11 +62,11 @@
 
 def test_the_simulated_runs_are_not_empty():
     """They commit versions, lose proposals, and apply what was committed."""
-    cut_off = play([Publish(3000.0)], [Fault("isolate", 0, 2900.0, 8000.0)], SPAN)
+    cut_off = simulate([Publish(3000.0)], [Fault("isolate", 0, 2900.0, 8000.0)], SPAN)
     assert len(cut_off.log) == 0
-    calm = play([Publish(at * 2000.0 + 1000.0) for at in range(5)], [], 20_000.0)
-    assert [node.file.revision for node in calm.nodes] == [5] * 6
-    assert len(calm.words) > 6 * 15
+    calm = simulate([Publish(at * 2000.0 + 1000.0) for at in range(5)], [], 20_000.0)
+    assert [node.active_version.revision for node in calm.nodes] == [5] * 6
+    assert len(calm.reported_states) > 6 * 15
 
 
 # ---- planted faults
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("rule, kinds, drawn", PLANTED)
 def test_a_planted_fault_is_detected(rule, kinds, drawn):
     def breaks(schedule):
-        return any(breach.rule == rule for breach in play(*schedule, SPAN, **kinds).breaches)
+        return any(breach.rule == rule for breach in simulate(*schedule, SPAN, **kinds).breaches)
 
     search = settings(limits, max_examples=150, phases=[Phase.generate])
     try:
