--- a/caperdeck/lab/capacity/command.py
+++ b/caperdeck/lab/capacity/command.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from caperdeck.lab.slopes.record import RecordError, read
+from caperdeck.lab.slopes.record import RecordError, read_record
 
 from . import page, tables
 from .report import report
@@ -26,7 +26,7 @@
     Raises CapacityError for files that cannot be used, OSError for those that cannot be opened.
     """
     try:
-        made = report(load(target), read(slopes))
+        made = report(load(target), read_record(slopes))
         text = tables.markdown(made)
         page_text = page.rewritten_file(page_path, text) if page_path else ""
     except (TargetError, RecordError, page.PageError) as error:
--- a/caperdeck/lab/cli.py
+++ b/caperdeck/lab/cli.py
@@ -168,13 +168,13 @@
 
 def slopes(arguments: dict[str, Any]) -> int:
     from .slopes.command import run
-    from .slopes.errors import InputError, MeasuringError
+    from .slopes.errors import InputError, MeasurementError
 
     try:
         run(arguments["--out"], arguments["--only"], arguments["--small"], say, arguments["--merge"])
     except InputError as error:
         return refuse(error)
-    except MeasuringError as error:
+    except MeasurementError as error:
         return void(error)
     return HELD
 
--- a/caperdeck/lab/slopes/agreement.py
+++ b/caperdeck/lab/slopes/agreement.py
@@ -28,7 +28,7 @@
 
 from .instances import CLUSTER, Caller, InstanceError, Instances
 from .line import Point
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 
 INSTANCES = 3
 AT_ONCE = 16  # proposals that wait for their answers
@@ -61,7 +61,7 @@
 SMALL = Sizes((10, 20, 30, 40), (100, 1000, 2000, 4000), 10, 5, (0, 1000, 2000, 4000), 1)
 
 
-class ChangedError(Exception):
+class LeaderChangedError(Exception):
     """The leader has changed, and what became of a proposal is not known."""
 
 
@@ -88,7 +88,7 @@
         for _ in range(TRIES):
             try:
                 return self._commit(entries, state, at_once)
-            except (ChangedError, OSError) as error:
+            except (LeaderChangedError, OSError) as error:
                 last = error
         raise InstanceError(f"{entries} entries did not all stand in {TRIES} batches, in the last: {last}")
 
@@ -133,7 +133,7 @@
     """Raises ChangedError where one is not known to stand."""
     for number, answer in enumerate(answers):
         if not isinstance(answer, dict) or "no" in answer:
-            raise ChangedError(f"answer {number}: {answer}")
+            raise LeaderChangedError(f"answer {number}: {answer}")
     return answers
 
 
@@ -152,7 +152,7 @@
         super().send(a, b, message)
 
 
-def bytes_sent(entries: int, state: int) -> tuple[int, int]:
+def leader_bytes_sent(entries: int, state: int) -> tuple[int, int]:
     """Bytes of an entry's command, and those that the leader sends until so many are committed."""
     world = CountedWorld()
     world.run(NOT_YET)
@@ -175,7 +175,7 @@
 # ---- an instance's start
 
 
-def start_time(state: int, starts: int) -> tuple[int, float]:
+def measure_start_time(state: int, starts: int) -> tuple[int, float]:
     """Bytes of the table in the instance's file, and seconds from its start until it answers: a median."""
     times = []
     with tempfile.TemporaryDirectory() as folder, Instances(1, Path(folder)) as instances:
@@ -184,7 +184,7 @@
         for _ in range(starts):
             began = time.perf_counter()
             instances.start()
-            instances.until_answered(0)
+            instances.wait_for_answer(0)
             times.append(time.perf_counter() - began)
             instances.processes.pop().end()
     return len(data), median(times)
@@ -210,30 +210,32 @@
 # ---- all sizes
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     sizes = SMALL if small else FULL
-    measured = _in_processes(sizes, say)
-    measured += _in_virtual_time(sizes, say)
-    measured.append(_starts(sizes, say))
+    measured = _in_processes(sizes, progress)
+    measured += _in_virtual_time(sizes, progress)
+    measured.append(_starts(sizes, progress))
     return measured
 
 
-def _in_processes(sizes: Sizes, say: Callable[[str], None]) -> list[Measurement]:
+def _in_processes(sizes: Sizes, progress: Callable[[str], None]) -> list[Measurement]:
     with tempfile.TemporaryDirectory() as folder, Instances(INSTANCES, Path(folder)) as instances:
         instances.start()
         cluster = Cluster(instances)
         cluster.commit(sizes.batch, ENTRY, AT_ONCE)  # whatever is done for the first time
         by_count: dict[int, Batch] = {}
         for entries in sizes.entries:
-            by_count[entries] = _said(say, entries, cluster.commit(entries, ENTRY, AT_ONCE))
-        by_size = [_said(say, sizes.batch, cluster.commit(sizes.batch, n, AT_ONCE)) for n in sizes.states]
-        alone = [_said(say, sizes.alone, cluster.commit(sizes.alone, n, 1)) for n in sizes.states]
+            by_count[entries] = _said(progress, entries, cluster.commit(entries, ENTRY, AT_ONCE))
+        by_size = [
+            _said(progress, sizes.batch, cluster.commit(sizes.batch, n, AT_ONCE)) for n in sizes.states
+        ]
+        alone = [_said(progress, sizes.alone, cluster.commit(sizes.alone, n, 1)) for n in sizes.states]
     return [*_by_count(by_count), *_by_size(by_size, alone, sizes)]
 
 
-def _said(say: Callable[[str], None], entries: int, batch: Batch) -> Batch:
-    say(f"agreement: {entries} entries of {batch.size} B: {batch.took:.3f} s, {batch.cpu:.2f} s of processor "
-        f"time, {batch.written} B written, median {batch.median * 1000:.2f} ms")  # fmt: skip
+def _said(progress: Callable[[str], None], entries: int, batch: Batch) -> Batch:
+    progress(f"agreement: {entries} entries of {batch.size} B: {batch.took:.3f} s, {batch.cpu:.2f} s of "
+        f"processor time, {batch.written} B written, median {batch.median * 1000:.2f} ms")  # fmt: skip
     return batch
 
 
@@ -241,7 +243,7 @@
     name: str, what: str, unit: str, against: str, points: list[Point], note: str,
     source: Source = Source.PROCESSES,
 ) -> Measurement:  # fmt: skip
-    return measurement(f"raft.{name}", what, unit, against, source, points, note)
+    return make_measurement(f"raft.{name}", what, unit, against, source, points, note)
 
 
 THREE = f"{INSTANCES} instances as processes on loopback, one disk; "
@@ -280,13 +282,13 @@
     ]  # fmt: skip
 
 
-def _in_virtual_time(sizes: Sizes, say: Callable[[str], None]) -> list[Measurement]:
-    by_count = [Point(entries, bytes_sent(entries, ENTRY)[1]) for entries in sizes.entries]
+def _in_virtual_time(sizes: Sizes, progress: Callable[[str], None]) -> list[Measurement]:
+    by_count = [Point(entries, leader_bytes_sent(entries, ENTRY)[1]) for entries in sizes.entries]
     by_size = []
     for state in sizes.states:
-        size, sent = bytes_sent(sizes.batch, state)
+        size, sent = leader_bytes_sent(sizes.batch, state)
         by_size.append(Point(size, sent / sizes.batch))
-        say(f"agreement: {sent / sizes.batch:.0f} B sent an entry of {size} B, in virtual time")
+        progress(f"agreement: {sent / sizes.batch:.0f} B sent an entry of {size} B, in virtual time")
     note = (
         f"{INSTANCES} instances in virtual time, nothing lost, messages {ON_THE_WAY[0]:g} ms under way, "
         f"writes 0.2 to 8 ms; {PILED}; of messages as encoded, to both others, heartbeats among them, and "
@@ -301,12 +303,12 @@
     ]  # fmt: skip
 
 
-def _starts(sizes: Sizes, say: Callable[[str], None]) -> Measurement:
+def _starts(sizes: Sizes, progress: Callable[[str], None]) -> Measurement:
     points = []
     for state in sizes.tables:
-        size, took = start_time(state, sizes.starts)
+        size, took = measure_start_time(state, sizes.starts)
         points.append(Point(size, took))
-        say(f"agreement: an instance starts from a table of {size} B in {took:.3f} s")
+        progress(f"agreement: an instance starts from a table of {size} B in {took:.3f} s")
     return _made(
         "start_time", "time from an instance's start until it answers, from its file", "s",
         "bytes of the table", points,
--- a/caperdeck/lab/slopes/bench.py
+++ b/caperdeck/lab/slopes/bench.py
@@ -22,7 +22,7 @@
 from caperdeck.lab.setup import node_config
 from caperdeck.state.descriptors import raise_descriptor_limit
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .process import ProcessError, processor_seconds
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -32,31 +32,31 @@
 SPARE = 1000  # descriptors of the limit that sessions leave to everything else
 START = 30.0  # seconds until a part has to answer
 ANSWER = 120.0  # seconds until a command has to be answered
-POLL_EVERY = 0.02  # seconds between polls of what is waited for
+POLL_INTERVAL_S = 0.02  # seconds between polls of what is waited for
 MOST_REFUSED = 0.01  # of the connections, past which a set-up is not what is measured
 IDLE = 3600.0  # seconds after which a client that says nothing would be sent away
 
 
-def spawn(words: list[str], **options: Any) -> subprocess.Popen:
+def spawn_module(words: list[str], **options: Any) -> subprocess.Popen:
     command = [sys.executable, "-B", "-m", *words]
     return subprocess.Popen(command, cwd=ROOT, preexec_fn=end_with_parent, **options)
 
 
-class EndProcess:
+class EndpointProcess:
     """One of the processes at the ends."""
 
     def __init__(self, role: str) -> None:
         self.role = role
-        self.process = spawn(
+        self.process = spawn_module(
             ["caperdeck.lab.slopes.ends", role], stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0
         )
 
-    def tell(self, do: str, **values: Any) -> None:
+    def send_command(self, do: str, **values: Any) -> None:
         """Sends a command whose answer is taken later."""
         try:
             self.process.stdin.write(msgspec.json.encode({"do": do, **values}) + b"\n")
         except BrokenPipeError:
-            raise MeasuringError(f"the process of {self.role} ended") from None
+            raise MeasurementError(f"the process of {self.role} ended") from None
 
     def answer(self) -> Any:
         """The answer to the oldest command without one."""
@@ -64,14 +64,14 @@
         while not held.endswith(b"\n"):
             ready, _, _ = select.select([self.process.stdout], [], [], max(until - time.monotonic(), 0.0))
             if not ready:
-                raise MeasuringError(f"the process of {self.role} gave no answer in {ANSWER:g} s")
+                raise MeasurementError(f"the process of {self.role} gave no answer in {ANSWER:g} s")
             if not (data := self.process.stdout.read(1 << 16)):
-                raise MeasuringError(f"the process of {self.role} ended")
+                raise MeasurementError(f"the process of {self.role} ended")
             held += data
         return msgspec.json.decode(held)
 
-    def ask(self, do: str, **values: Any) -> Any:
-        self.tell(do, **values)
+    def call(self, do: str, **values: Any) -> Any:
+        self.send_command(do, **values)
         return self.answer()
 
     def end(self) -> None:
@@ -88,11 +88,11 @@
         self.descriptors = raise_descriptor_limit()
         self.ports = Ports()
         self.folder = tempfile.TemporaryDirectory(prefix="caperdeck-slopes-")
-        self.hosts, self.clients = EndProcess("hosts"), EndProcess("clients")
+        self.hosts, self.clients = EndpointProcess("hosts"), EndpointProcess("clients")
 
     def __enter__(self) -> Bench:
         try:
-            self.listed = self.hosts.ask("open", hosts=HOSTS, capacity=HOST_CAPACITY)
+            self.listed = self.hosts.call("open", hosts=HOSTS, capacity=HOST_CAPACITY)
         except BaseException:
             self.__exit__()
             raise
@@ -105,21 +105,21 @@
         self.folder.cleanup()
 
     @property
-    def most_connections(self) -> int:
+    def max_connections(self) -> int:
         """Sessions that a node here can hold; each takes two descriptors."""
         return (self.descriptors - SPARE) // 2
 
-    def possible(self, sizes: Sequence[int], say: Callable[[str], None]) -> list[int]:
+    def feasible_sizes(self, sizes: Sequence[int], progress: Callable[[str], None]) -> list[int]:
         """The numbers of connections that the limit of descriptors allows; says which are left out."""
-        if left_out := [size for size in sizes if size > self.most_connections]:
-            say(f"left out, too many for {self.descriptors} descriptors: {left_out}")
-        return [size for size in sizes if size <= self.most_connections]
+        if left_out := [size for size in sizes if size > self.max_connections]:
+            progress(f"left out, too many for {self.descriptors} descriptors: {left_out}")
+        return [size for size in sizes if size <= self.max_connections]
 
     def nodes(
-        self, sizes: Sequence[int], small: bool, say: Callable[[str], None]
+        self, sizes: Sequence[int], small: bool, progress: Callable[[str], None]
     ) -> Generator[tuple[int, NodeProcess], None, None]:
         """A new node for each possible number of connections; at small sizes, to save time, one for all."""
-        sizes = self.possible(sizes, say)
+        sizes = self.feasible_sizes(sizes, progress)
         if small:
             with self.node() as node:
                 for size in sizes:
@@ -149,12 +149,12 @@
         if self.control is not None:
             words.append(f"--control={self.control}")
         with open(log, "wb") as file:
-            self.process = spawn(
+            self.process = spawn_module(
                 words, stdin=subprocess.DEVNULL, stdout=file, stderr=file,
                 env=os.environ | {"TMPDIR": str(folder)},
             )  # fmt: skip
         try:
-            self.await_ready(log)
+            self.wait_until_ready(log)
         except BaseException:
             self.__exit__()
             raise
@@ -170,7 +170,7 @@
         made["settings"]["limits"]["connIdle"] = IDLE
         return made
 
-    def await_ready(self, log: Path) -> None:
+    def wait_until_ready(self, log: Path) -> None:
         """Until the node answers PING."""
         until = time.monotonic() + START
         while time.monotonic() < until and self.process.poll() is None:
@@ -178,8 +178,8 @@
                 sock.sendall(b"PING\r\n")
                 if sock.recv(64).startswith(b"PONG"):
                     return
-            time.sleep(POLL_EVERY)
-        raise MeasuringError(f"the node did not start: {log.read_text(errors='replace')[-200:].strip()}")
+            time.sleep(POLL_INTERVAL_S)
+        raise MeasurementError(f"the node did not start: {log.read_text(errors='replace')[-200:].strip()}")
 
     def __exit__(self, *unused: Any) -> None:
         self.process.kill()
@@ -188,27 +188,27 @@
     # ---- what is done to it
 
     def open(self, count: int, prefix: str = "i") -> None:
-        """So many connections more; raises MeasuringError if the node refused too many of them first."""
+        """So many connections more; raises MeasurementError if the node refused too many of them first."""
         asked = {"host": LOOPBACK, "port": self.port, "prefix": prefix, "count": count}
-        refused = self.bench.clients.ask("open", **asked)["refused"]
+        refused = self.bench.clients.call("open", **asked)["refused"]
         if refused > MOST_REFUSED * count + 1:
-            raise MeasuringError(f"{refused} of {count} connections were refused at first")
+            raise MeasurementError(f"{refused} of {count} connections were refused at first")
 
     def close(self, reset: bool = False) -> None:
         """Ends all connections, and waits until the hosts have seen it."""
-        self.bench.clients.ask("close", reset=reset)
+        self.bench.clients.call("close", reset=reset)
         until = time.monotonic() + START
-        while self.bench.hosts.ask("sessions"):
+        while self.bench.hosts.call("sessions"):
             if time.monotonic() > until:
-                raise MeasuringError("hosts still hold connections that clients have ended")
-            time.sleep(POLL_EVERY)
+                raise MeasurementError("hosts still hold connections that clients have ended")
+            time.sleep(POLL_INTERVAL_S)
 
     def processor(self) -> float:
         """Processor seconds that the node has used."""
         try:
             return processor_seconds(self.process.pid)
         except (ProcessError, OSError):
-            raise MeasuringError("the node ended") from None
+            raise MeasurementError("the node ended") from None
 
     @property
     def pid(self) -> int:
--- a/caperdeck/lab/slopes/clients_end.py
+++ b/caperdeck/lab/slopes/clients_end.py
@@ -14,7 +14,7 @@
 from caperdeck.lab.single_connection import SingleConnectionFactory
 from caperdeck.lifecycle.reactor import install_reactor
 
-from .end import POLL, STAMP, End, Reply
+from .end import POLL_INTERVAL_S, STAMP_DIGITS, Endpoint, Reply
 
 reactor = install_reactor()
 
@@ -30,7 +30,7 @@
 class Client(Protocol):
     """A client's connection: its first line, its answer, then stamped lines that are only timed."""
 
-    def __init__(self, crowd: ClientsEnd, name: bytes) -> None:
+    def __init__(self, crowd: ClientsEndpoint, name: bytes) -> None:
         self.crowd, self.name = crowd, name
         self.held = b""
         self.up = False
@@ -57,14 +57,14 @@
         length, data = self.crowd.length, self.held + data if self.held else data
         whole = len(data) - len(data) % length
         for start in range(0, whole, length):
-            self.crowd.delays.append(now - int(data[start : start + STAMP]))
+            self.crowd.delays.append(now - int(data[start : start + STAMP_DIGITS]))
         self.held = data[whole:]
 
     def connectionLost(self, reason: Any) -> None:
         self.crowd.gone(self)
 
 
-class ClientsEnd(End):
+class ClientsEndpoint(Endpoint):
     def __init__(self) -> None:
         super().__init__()
         self.standing: dict[Client, None] = {}
@@ -134,7 +134,7 @@
                 client.transport.abortConnection() if reset else client.transport.loseConnection()
             del waiting[-AT_ONCE:]
             if waiting or self.standing:
-                reactor.callLater(POLL, some)
+                reactor.callLater(POLL_INTERVAL_S, some)
             else:
                 reply(None)
 
--- a/caperdeck/lab/slopes/command.py
+++ b/caperdeck/lab/slopes/command.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from . import record as records
-from .errors import InputError, MeasuringError
+from .errors import InputError, MeasurementError
 from .line import FitError
 from .record import Measurement, Provenance, Record
 from .table import rows
 
-Say = Callable[[str], None]
-Measure = Callable[[bool, Say], list[Measurement]]
+ProgressCallback = Callable[[str], None]
+Measure = Callable[[bool, ProgressCallback], list[Measurement]]
 
 PARTS = {  # the part, and the module that measures it
     "memory": "memory",
@@ -35,11 +35,13 @@
 SMALL = "small sizes; "  # begins the note of what was measured with --small
 
 
-def run(out: str | None, only: str | None, small: bool, say: Say, merge: bool = False) -> None:
+def run(
+    out: str | None, only: str | None, small: bool, progress: ProgressCallback, merge: bool = False
+) -> None:
     """Measures the parts one after the other and writes the record after each.
 
     `merge`: into the record that is there, of whatever revision and machine; what is measured then carries
-    its own. Raises InputError before anything is measured, MeasuringError for a part that gave nothing to
+    its own. Raises InputError before anything is measured, MeasurementError for a part that gave nothing to
     go by.
     """
     chosen = chosen_parts(only)
@@ -49,17 +51,17 @@
     destination = destination_of(out, only, small, merge, revision)
     measured: list[Measurement] = []
     for name, measure in functions:
-        say(f"part {name}")
+        progress(f"part {name}")
         try:
-            measured += [marked(each, small) for each in measure(small, say)]
+            measured += [marked(each, small) for each in measure(small, progress)]
         except FitError as error:
-            raise MeasuringError(f"part {name}: {error}") from None
+            raise MeasurementError(f"part {name}: {error}") from None
         if destination is not None:
             destination.write(measured, revision)
     for row in rows(measured):
-        say(row)
+        progress(row)
     if out is not None:
-        say(f"written: {out}")
+        progress(f"written: {out}")
 
 
 class Destination(NamedTuple):
@@ -71,13 +73,13 @@
 
     def write(self, measured: list[Measurement], revision: str) -> None:
         if self.old is None:
-            made = records.record(merged(self.kept, measured))
-            records.write(self.path, msgspec.structs.replace(made, revision=revision))
+            made = records.make_record(merged(self.kept, measured))
+            records.write_record(self.path, msgspec.structs.replace(made, revision=revision))
             return
         provenance = Provenance(records.now(), revision, records.this_machine())
         new = [msgspec.structs.replace(each, provenance=provenance) for each in measured]
         together = tuple(merged(self.kept, new))
-        records.write(self.path, msgspec.structs.replace(self.old, measurements=together))
+        records.write_record(self.path, msgspec.structs.replace(self.old, measurements=together))
 
 
 def destination_of(
@@ -143,7 +145,7 @@
     if not Path(out).exists():
         return None
     try:
-        old = records.read(out)
+        old = records.read_record(out)
     except records.RecordError as error:
         raise InputError(str(error)) from None
     if any(each.note.startswith(SMALL) is not small for each in old.measurements):
--- a/caperdeck/lab/slopes/configuration.py
+++ b/caperdeck/lab/slopes/configuration.py
@@ -22,9 +22,9 @@
 from caperdeck.lifecycle.logs import Sink
 from caperdeck.lifecycle.service import Service
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .line import Point
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 
 STANDARD_ERROR = 2  # descriptor
 LOGGING = "caperdeck.lifecycle"  # modules whose lines would be written in the midst of what is timed
@@ -46,7 +46,7 @@
 SMALL = Sizes((10, 20, 40, 80), (1, 5, 10, 20), (10, 20, 40, 80), REPEATS_SMALL)
 
 
-class ReloadError(MeasuringError):
+class ReloadError(MeasurementError):
     """The service did not take a configuration that was made for it."""
 
 
@@ -116,7 +116,7 @@
 # ---- all sizes
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     sizes = SMALL if small else FULL
     note = f"median of {sizes.repeats} reloads in one process, without the line that the log gets; "
     files = [configuration(hosts=n) for n in sizes.hosts]
@@ -140,7 +140,7 @@
     ]  # fmt: skip
     for each in measured:
         last = each.points[-1]
-        say(f"configuration: {each.name} {last.cost:.3g} {each.unit} at {last.size:g} {each.against}")
+        progress(f"configuration: {each.name} {last.cost:.3g} {each.unit} at {last.size:g} {each.against}")
     return measured
 
 
@@ -149,4 +149,4 @@
 
 
 def _made(name: str, what: str, unit: str, against: str, points: list[Point], note: str) -> Measurement:
-    return measurement(f"configuration.{name}", what, unit, against, Source.IN_PROCESS, points, note)
+    return make_measurement(f"configuration.{name}", what, unit, against, Source.IN_PROCESS, points, note)
--- a/caperdeck/lab/slopes/deliveries.py
+++ b/caperdeck/lab/slopes/deliveries.py
@@ -13,16 +13,16 @@
 
 from .bench import Bench, NodeProcess
 from .clients_end import PERCENTILES
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .line import Point
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 
 LENGTHS = (100, 1000)  # bytes of a line, its end among them
 FULL = 0.95  # of one processor, from which the node counts as full
 CAUGHT_UP = 0.97  # of the lines sent that have arrived as the sending ends, under which it is full too
 END_FULL = 0.9  # of one processor, from which the clients' process may be what limits
 DRAIN = 20.0  # seconds in which lines under way have to arrive
-POLL_EVERY = 0.02  # seconds between polls of that
+POLL_INTERVAL_S = 0.02  # seconds between polls of that
 FEW = 10  # lines past a percentile, under which it is a matter of chance
 TRIES = 3  # of a point that is doubtful
 LEAD_IN = 0.5  # seconds at the lowest rate, before anything is kept
@@ -51,7 +51,7 @@
 )
 
 
-class Run(msgspec.Struct, frozen=True):
+class RateResult(msgspec.Struct, frozen=True):
     """One rate, as measured."""
 
     rate: float  # lines a second that were to be sent
@@ -62,38 +62,40 @@
     void: str = ""  # why the point says nothing about the node
 
     @property
-    def doubtful(self) -> bool:
+    def inconclusive(self) -> bool:
         """Void, or lines were left behind by a node that had processor time to spare."""
         return bool(self.void) or (self.full and self.processor < FULL)
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     sizes = SMALL_SIZES if small else FULL_SIZES
     made = []
     with Bench() as bench:
-        for beside in bench.possible(sizes.beside, say):
+        for beside in bench.feasible_sizes(sizes.beside, progress):
             with bench.node() as node:
                 node.open(beside, "i")
                 node.open(sizes.active, "a")
-                bench.hosts.ask("quiet")
-                bench.clients.ask("quiet")
+                bench.hosts.call("quiet")
+                bench.clients.call("quiet")
                 for length in LENGTHS:
-                    runs = rise(bench, node, sizes, length, say)
+                    runs = run_rates(bench, node, sizes, length, progress)
                     made += measurements(runs, sizes, length, beside)
                 node.close(reset=True)
     return made
 
 
-def rise(bench: Bench, node: NodeProcess, sizes: Sizes, length: int, say: Callable[[str], None]) -> list[Run]:
+def run_rates(
+    bench: Bench, node: NodeProcess, sizes: Sizes, length: int, progress: Callable[[str], None]
+) -> list[RateResult]:
     """The rates from the lowest on, up to the first at which the node is full or an end is the limit."""
-    run_at(bench, node, sizes, sizes.rates[0], min(LEAD_IN, sizes.seconds), length)
+    run_rate(bench, node, sizes, sizes.rates[0], min(LEAD_IN, sizes.seconds), length)
     runs = []
     for rate in sizes.rates:
         # Danger: one moment in which the machine did something else would end the rise.
         for _ in range(TRIES if sizes.until_full else 1):
-            run = run_at(bench, node, sizes, rate, sizes.seconds, length)
-            say(text_of(run, length))
-            if not run.doubtful:
+            run = run_rate(bench, node, sizes, rate, sizes.seconds, length)
+            progress(describe(run, length))
+            if not run.inconclusive:
                 break
         runs.append(run)
         if sizes.until_full and (run.full or run.void):
@@ -101,27 +103,29 @@
     return runs
 
 
-def text_of(run: Run, length: int) -> str:
+def describe(run: RateResult, length: int) -> str:
     times = ", ".join(f"{name} {value * 1000:.2f} ms" for name, value in run.percentiles.items())
     state = f", void: {run.void}" if run.void else ", full" if run.full else ""
     return f"{run.rate:g} lines of {length} B a second: processor {run.processor:.3f}, {times}{state}"
 
 
-def run_at(bench: Bench, node: NodeProcess, sizes: Sizes, rate: float, seconds: float, length: int) -> Run:
+def run_rate(
+    bench: Bench, node: NodeProcess, sizes: Sizes, rate: float, seconds: float, length: int
+) -> RateResult:
     hosts, clients = bench.hosts, bench.clients
-    clients.ask("watch", length=length)
+    clients.call("watch", length=length)
     began, used = time.monotonic(), node.processor()
-    sent = hosts.ask("send", prefix="a", rate=rate, seconds=seconds, length=length)
+    sent = hosts.call("send", prefix="a", rate=rate, seconds=seconds, length=length)
     span, used = time.monotonic() - began, node.processor() - used
-    got = clients.ask("received")
-    drain(bench, sent["sent"])
+    got = clients.call("received")
+    wait_for_delivery(bench, sent["sent"])
     share = used / span
     behind = sent["blocked"] > 0 or got["received"] < CAUGHT_UP * sent["sent"]
-    return Run(
+    return RateResult(
         rate=rate,
         delivered=got["received"] / span,
         processor=share,
-        percentiles=clients.ask("delays")["percentiles"],
+        percentiles=clients.call("delays")["percentiles"],
         full=share >= FULL or behind,
         void=void(sizes, sent, got["processor"] / span),
     )
@@ -138,21 +142,21 @@
     return ""
 
 
-def drain(bench: Bench, sent: int) -> None:
+def wait_for_delivery(bench: Bench, sent: int) -> None:
     """Waits until all that was sent has arrived."""
     until = time.monotonic() + DRAIN
-    while (received := bench.clients.ask("received")["received"]) < sent:
+    while (received := bench.clients.call("received")["received"]) < sent:
         if time.monotonic() > until:
-            raise MeasuringError(f"{received} of {sent} lines arrived")
-        time.sleep(POLL_EVERY)
+            raise MeasurementError(f"{received} of {sent} lines arrived")
+        time.sleep(POLL_INTERVAL_S)
 
 
-def measurements(runs: list[Run], sizes: Sizes, length: int, beside: int) -> list[Measurement]:
+def measurements(runs: list[RateResult], sizes: Sizes, length: int, beside: int) -> list[Measurement]:
     """The processor time, against what was delivered, and the percentiles, against what was sent."""
     suffix = "" if beside == sizes.beside[0] else f"_beside_{beside}"
-    valid, note = [run for run in runs if not run.void], note_of(runs, sizes, beside)
+    valid, note = [run for run in runs if not run.void], make_note(runs, sizes, beside)
     made = [
-        measurement(
+        make_measurement(
             f"node.delivery_{length}{suffix}",
             f"processor time a second while lines of {length} B are delivered", "s/s", "lines a second",
             Source.PROCESSES, [Point(run.delivered, run.processor) for run in valid],
@@ -162,7 +166,7 @@
     rests = f"p999 rests on fewer than {FEW} lines under {FEW * 1000 / sizes.seconds:g} a second; "
     for name in PERCENTILES:
         made.append(
-            measurement(
+            make_measurement(
                 f"node.delivery_{name}_{length}{suffix}",
                 f"time of a line of {length} B from host to client, {name}", "s", "lines a second",
                 Source.PROCESSES, [Point(run.rate, run.percentiles[name]) for run in valid],
@@ -172,7 +176,7 @@
     return made
 
 
-def note_of(runs: list[Run], sizes: Sizes, beside: int) -> str:
+def make_note(runs: list[RateResult], sizes: Sizes, beside: int) -> str:
     told = [f"lines on {sizes.active} connections at random moments, {beside} idle ones beside"]
     told.append(f"{sizes.seconds:g} s a point")
     for run in runs:
--- a/caperdeck/lab/slopes/distribution.py
+++ b/caperdeck/lab/slopes/distribution.py
@@ -17,9 +17,9 @@
 
 from . import bench
 from .line import Point
-from .process import own_memory
+from .process import unique_set_size
 from .publishing_instances import INSTANCES, PublishingInstances, document_bytes
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 from .watching_nodes import NodesSample, ProcessorMeter, WatchingNodes
 
 NODE = "n0"  # the bench's name of its node
@@ -120,7 +120,7 @@
 ) -> Spent:  # fmt: skip
     meter, before = instances.meter(instances.watched), nodes.samples()
     for _ in range(sizes.versions):
-        nodes.wait_in_force(instances.publish(size))
+        nodes.wait_until_applied(instances.publish(size))
     time.sleep(sizes.answered)
     after, (used, passed) = nodes.samples(), meter.read()
     span = sum(b.at - a.at for a, b in zip(before, after, strict=True)) / len(after)
@@ -156,7 +156,9 @@
 def version_cost(
     instances: PublishingInstances, nodes: WatchingNodes, idle: IdleCost, size: int, sizes: Sizes,
 ) -> VersionCost:  # fmt: skip
-    nodes.wait_in_force(instances.publish(size))  # the changes on the one before are as large from here on
+    nodes.wait_until_applied(
+        instances.publish(size)
+    )  # the changes on the one before are as large from here on
     found = spent(instances, nodes, idle, size, sizes)
     each = sizes.versions * nodes.count
     return VersionCost(document_bytes(size), found.node_bytes / each, found.cpu / each)
@@ -166,14 +168,14 @@
     instances: PublishingInstances, node: bench.NodeProcess, idle: float, size: int, sizes: Sizes,
 ) -> NodeVersionCost:  # fmt: skip
     """`idle`: seconds of processor time a second that the node takes without versions."""
-    instances.wait_said(NODE, instances.publish(size))
+    instances.wait_until_reported(NODE, instances.publish(size))
     meter = ProcessorMeter(node.pid)
     for _ in range(sizes.versions):
-        instances.wait_said(NODE, instances.publish(size))
+        instances.wait_until_reported(NODE, instances.publish(size))
     time.sleep(sizes.answered)
     used, passed = meter.read()
     cpu = (used - idle * passed) / sizes.versions
-    return NodeVersionCost(document_bytes(size), cpu, own_memory(node.pid))
+    return NodeVersionCost(document_bytes(size), cpu, unique_set_size(node.pid))
 
 
 def commit_cost(folder: Path, size: int, sizes: Sizes) -> CommitCost:
@@ -191,51 +193,58 @@
 # ---- all sizes
 
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
-def measure(small: bool, say: Say) -> list[Measurement]:
+def measure(small: bool, progress: ProgressCallback) -> list[Measurement]:
     sizes = SMALL if small else FULL
     with tempfile.TemporaryDirectory(prefix="caperdeck-slopes-") as text:
         folder = Path(text)
         with PublishingInstances(folder / "instances") as instances:
             instances.publish(sizes.small)
-            watches = [_said(say, watch_cost(instances, n, sizes, folder / f"{n}")) for n in sizes.watches]
-            versions = _versions(instances, sizes, folder, say)
-            at_node = _at_node(instances, sizes, say)
-        commits = [_said(say, commit_cost(folder / f"commit-{n}", n, sizes)) for n in sizes.documents]
+            watches = [
+                _said(progress, watch_cost(instances, n, sizes, folder / f"{n}")) for n in sizes.watches
+            ]
+            versions = _versions(instances, sizes, folder, progress)
+            at_node = _at_node(instances, sizes, progress)
+        commits = [_said(progress, commit_cost(folder / f"commit-{n}", n, sizes)) for n in sizes.documents]
     return [
         *_by_watches(watches, sizes), *_by_size(versions, sizes), *_by_size_at_node(at_node, sizes),
         *_by_size_at_leader(commits, sizes),
     ]  # fmt: skip
 
 
-def _said(say: Say, cost: NamedTuple) -> NamedTuple:
+def _said(progress: ProgressCallback, cost: NamedTuple) -> NamedTuple:
     fields = ", ".join(f"{name} {value:.4g}" for name, value in cost._asdict().items())
-    say(f"distribution: {fields}")
+    progress(f"distribution: {fields}")
     return cost
 
 
-def _versions(instances: PublishingInstances, sizes: Sizes, folder: Path, say: Say) -> list[VersionCost]:
+def _versions(
+    instances: PublishingInstances, sizes: Sizes, folder: Path, progress: ProgressCallback
+) -> list[VersionCost]:
     count = sizes.watches_by_size
     with WatchingNodes(count, sizes.processes, instances.address, folder / "by-size") as nodes:
         time.sleep(sizes.answered)
         idle = idle_cost(instances, nodes, sizes.idle)
-        found = [_said(say, version_cost(instances, nodes, idle, n, sizes)) for n in sizes.documents]
+        found = [_said(progress, version_cost(instances, nodes, idle, n, sizes)) for n in sizes.documents]
     instances.check()
     return found
 
 
-def _at_node(instances: PublishingInstances, sizes: Sizes, say: Say) -> list[NodeVersionCost]:
+def _at_node(
+    instances: PublishingInstances, sizes: Sizes, progress: ProgressCallback
+) -> list[NodeVersionCost]:
     control = instances.control_file(NODE)
     with bench.Bench() as made, made.node(control) as node:
-        instances.wait_said(NODE, instances.publish(sizes.small))
+        instances.wait_until_reported(NODE, instances.publish(sizes.small))
         time.sleep(sizes.answered)
         meter = ProcessorMeter(node.pid)
         time.sleep(sizes.idle)
         used, passed = meter.read()
         return [
-            _said(say, node_version_cost(instances, node, used / passed, n, sizes)) for n in sizes.documents
+            _said(progress, node_version_cost(instances, node, used / passed, n, sizes))
+            for n in sizes.documents
         ]
 
 
@@ -247,7 +256,9 @@
 
 
 def _made(name: str, what: str, unit: str, against: str, points: list[Point], note: str) -> Measurement:
-    return measurement(f"distribution.{name}", what, unit, against, Source.PROCESSES, points, f"{RIG}{note}")
+    return make_measurement(
+        f"distribution.{name}", what, unit, against, Source.PROCESSES, points, f"{RIG}{note}"
+    )
 
 
 def _by_watches(costs: list[WatchCost], sizes: Sizes) -> list[Measurement]:
--- a/caperdeck/lab/slopes/end.py
+++ b/caperdeck/lab/slopes/end.py
@@ -8,18 +8,18 @@
 from typing import Any
 
 LOOPBACK = "127.0.0.1"
-POLL = 0.001  # seconds between two checks whether something has come to its end
-STAMP = 20  # digits of the time at the start of a relayed line, CLOCK_MONOTONIC in nanoseconds
+POLL_INTERVAL_S = 0.001  # seconds between two checks whether something has come to its end
+STAMP_DIGITS = 20  # digits of the time at the start of a relayed line, CLOCK_MONOTONIC in nanoseconds
 
 Reply = Callable[[Any], None]
 
 
-def stamped(at: int, length: int) -> bytes:
+def stamped_line(at: int, length: int) -> bytes:
     """A line of so many bytes, its end of line among them, that begins with its time of sending."""
-    return b"%0*d " % (STAMP, at) + b"x" * (length - STAMP - 3) + b"\r\n"
+    return b"%0*d " % (STAMP_DIGITS, at) + b"x" * (length - STAMP_DIGITS - 3) + b"\r\n"
 
 
-class End:
+class Endpoint:
     """What both processes answer to."""
 
     def __init__(self) -> None:
--- a/caperdeck/lab/slopes/ends.py
+++ b/caperdeck/lab/slopes/ends.py
@@ -17,20 +17,20 @@
 
 from caperdeck.lifecycle.reactor import install_reactor
 
-from .clients_end import ClientsEnd
-from .end import End
-from .hosts_end import HostsEnd
+from .clients_end import ClientsEndpoint
+from .end import Endpoint
+from .hosts_end import HostsEndpoint
 
 reactor = install_reactor()
 
-ROLES = {"hosts": HostsEnd, "clients": ClientsEnd}
+ROLES = {"hosts": HostsEndpoint, "clients": ClientsEndpoint}
 
 
 class Commands(LineOnlyReceiver):
     delimiter = b"\n"
     MAX_LENGTH = 1 << 20
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: Endpoint) -> None:
         self.end = end
 
     def lineReceived(self, line: bytes) -> None:
--- a/caperdeck/lab/slopes/errors.py
+++ b/caperdeck/lab/slopes/errors.py
@@ -7,5 +7,5 @@
     """What was asked for cannot be measured; nothing was started."""
 
 
-class MeasuringError(RuntimeError):
+class MeasurementError(RuntimeError):
     """A measurement was begun and gave nothing to go by, as with too few valid points; void."""
--- a/caperdeck/lab/slopes/garbage.py
+++ b/caperdeck/lab/slopes/garbage.py
@@ -8,7 +8,7 @@
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
+def without_gc() -> Iterator[None]:
     """Without the garbage collector, which would go through the tables of all members again and again.
 
     What a simulation leaves behind is collected when the next one begins.
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -26,9 +26,9 @@
 from caperdeck.state.hosts import Hosts
 from caperdeck.wire.session_handler import SessionHandler
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .line import Point
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 
 SIZES = (100, 300, 1000, 3000, 10000)
 SMALL_SIZES = (10, 20, 30, 40)
@@ -73,11 +73,11 @@
             self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, told))
 
     def place(self) -> int:
-        """A session that is placed at once; raises MeasuringError for one that is not."""
+        """A session that is placed at once; raises MeasurementError for one that is not."""
         self.made += 1
         orders = self.balancer.open_session(self.now, self.made, 0, 0, WAIT, LOAD)
         if len(orders) != 1 or not isinstance(orders[0], Connect):
-            raise MeasuringError(f"a placement came to {orders}, not to one connection")
+            raise MeasurementError(f"a placement came to {orders}, not to one connection")
         return self.made
 
     def stands(self, session: int) -> None:
@@ -218,12 +218,12 @@
 )  # fmt: skip
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     made = []
     for name, what, unit, cost_of, note in COSTS:
         points = []
         for hosts in SMALL_SIZES if small else SIZES:
             points.append(Point(hosts, cost_of(hosts, small)))
-            say(f"{hosts} hosts: {name} {points[-1].cost:.3g} {unit}")
-        made.append(measurement(f"node.{name}", what, unit, AGAINST, Source.IN_PROCESS, points, note))
+            progress(f"{hosts} hosts: {name} {points[-1].cost:.3g} {unit}")
+        made.append(make_measurement(f"node.{name}", what, unit, AGAINST, Source.IN_PROCESS, points, note))
     return made
--- a/caperdeck/lab/slopes/hosts_end.py
+++ b/caperdeck/lab/slopes/hosts_end.py
@@ -15,7 +15,7 @@
 from caperdeck.lab.discovery import Agent, Roster
 from caperdeck.lifecycle.reactor import install_reactor
 
-from .end import LOOPBACK, POLL, End, Reply, stamped
+from .end import LOOPBACK, POLL_INTERVAL_S, Endpoint, Reply, stamped_line
 
 reactor = install_reactor()
 
@@ -23,12 +23,12 @@
 NANOSECONDS = 1e9
 
 
-class HostLine(LineOnlyReceiver):
+class HostConnection(LineOnlyReceiver):
     """A connection at a host: a probe's, or a session's that stands from its first line on."""
 
     delimiter = b"\r\n"
 
-    def __init__(self, place: HostPlace) -> None:
+    def __init__(self, place: SimulatedHost) -> None:
         self.place = place
         self.id: bytes | None = None
 
@@ -51,20 +51,20 @@
             self.place.sessions.pop(self.id, None)
 
 
-class HostPlace(ServerFactory):
+class SimulatedHost(ServerFactory):
     """One host: where it listens, and its sessions."""
 
     noisy = False
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity  # sessions that fill it
-        self.sessions: dict[bytes, HostLine] = {}
+        self.sessions: dict[bytes, HostConnection] = {}
 
-    def buildProtocol(self, addr: Any) -> HostLine:
-        return HostLine(self)
+    def buildProtocol(self, addr: Any) -> HostConnection:
+        return HostConnection(self)
 
 
-class Sender(threading.Thread):
+class LineSender(threading.Thread):
     """Sends stamped lines over some sessions in turn, at the moments of a Poisson process of that rate."""
 
     def __init__(self, sockets: list[socket.socket], rate: float, seconds: float, length: int) -> None:
@@ -88,7 +88,7 @@
 
     def send(self, sock: socket.socket, due: float) -> None:
         at = time.monotonic_ns()
-        line = stamped(at, self.length)
+        line = stamped_line(at, self.length)
         try:
             # Danger: a part of a line shifts all that follow on its connection.
             whole = sock.send(line) == len(line)
@@ -99,10 +99,10 @@
         self.late.append(at / NANOSECONDS - due)
 
 
-class HostsEnd(End):
+class HostsEndpoint(Endpoint):
     def do_open(self, reply: Reply, hosts: int, capacity: int) -> None:
         """Hosts with room for so many sessions each, and the agent that lists them."""
-        self.places = [HostPlace(capacity) for _ in range(hosts)]
+        self.places = [SimulatedHost(capacity) for _ in range(hosts)]
         ends = {}
         roster = Roster()
         for number, place in enumerate(self.places):
@@ -122,13 +122,13 @@
             line for place in self.places for name, line in sorted(place.sessions.items())
             if name.startswith(prefix.encode())
         ]  # fmt: skip
-        sender = Sender([line.transport.getHandle() for line in lines], rate, seconds, length)
+        sender = LineSender([line.transport.getHandle() for line in lines], rate, seconds, length)
         self.processor()
         sender.start()
 
         def check() -> None:
             if sender.is_alive():
-                reactor.callLater(POLL, check)
+                reactor.callLater(POLL_INTERVAL_S, check)
                 return
             late = sorted(sender.late) or [0.0]
             reply({
--- a/caperdeck/lab/slopes/instances.py
+++ b/caperdeck/lab/slopes/instances.py
@@ -19,12 +19,12 @@
 from caperdeck.raft.transport import CALL
 from caperdeck.state.addresses import Address
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .process import processor_seconds
 
 CLUSTER = "slopes"
 LOOPBACK = "127.0.0.1"
-POLL_EVERY = 0.005  # seconds between two polls of a process that starts
+POLL_INTERVAL_S = 0.005  # seconds between two polls of a process that starts
 STARTED = 20.0  # seconds that a start, or an election, may take
 ENDED = 5.0  # seconds until a process that was told to end is killed
 ANSWERED = 30.0  # seconds until a call counts as lost
@@ -36,7 +36,7 @@
 SERVE = OWN_END + "from caperdeck.__main__ import main\nsys.exit(main(sys.argv[1:]))"
 
 
-class InstanceError(MeasuringError):
+class InstanceError(MeasurementError):
     """A process has not started, has ended, or does not answer in time."""
 
 
@@ -122,7 +122,7 @@
             raise InstanceError(f"o{number} does not answer")
         return status["events"].get(event, 0)
 
-    def until_answered(self, number: int) -> None:
+    def wait_for_answer(self, number: int) -> None:
         """Raises InstanceError."""
         self._wait(lambda: self.status(number) is not None, "no answer")
 
@@ -144,7 +144,7 @@
                 process.check()
             if time.monotonic() > until:
                 raise InstanceError(f"{text} in {STARTED:g} s")
-            time.sleep(POLL_EVERY)
+            time.sleep(POLL_INTERVAL_S)
 
 
 def _text(address: Address) -> str:
--- a/caperdeck/lab/slopes/membership_fleet.py
+++ b/caperdeck/lab/slopes/membership_fleet.py
@@ -1,6 +1,6 @@
-"""Members of SWIM on a simulated network in virtual time, with what they send and compute counted.
+"""SWIM members on a simulated network in virtual time, with counters of what they send and compute.
 
-Every member is the program's own Swim with its own codec; only sockets and clock are simulated.
+Every member runs the production `Swim` and codec; only sockets and the clock are simulated.
 """
 
 from __future__ import annotations
@@ -14,39 +14,41 @@
 from caperdeck.peers.codec import MemberState
 from caperdeck.peers.swim import Send, Swim
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 
-SECOND = 1000.0  # milliseconds
-DELAY = (1.0, 25.0)  # milliseconds that a datagram takes, uniformly distributed
-LEAST_WAIT = 1.0  # milliseconds between two turns of a member, as the node's socket has it
-SEED_BITS = 32  # of a member's own seed
-FLEET_MARK = codec.fleet_id(0, ())  # its value changes no cost
-CHECK_EVERY = SECOND / 2  # between two checks of a condition that is waited for
-LONGEST_WAIT = 1800 * SECOND  # a condition that takes longer is an error
+SECOND_MS = 1000.0
+DATAGRAM_DELAY_MS = (1.0, 25.0)  # range of the uniform distribution
+MIN_TICK_INTERVAL_MS = 1.0  # between two ticks of a member, as in the production event loop
+SEED_BITS = 32  # of each member's own seed
+FLEET_ID = codec.fleet_id(0, ())  # its value does not affect any cost
+CHECK_INTERVAL_MS = SECOND_MS / 2  # between two checks of a condition that is waited for
+MAX_WAIT_MS = 1800 * SECOND_MS
 
 
-class SlowError(MeasuringError):
-    """What is waited for has not come in LONGEST_WAIT."""
+class WaitTimeoutError(MeasurementError):
+    """A condition was not met within MAX_WAIT_MS."""
 
 
 class Fleet(Events):
-    """Members on a simulated network. `warm`: all know all from the start."""
+    """Members on a simulated network. With `warm`, every member knows all others from the start."""
 
     def __init__(self, members: int, seed: int, warm: bool) -> None:
         super().__init__()
         self.random = random.Random(seed)
-        # Danger: with seeds in a row members draw alike, ping the same ones at once, and never ping some.
+        # With consecutive seeds, members would draw alike: ping the same targets at the same time, and
+        # some members never.
         seeds = [self.random.getrandbits(SEED_BITS) for _ in range(members)]
         self.members = [Swim(i, members, i + 1, seeds[i], self.now) for i in range(members)]
         self.killed: set[int] = set()
-        self.region = 0  # members under this number are cut off from the others; 0 for no cut
-        self.messages = self.bytes = self.spent = 0  # sent; nanoseconds in the protocol's code
+        self.cut_below = 0  # members with a lower number are cut off from the others; 0 for no cut
+        # Datagrams and bytes sent, and processor time in the protocol's code.
+        self.messages = self.bytes = self.spent_ns = 0
         if warm:
-            self._introduce()
+            self._fill_tables()
         for number, swim in enumerate(self.members):
             self.at(swim.due, self._tick, number)
 
-    def _introduce(self) -> None:
+    def _fill_tables(self) -> None:
         lives = [swim.life[swim.me] for swim in self.members]
         for swim in self.members:
             swim.state = [MemberState.ALIVE] * len(lives)
@@ -62,35 +64,41 @@
         started = time.thread_time_ns()
         sends = swim.tick(self.now)
         self._send(number, sends)
-        self.spent += time.thread_time_ns() - started
-        self.at(max(swim.due - self.now, LEAST_WAIT), self._tick, number)
+        self.spent_ns += time.thread_time_ns() - started
+        self.at(max(swim.due - self.now, MIN_TICK_INTERVAL_MS), self._tick, number)
 
-    def _arrive(self, number: int, data: bytes) -> None:
+    def _deliver(self, number: int, data: bytes) -> None:
         if number in self.killed:
             return
         swim = self.members[number]
         started = time.thread_time_ns()
-        sends, _ = swim.receive(self.now, codec.decode(data, FLEET_MARK, len(self.members)))
+        sends, _ = swim.receive(self.now, codec.decode(data, FLEET_ID, len(self.members)))
         self._send(number, sends)
-        self.spent += time.thread_time_ns() - started
+        self.spent_ns += time.thread_time_ns() - started
 
     def _send(self, number: int, sends: list[Send]) -> None:
         for to, message in sends:
-            data = codec.encode(message, FLEET_MARK)
+            data = codec.encode(message, FLEET_ID)
             self.messages += 1
             self.bytes += len(data)
-            if (number < self.region) == (to < self.region):
-                self.at(self.random.uniform(*DELAY), self._arrive, to, data)
+            if (number < self.cut_below) == (to < self.cut_below):
+                self.at(self.random.uniform(*DATAGRAM_DELAY_MS), self._deliver, to, data)
 
     @property
-    def living(self) -> list[Swim]:
+    def alive(self) -> list[Swim]:
+        """The members that have not been killed."""
         return [swim for swim in self.members if swim.me not in self.killed]
 
-    def wait_for(self, true: Callable[[], bool]) -> float:
-        """Milliseconds until it is true, checked every CHECK_EVERY; raises SlowError."""
-        began = self.now
-        while not true():
-            if self.now - began >= LONGEST_WAIT:
-                raise SlowError(f"{len(self.members)} members: not in {LONGEST_WAIT / SECOND:g} s")
-            self.run(CHECK_EVERY)
-        return self.now - began
+    def wait_for(self, condition: Callable[[], bool]) -> float:
+        """Runs until the condition holds, checked every CHECK_INTERVAL_MS, and returns the milliseconds.
+
+        Raises WaitTimeoutError after MAX_WAIT_MS.
+        """
+        started_at = self.now
+        while not condition():
+            if self.now - started_at >= MAX_WAIT_MS:
+                raise WaitTimeoutError(
+                    f"{len(self.members)} members: condition not met in {MAX_WAIT_MS / SECOND_MS:g} s"
+                )
+            self.run(CHECK_INTERVAL_MS)
+        return self.now - started_at
--- a/caperdeck/lab/slopes/memory.py
+++ b/caperdeck/lab/slopes/memory.py
@@ -8,8 +8,8 @@
 
 from .bench import Bench
 from .line import Point
-from .process import kernel_slab, own_memory, socket_buffers
-from .record import Measurement, Source, measurement
+from .process import kernel_slab_bytes, unique_set_size, socket_buffer_bytes
+from .record import Measurement, Source, make_measurement
 
 SIZES = (500, 1000, 2000, 4000, 8000)
 SMALL_SIZES = (20, 40, 60, 80)
@@ -24,27 +24,29 @@
 )
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     own, kernel, buffers = [], [], 0
     sizes, settle = (SMALL_SIZES, SMALL_SETTLE) if small else (SIZES, SETTLE)
-    with Bench() as bench, closing(bench.nodes(sizes, small, say)) as nodes:
+    with Bench() as bench, closing(bench.nodes(sizes, small, progress)) as nodes:
         for size, node in nodes:
-            slab, charged = kernel_slab(), socket_buffers()
+            slab, charged = kernel_slab_bytes(), socket_buffer_bytes()
             node.open(size)
             time.sleep(settle)
-            own.append(Point(size, own_memory(node.pid)))
-            kernel.append(Point(size, (kernel_slab() - slab) / 2))
-            buffers = max(buffers, socket_buffers() - charged)
+            own.append(Point(size, unique_set_size(node.pid)))
+            kernel.append(Point(size, (kernel_slab_bytes() - slab) / 2))
+            buffers = max(buffers, socket_buffer_bytes() - charged)
             node.close(reset=True)
             time.sleep(settle)
-            say(f"{size} connections: own {own[-1].cost / 1e6:.1f} MB, kernel {kernel[-1].cost / 1e6:.1f} MB")
+            progress(
+                f"{size} connections: own {own[-1].cost / 1e6:.1f} MB, kernel {kernel[-1].cost / 1e6:.1f} MB"
+            )
     new = "one node for all sizes" if small else "a new node for each size"
     return [
-        measurement(
+        make_measurement(
             "node.memory_own", "memory of the node's process", "B", AGAINST, Source.PROCESSES, own,
             OWN_NOTE.format(nodes=new),
         ),
-        measurement(
+        make_measurement(
             "node.memory_kernel", "memory of the kernel for the node's sockets", "B", AGAINST,
             Source.PROCESSES, kernel, KERNEL_NOTE.format(buffers=buffers),
         ),
--- a/caperdeck/lab/slopes/owned_work.py
+++ b/caperdeck/lab/slopes/owned_work.py
@@ -19,9 +19,9 @@
 from caperdeck.lab.ports import Ports
 from caperdeck.state.addresses import Address
 
-from .instances import LOOPBACK, OWN_END, POLL_EVERY, STARTED, InstanceError, Instances, Process
+from .instances import LOOPBACK, OWN_END, POLL_INTERVAL_S, STARTED, InstanceError, Instances, Process
 from .line import Point
-from .record import Measurement, Source, measurement
+from .record import Measurement, Source, make_measurement
 from .targets import HOSTS, Figures
 
 TARGETS = OWN_END + "from caperdeck.lab.slopes.targets import main\nmain(sys.argv[1:])"
@@ -80,7 +80,7 @@
             self.process.check()
             if time.monotonic() > until:
                 raise InstanceError(f"{text} in {STARTED:g} s")
-            time.sleep(POLL_EVERY)
+            time.sleep(POLL_INTERVAL_S)
 
 
 @contextmanager
@@ -142,7 +142,7 @@
 # ---- all sizes
 
 
-def measure(small: bool, say: Callable[[str], None]) -> list[Measurement]:
+def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
     sizes = SMALL if small else FULL
     found: dict[int, Load] = {}
     with tempfile.TemporaryDirectory() as text, targets(max(sizes.nodes), Path(text)) as nodes:
@@ -150,7 +150,7 @@
             folder = Path(text) / str(count)
             folder.mkdir()
             cost = found[count] = load(nodes, count, folder, sizes)
-            say(
+            progress(
                 f"owned work: {count} nodes: {cost.connections:.1f} connections/s, {cost.bytes:.0f} B/s, "
                 f"{cost.cpu_owner * 1000:.1f} ms/s at the owner, {cost.cpu_node * 1000:.2f} ms/s a node"
             )
@@ -168,7 +168,7 @@
     def made(name: str, what: str, unit: str, more: str) -> Measurement:
         points = [Point(count, getattr(cost, name)) for count, cost in found.items()]
         full = f"{note}; {more}"
-        return measurement(f"owned.{name}", what, unit, "nodes", Source.PROCESSES, points, full)
+        return make_measurement(f"owned.{name}", what, unit, "nodes", Source.PROCESSES, points, full)
 
     return [
         made("connections", "connections that the owner opens a second", "connections/s",
--- a/caperdeck/lab/slopes/process.py
+++ b/caperdeck/lab/slopes/process.py
@@ -30,7 +30,7 @@
     return time.clock_gettime(clock.value)
 
 
-def own_memory(pid: int) -> int:
+def unique_set_size(pid: int) -> int:
     """Bytes that the process would give back if it ended (unique set size)."""
     try:
         return psutil.Process(pid).memory_full_info().uss
@@ -38,12 +38,12 @@
         raise ProcessError(f"no memory figures of process {pid}: {error}") from None
 
 
-def kernel_slab() -> int:
+def kernel_slab_bytes() -> int:
     """Bytes of the kernel's slabs on the whole machine, where sockets and open files are kept."""
     return _field("/proc/meminfo", "Slab:") * KIB
 
 
-def socket_buffers() -> int:
+def socket_buffer_bytes() -> int:
     """Bytes charged for the buffers of all TCP sockets of the machine, sent and not yet read."""
     words = Path("/proc/net/sockstat").read_text(encoding="ascii").split("TCP:")[1].split()
     return int(words[words.index("mem") + 1]) * PAGE
--- a/caperdeck/lab/slopes/publishing_instances.py
+++ b/caperdeck/lab/slopes/publishing_instances.py
@@ -16,9 +16,9 @@
 from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.state.addresses import Address
 
-from .errors import MeasuringError
+from .errors import MeasurementError
 from .instances import Instances
-from .process import own_memory
+from .process import unique_set_size
 from .watching_nodes import REGION, ZONE, ProcessorMeter, wait_for
 
 INSTANCES = 3
@@ -50,7 +50,7 @@
             self.leader = self.instances.leader()
             self.watched = min({*range(INSTANCES)} - {self.leader})
             for number in range(INSTANCES):
-                self.instances.until_answered(number)
+                self.instances.wait_for_answer(number)
         except BaseException:
             self.__exit__()
             raise
@@ -74,19 +74,19 @@
             with contextlib.redirect_stdout(io.StringIO()):
                 commands.publish(self.owners, document(size, self.changes), None, noted)
         except (commands.InputError, commands.UnknownError) as error:
-            raise MeasuringError(f"publish: {error}") from None
+            raise MeasurementError(f"publish: {error}") from None
         return revisions[-1]
 
     def check_alive(self) -> None:
-        """Raises MeasuringError."""
+        """Raises MeasurementError."""
         for process in self.instances.processes:
             process.check()
 
     def check(self) -> None:
-        """Raises MeasuringError where one has ended, or the roles have changed and so what was measured."""
+        """Raises MeasurementError where one has ended, or the roles have changed and so what was measured."""
         self.check_alive()
         if self.instances.leader() != self.leader:
-            raise MeasuringError("another instance leads now")
+            raise MeasurementError("another instance leads now")
 
     @property
     def address(self) -> Address:
@@ -99,15 +99,15 @@
         return ProcessorMeter(self.pid(number))
 
     def memory(self, number: int) -> int:
-        return own_memory(self.pid(number))
+        return unique_set_size(self.pid(number))
 
     def said(self) -> list[dict[str, Any]]:
         """The last words of the nodes that the watched instance has heard lately."""
         answer = call_instance(self.address, CLUSTER, {"do": "distribution"})
         return answer["rows"] if isinstance(answer, dict) else []
 
-    def wait_said(self, node: str, revision: int) -> None:
-        """Until a node has said that this revision is in force there; raises MeasuringError."""
+    def wait_until_reported(self, node: str, revision: int) -> None:
+        """Until a node has said that this revision is in force there; raises MeasurementError."""
 
         def in_force() -> bool:
             return any(row["node"] == node and row["revision"] >= revision for row in self.said())
--- a/caperdeck/lab/slopes/watching_nodes.py
+++ b/caperdeck/lab/slopes/watching_nodes.py
@@ -20,9 +20,9 @@
 from caperdeck.lab.propagation.run import stream_bytes
 from caperdeck.state.addresses import Address
 
-from .bench import POLL_EVERY, spawn
-from .errors import MeasuringError
-from .process import own_memory, processor_seconds
+from .bench import POLL_INTERVAL_S, spawn_module
+from .errors import MeasurementError
+from .process import unique_set_size, processor_seconds
 
 MODULE = "caperdeck.lab.propagation.nodes"
 LATE_BEAT = 150.0  # milliseconds, from which the process counts a beat of its own as late
@@ -49,7 +49,7 @@
         self.reported_at = 0.0
         self.log = log
         with open(log, "wb") as output:
-            self.popen = spawn([MODULE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=output)
+            self.popen = spawn_module([MODULE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=output)
         self.popen.stdin.write(msgspec.json.encode(plan) + b"\n")
         self.popen.stdin.flush()
         self.reader = threading.Thread(target=self._read, daemon=True)
@@ -68,10 +68,10 @@
         return self.report is not None and self.report.ready
 
     def check(self) -> None:
-        """Raises MeasuringError if it has ended by itself."""
+        """Raises MeasurementError if it has ended by itself."""
         if self.popen.poll() is not None:
             said = self.log.read_text(encoding="utf-8", errors="replace").strip()[-200:]
-            raise MeasuringError(f"a process of nodes ended: {said}")
+            raise MeasurementError(f"a process of nodes ended: {said}")
 
     def sample(self) -> NodesSample:
         """As of the next report."""
@@ -81,7 +81,7 @@
 
     def memory(self) -> int:
         """Bytes of all its nodes, without the interpreter and the program."""
-        return own_memory(self.popen.pid) - self.report.base_uss
+        return unique_set_size(self.popen.pid) - self.report.base_uss
 
     def end(self) -> None:
         self.popen.kill()
@@ -131,11 +131,11 @@
             process.check()
 
     def wait_until(self, true: Callable[[NodesProcess], bool], text: str) -> None:
-        """Of each process; raises MeasuringError."""
+        """Of each process; raises MeasurementError."""
         wait_for(lambda: all(map(true, self.processes)), self.check, text)
 
-    def wait_in_force(self, revision: int) -> None:
-        """At all nodes; raises MeasuringError."""
+    def wait_until_applied(self, revision: int) -> None:
+        """At all nodes; raises MeasurementError."""
         self.wait_until(
             lambda process: min(process.revisions.values()) >= revision,
             f"revision {revision} is not in force at all nodes",
@@ -149,13 +149,13 @@
 
 
 def wait_for(true: Callable[[], bool], check: Callable[[], None], text: str) -> None:
-    """Raises MeasuringError, also what `check` raises."""
+    """Raises MeasurementError, also what `check` raises."""
     until = time.monotonic() + WAIT
     while not true():
         check()
         if time.monotonic() > until:
-            raise MeasuringError(f"{text} after {WAIT:g} s")
-        time.sleep(POLL_EVERY)
+            raise MeasurementError(f"{text} after {WAIT:g} s")
+        time.sleep(POLL_INTERVAL_S)
 
 
 class ProcessorMeter:
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -23,7 +23,7 @@
 from caperdeck.lab.capacity.target import TargetError, load
 from caperdeck.lab.capacity.text import amount, room
 from caperdeck.lab.slopes.line import Point
-from caperdeck.lab.slopes.record import Source, measurement, read, record, write
+from caperdeck.lab.slopes.record import Source, make_measurement, read_record, make_record, write_record
 
 ROOT = Path(__file__).resolve().parents[1]
 TARGET = ROOT / "docs/capacity/target.toml"
@@ -42,12 +42,12 @@
 @cache
 def line(name, fixed, slope, sizes=SIZES):
     points = [Point(size, fixed + slope * size) for size in sizes]
-    return measurement(name, "stand-in", "unit", "size", Source.VIRTUAL_TIME, points)
+    return make_measurement(name, "stand-in", "unit", "size", Source.VIRTUAL_TIME, points)
 
 
 def stand_in(without=(), **costs):
     lines = STAND_IN | {name.replace("__", "."): cost for name, cost in costs.items()}
-    return record([line(n, *lines.get(n, (0, 1e-6))) for n in NAMES if n not in without])
+    return make_record([line(n, *lines.get(n, (0, 1e-6))) for n in NAMES if n not in without])
 
 
 def target(**changes):
@@ -106,8 +106,8 @@
     made = stand_in(node__tick=(-1.0, 1e-4))
     assert Fleet(target(), made).lines.at("node.tick", 10).value == 0.0
     points = [Point(size, cost) for size, cost in zip(SIZES, (0.0, 9.0, 1.0, 8.0), strict=True)]
-    bent = measurement("node.tick", "", "s", "hosts", Source.PROCESSES, points)
-    fleet = Fleet(target(), record([bent]))
+    bent = make_measurement("node.tick", "", "s", "hosts", Source.PROCESSES, points)
+    fleet = Fleet(target(), make_record([bent]))
     assert (fleet.lines.at("node.tick", 10) + 1).bent == {"node.tick"}
 
 
@@ -173,9 +173,9 @@
 
 def delays(costs, sizes=SIZES):
     points = [Point(size, cost) for size, cost in zip(sizes, costs, strict=True)]
-    slow = measurement("node.delivery_p99_100", "", "s", "lines", Source.PROCESSES, points)
+    slow = make_measurement("node.delivery_p99_100", "", "s", "lines", Source.PROCESSES, points)
     others = [each for each in stand_in().measurements if each.name != slow.name]
-    return record([*others, slow])
+    return make_record([*others, slow])
 
 
 def test_processes_follow_from_the_highest_measured_rate_in_time():
@@ -356,7 +356,7 @@
 
 
 def test_nothing_measured_gives_no_figure_that_needs_a_line():
-    made = report(target(), record([]))
+    made = report(target(), make_record([]))
     assert made.missing == NAMES and made.sizing.processes.value is None
     assert find(made, "memory").amount.value is None and find(made, "shards of one host").amount.value == 100
     assert "must run is **not measured**" in tables.markdown(made)
@@ -364,7 +364,7 @@
 
 def test_a_record_of_small_sizes_is_called_that():
     small = [msgspec.structs.replace(each, note="small sizes; x") for each in stand_in().measurements]
-    assert "the figures say nothing" in tables.markdown(report(target(), record(small)))
+    assert "the figures say nothing" in tables.markdown(report(target(), make_record(small)))
     assert "the figures say nothing" not in tables.markdown(report(target(), stand_in()))
 
 
@@ -455,7 +455,7 @@
     with pytest.raises(TargetError, match=reason) as error:
         load(path)
     assert str(error.value).startswith(f"{path}: ") and "\n" not in str(error.value)
-    write(tmp_path / "slopes.json", stand_in())
+    write_record(tmp_path / "slopes.json", stand_in())
     out = tmp_path / "out.json"
     assert main(command(tmp_path / "slopes.json", path, "--json", out)) == 2
     said = capsys.readouterr()
@@ -478,7 +478,7 @@
 
 
 def test_a_missing_target_is_one_line(tmp_path, capsys):
-    write(tmp_path / "slopes.json", stand_in())
+    write_record(tmp_path / "slopes.json", stand_in())
     assert main(command(tmp_path / "slopes.json", tmp_path / "none.toml")) == 2
     assert "none.toml: No such file" in capsys.readouterr().err
 
@@ -488,7 +488,7 @@
     ["", page.BEGIN, page.END + page.BEGIN, page.BEGIN + page.END + page.END, page.BEGIN * 2 + page.END],
 )
 def test_a_page_without_its_marks_is_left_alone(tmp_path, capsys, text):
-    write(tmp_path / "slopes.json", stand_in())
+    write_record(tmp_path / "slopes.json", stand_in())
     file = tmp_path / "page.md"
     file.write_text(text)
     assert main(command(tmp_path / "slopes.json", TARGET, "--page", file)) == 2
@@ -499,7 +499,7 @@
 
 
 def test_the_command_writes_page_and_figures(tmp_path, capsys):
-    write(tmp_path / "slopes.json", stand_in())
+    write_record(tmp_path / "slopes.json", stand_in())
     file, out = tmp_path / "page.md", tmp_path / "out.json"
     file.write_text(f"before\n{page.BEGIN}\nold\n{page.END}\nafter\n")
     words = command(tmp_path / "slopes.json", TARGET, "--page", file, "--json", out)
@@ -513,14 +513,16 @@
 
 
 def test_what_is_not_measured_ends_with_one(tmp_path, capsys):
-    write(tmp_path / "slopes.json", stand_in(without=("peers.cpu", "raft.commit_cpu")))
+    write_record(tmp_path / "slopes.json", stand_in(without=("peers.cpu", "raft.commit_cpu")))
     assert main(command(tmp_path / "slopes.json", TARGET)) == 1
     assert capsys.readouterr().err == "not measured: peers.cpu, raft.commit_cpu\n"
 
 
 def generated():
     """What the page has to say for the files in the tree."""
-    return tables.markdown(report(load(str(TARGET)), read(SLOPES))) if SLOPES.exists() else page.MISSING
+    return (
+        tables.markdown(report(load(str(TARGET)), read_record(SLOPES))) if SLOPES.exists() else page.MISSING
+    )
 
 
 def test_page_slopes_and_target_in_the_tree_agree():
--- a/tests/test_lab_slopes.py
+++ b/tests/test_lab_slopes.py
@@ -3,7 +3,14 @@
 import pytest
 
 from caperdeck.lab.slopes.line import FitError, Point, fit
-from caperdeck.lab.slopes.record import RecordError, Source, measurement, read, record, write
+from caperdeck.lab.slopes.record import (
+    RecordError,
+    Source,
+    make_measurement,
+    read_record,
+    make_record,
+    write_record,
+)
 
 
 def on_a_line(fixed, slope, sizes):
@@ -25,9 +32,9 @@
 
 def test_a_cost_that_never_changes_is_a_level_line_that_a_record_can_keep(tmp_path):
     points = on_a_line(5.0, 0.0, [1, 2, 4, 8])
-    level = measurement("part.level", "messages", "messages", "members", Source.VIRTUAL_TIME, points)
-    write(tmp_path / "slopes.json", record([level]))
-    line = read(tmp_path / "slopes.json").find("part.level").line
+    level = make_measurement("part.level", "messages", "messages", "members", Source.VIRTUAL_TIME, points)
+    write_record(tmp_path / "slopes.json", make_record([level]))
+    line = read_record(tmp_path / "slopes.json").find("part.level").line
     assert line.fits and (line.at(1000), line.slope_error, line.residuals) == (5.0, 0.0, (0.0,) * 4)
 
 
@@ -39,25 +46,25 @@
 
 def made(name="node.memory"):
     points = on_a_line(2e7, 3e3, [1000, 2000, 4000, 8000])
-    return measurement(name, "resident memory", "B", "standing connections", Source.PROCESSES, points)
+    return make_measurement(name, "resident memory", "B", "standing connections", Source.PROCESSES, points)
 
 
 def test_a_record_is_read_back_as_it_was_written(tmp_path):
-    written = record([made(), made("node.idle")])
-    write(tmp_path / "slopes.json", written)
-    assert read(tmp_path / "slopes.json") == written
+    written = make_record([made(), made("node.idle")])
+    write_record(tmp_path / "slopes.json", written)
+    assert read_record(tmp_path / "slopes.json") == written
     assert written.find("node.idle").line.slope == pytest.approx(3e3)
     assert written.machine.cores >= 1 and written.machine.memory_bytes > 0
 
 
 def test_a_name_stands_once_in_a_record():
     with pytest.raises(RecordError, match="measured twice: node.memory"):
-        record([made(), made()])
+        make_record([made(), made()])
 
 
 def test_a_missing_measurement_is_named():
     with pytest.raises(RecordError, match="no measurement peers.bytes"):
-        record([made()]).find("peers.bytes")
+        make_record([made()]).find("peers.bytes")
 
 
 @pytest.mark.parametrize(
@@ -67,13 +74,13 @@
 def test_what_is_no_record_is_said_in_one_line(tmp_path, text):
     (tmp_path / "slopes.json").write_bytes(text)
     with pytest.raises(RecordError, match=r"slopes\.json: .+") as error:
-        read(tmp_path / "slopes.json")
+        read_record(tmp_path / "slopes.json")
     assert "\n" not in str(error.value)
 
 
 def test_another_format_is_refused(tmp_path):
-    write(tmp_path / "slopes.json", record([made()]))
+    write_record(tmp_path / "slopes.json", make_record([made()]))
     text = (tmp_path / "slopes.json").read_text().replace('"format": 1', '"format": 2')
     (tmp_path / "slopes.json").write_text(text)
     with pytest.raises(RecordError, match="format 2, not 1"):
-        read(tmp_path / "slopes.json")
+        read_record(tmp_path / "slopes.json")
--- a/tests/test_lab_slopes_command.py
+++ b/tests/test_lab_slopes_command.py
@@ -7,15 +7,15 @@
 
 from caperdeck.__main__ import main
 from caperdeck.lab.slopes import command, record
-from caperdeck.lab.slopes.errors import MeasuringError
+from caperdeck.lab.slopes.errors import MeasurementError
 from caperdeck.lab.slopes.line import Point
-from caperdeck.lab.slopes.record import Source, measurement, read
+from caperdeck.lab.slopes.record import Source, make_measurement, read_record
 from caperdeck.lab.slopes.table import rows
 
 
 def made(name, cost=3.0, note=""):
     points = [Point(size, 7.0 + cost * size) for size in (1, 2, 4, 8)]
-    return measurement(name, "a stand-in's cost", "s", "things", Source.IN_PROCESS, points, note)
+    return make_measurement(name, "a stand-in's cost", "s", "things", Source.IN_PROCESS, points, note)
 
 
 @pytest.fixture
@@ -27,9 +27,9 @@
     for part in ("one", "two"):
         module = types.ModuleType(f"{command.__package__}.stand_in_{part}")
 
-        def measure(small, say, part=part):
+        def measure(small, progress, part=part):
             seen.append((part, small))
-            say(f"point of {part}")
+            progress(f"point of {part}")
             return [made(f"{part}.cost", len(seen), "as told")]
 
         module.measure = measure
@@ -54,7 +54,7 @@
     out = str(tmp_path / "slopes.json")
     for only in ("one", "two", "one"):
         assert slopes(f"--only={only}", f"--out={out}") == 0
-    kept = read(out)
+    kept = read_record(out)
     assert [each.name for each in kept.measurements] == ["two.cost", "one.cost"]
     assert [each.line.slope for each in kept.measurements] == pytest.approx([2.0, 3.0])
     assert kept.revision == "abc" and kept.find("one.cost").note == "as told"
@@ -83,11 +83,11 @@
 def test_lines_of_a_later_revision_are_merged_with_their_own_provenance(stand_ins, tmp_path, monkeypatch):
     out = str(tmp_path / "slopes.json")
     assert slopes("--only=one,two", f"--out={out}") == 0
-    old = read(out)
+    old = read_record(out)
     monkeypatch.setattr(record, "revision", lambda: "def")
     monkeypatch.setattr(record, "this_machine", lambda: record.Machine(1, 2, "another", "Linux", "3"))
     assert slopes("--only=one", f"--out={out}", "--merge") == 0
-    new = read(out)
+    new = read_record(out)
     assert (new.provenance, new.find("two.cost")) == (old.provenance, old.find("two.cost"))
     own = new.find("one.cost").provenance
     assert (own.revision, own.machine.processor) == ("def", "another") and old.revision == "abc"
@@ -114,7 +114,7 @@
 def test_small_sizes_are_marked_and_not_mixed_with_full_ones(stand_ins, tmp_path, capsys):
     out = str(tmp_path / "slopes.json")
     assert slopes("--only=one", "--small", f"--out={out}") == 0
-    assert read(out).find("one.cost").note == "small sizes; as told"
+    assert read_record(out).find("one.cost").note == "small sizes; as told"
     assert slopes("--only=two", f"--out={out}") == 2
     assert "was measured with --small" in capsys.readouterr().err
 
@@ -146,19 +146,19 @@
 def test_a_part_that_gives_nothing_is_void_and_what_was_measured_before_it_is_kept(
     stand_ins, tmp_path, monkeypatch, capsys,
 ):  # fmt: skip
-    def measure(small, say):
-        raise MeasuringError("2 valid points")
+    def measure(small, progress):
+        raise MeasurementError("2 valid points")
 
     monkeypatch.setattr(sys.modules[f"{command.__package__}.stand_in_two"], "measure", measure)
     out = str(tmp_path / "slopes.json")
     assert slopes("--only=one,two", f"--out={out}") == 3
     assert capsys.readouterr().err == "void: 2 valid points\n"
-    assert [each.name for each in read(out).measurements] == ["one.cost"]
+    assert [each.name for each in read_record(out).measurements] == ["one.cost"]
 
 
 def test_a_curve_is_flagged_with_its_largest_residual():
     points = [Point(size, size**2) for size in (1, 10, 100, 1000, 3000)]
-    curve = measurement("part.curve", "a square", "B", "things", Source.IN_PROCESS, points)
+    curve = make_measurement("part.curve", "a square", "B", "things", Source.IN_PROCESS, points)
     table = rows([made("part.line"), curve])
     assert len(table) == 4
     worst = max(curve.line.residuals, key=abs)
--- a/tests/test_lab_slopes_distribution.py
+++ b/tests/test_lab_slopes_distribution.py
@@ -2,11 +2,11 @@
 
 import msgspec
 import pytest
-from test_lab_slopes_fleet import by_name, check, quiet
+from test_lab_slopes_fleet import by_name, check, ignore_progress
 
 from caperdeck.distribution.document import canonical, difference, encode_changes
 from caperdeck.lab.slopes import distribution
-from caperdeck.lab.slopes.errors import MeasuringError
+from caperdeck.lab.slopes.errors import MeasurementError
 from caperdeck.lab.slopes.publishing_instances import CUSTOMER_BYTES, PublishingInstances, document
 from caperdeck.lab.slopes.record import Source
 from caperdeck.lab.slopes.watching_nodes import NodesSample, WatchingNodes, wait_for
@@ -15,7 +15,7 @@
 
 def test_distribution_is_measured_on_instances_and_nodes(tmp_path):
     # what is idle is subtracted, and is as large as the cost at these sizes: below 0 now and then
-    measured = distribution.measure(True, quiet)
+    measured = distribution.measure(True, ignore_progress)
     found = by_name(measured)
     for name in ("subscribe_cpu", "instance_version_cpu", "instance_version_cpu_by_size", "version_cpu"):
         assert len(found.pop(f"distribution.{name}").points) == 4
@@ -46,8 +46,8 @@
     with PublishingInstances(tmp_path / "instances") as instances:
         with WatchingNodes(3, 2, instances.address, tmp_path / "nodes") as nodes:
             revision = instances.publish(1000)
-            nodes.wait_in_force(revision)
-            instances.wait_said("n2", revision)
+            nodes.wait_until_applied(revision)
+            instances.wait_until_reported("n2", revision)
             first, second = nodes.samples(), nodes.samples()
             processes = nodes.processes
         assert all(process.popen.returncode is not None for process in processes)
@@ -60,14 +60,14 @@
 def test_what_ended_or_changed_is_void(tmp_path, monkeypatch):
     with PublishingInstances(tmp_path / "instances") as instances:
         instances.leader = instances.watched
-        with pytest.raises(MeasuringError, match="another instance leads"):
+        with pytest.raises(MeasurementError, match="another instance leads"):
             instances.check()
         with WatchingNodes(1, 1, instances.address, tmp_path / "nodes") as nodes:
             nodes.processes[0].popen.kill()
-            with pytest.raises(MeasuringError, match="a process of nodes ended"):
-                nodes.wait_in_force(99)
+            with pytest.raises(MeasurementError, match="a process of nodes ended"):
+                nodes.wait_until_applied(99)
     monkeypatch.setattr("caperdeck.lab.slopes.watching_nodes.WAIT", 0.0)
-    with pytest.raises(MeasuringError, match="nothing after 0 s"):
+    with pytest.raises(MeasurementError, match="nothing after 0 s"):
         wait_for(lambda: False, lambda: None, "nothing")
 
 
@@ -86,7 +86,7 @@
         def publish(self, size):
             return 1
 
-        def wait_in_force(self, revision):
+        def wait_until_applied(self, revision):
             pass
 
         def samples(self):
--- a/tests/test_lab_slopes_fleet.py
+++ b/tests/test_lab_slopes_fleet.py
@@ -7,18 +7,18 @@
 import pytest
 
 from caperdeck.lab.slopes import agreement, configuration, membership, membership_fleet, owned_work
-from caperdeck.lab.slopes.errors import MeasuringError
-from caperdeck.lab.slopes.garbage import uncollected
+from caperdeck.lab.slopes.errors import MeasurementError
+from caperdeck.lab.slopes.garbage import without_gc
 from caperdeck.lab.slopes.instances import Caller, InstanceError, Instances, Process
 from caperdeck.lab.slopes.line import Point, fit
-from caperdeck.lab.slopes.membership_costs import SETTLE, held_silent_across, steady
-from caperdeck.lab.slopes.membership_fleet import Fleet, SlowError
+from caperdeck.lab.slopes.membership_costs import SETTLE_MS, silent_share_across, steady_cost
+from caperdeck.lab.slopes.membership_fleet import Fleet, WaitTimeoutError
 from caperdeck.lab.slopes.object_size import object_bytes
-from caperdeck.lab.slopes.record import Source, record, write
+from caperdeck.lab.slopes.record import Source, make_record, write_record
 from caperdeck.peers.codec import MemberState
 
 
-def quiet(_):
+def ignore_progress(_):
     pass
 
 
@@ -27,8 +27,8 @@
 
 
 def test_what_a_part_cannot_measure_is_one_line_of_the_command():
-    for error in (InstanceError, SlowError, configuration.ReloadError):
-        assert issubclass(error, MeasuringError)
+    for error in (InstanceError, WaitTimeoutError, configuration.ReloadError):
+        assert issubclass(error, MeasurementError)
 
 
 def check(measured, part, sources, tmp_path):
@@ -40,7 +40,7 @@
         assert all(point.cost >= 0 for point in each.points)
         line = each.line
         assert all(map(math.isfinite, (line.fixed, line.slope, line.fixed_error, line.slope_error)))
-    write(tmp_path / "slopes.json", record(measured))
+    write_record(tmp_path / "slopes.json", make_record(measured))
 
 
 def test_costs_that_are_all_alike_have_a_level_line():
@@ -52,7 +52,7 @@
 
 
 def test_membership_is_measured_in_virtual_time(tmp_path):
-    measured = membership.measure(True, quiet)
+    measured = membership.measure(True, ignore_progress)
     check(measured, "peers", {Source.VIRTUAL_TIME}, tmp_path)
     found = by_name(measured)
     assert found.keys() == {
@@ -66,7 +66,7 @@
 
 
 def test_membership_costs_are_the_same_in_each_run_but_for_processor_time():
-    first, second = (steady(10, 4000.0) for _ in range(2))
+    first, second = (steady_cost(10, 4000.0) for _ in range(2))
     assert first._replace(cpu=0.0) == second._replace(cpu=0.0)
     # a ping and its answer every two seconds at the mean: a datagram a second
     assert first.messages == pytest.approx(1.0, rel=0.25)
@@ -74,32 +74,32 @@
 
 def test_a_killed_member_is_found_and_no_living_one():
     fleet = Fleet(10, 3, warm=True)
-    fleet.run(SETTLE)
+    fleet.run(SETTLE_MS)
     fleet.killed.add(4)
     fleet.run(60_000.0)
-    states = [swim.state for swim in fleet.living]
+    states = [swim.state for swim in fleet.alive]
     assert all(state[4] is MemberState.SILENT and state.count(MemberState.SILENT) == 1 for state in states)
 
 
 def test_members_across_a_cut_hold_each_other_dead_and_come_back():
     fleet = Fleet(10, 3, warm=True)
-    fleet.region = 4
+    fleet.cut_below = 4
     fleet.run(60_000.0)
-    assert held_silent_across(fleet, 4) == 1.0
-    fleet.region = 0
+    assert silent_share_across(fleet, 4) == 1.0
+    fleet.cut_below = 0
     fleet.run(60_000.0)
-    assert held_silent_across(fleet, 4) == 0.0
+    assert silent_share_across(fleet, 4) == 0.0
 
 
 def test_what_takes_too_long_is_an_error(monkeypatch):
-    monkeypatch.setattr(membership_fleet, "LONGEST_WAIT", 10_000.0)
+    monkeypatch.setattr(membership_fleet, "MAX_WAIT_MS", 10_000.0)
     fleet = Fleet(4, 3, warm=True)
-    with pytest.raises(SlowError, match="4 members"):
+    with pytest.raises(WaitTimeoutError, match="4 members"):
         fleet.wait_for(lambda: False)
 
 
 def test_the_garbage_collector_is_on_again_after_a_simulation_that_fails():
-    with pytest.raises(ZeroDivisionError), uncollected():
+    with pytest.raises(ZeroDivisionError), without_gc():
         assert not gc.isenabled()
         _ = 1 / 0
     assert gc.isenabled()
@@ -116,7 +116,7 @@
 
 
 def test_applying_a_configuration_is_measured_in_process(tmp_path):
-    measured = configuration.measure(True, quiet)
+    measured = configuration.measure(True, ignore_progress)
     check(measured, "configuration", {Source.IN_PROCESS}, tmp_path)
     found = by_name(measured)
     assert found.keys() == {
@@ -186,7 +186,7 @@
 
 
 def test_agreement_is_measured_on_three_processes(tmp_path):
-    measured = agreement.measure(True, quiet)
+    measured = agreement.measure(True, ignore_progress)
     check(measured, "raft", {Source.PROCESSES, Source.VIRTUAL_TIME}, tmp_path)
     found = by_name(measured)
     axes = {"entries proposed": "", "bytes of an entry": "_by_size"}
@@ -204,15 +204,15 @@
     assert small.written < many.written and small.written < large.written
     assert many.size == small.size < large.size
     assert small.written >= 4 * small.size and large.written >= 4 * large.size
-    sent = agreement.bytes_sent(20, 100)
-    assert sent == agreement.bytes_sent(20, 100)
+    sent = agreement.leader_bytes_sent(20, 100)
+    assert sent == agreement.leader_bytes_sent(20, 100)
     # to two others, in base 64
     assert sent[1] > 20 * 2 * 4 / 3 * sent[0]
 
 
 def test_a_proposal_that_may_not_stand_is_no_measurement():
     for answer in (None, {"no": "older-token"}):
-        with pytest.raises(agreement.ChangedError, match="answer 1"):
+        with pytest.raises(agreement.LeaderChangedError, match="answer 1"):
             agreement._stood([{"ok": True}, answer])
 
 
@@ -220,7 +220,7 @@
 
 
 def test_owned_work_is_measured_on_an_instance_and_nodes(tmp_path):
-    measured = owned_work.measure(True, quiet)
+    measured = owned_work.measure(True, ignore_progress)
     check(measured, "owned", {Source.PROCESSES}, tmp_path)
     found = by_name(measured)
     assert found.keys() == {"owned.connections", "owned.bytes", "owned.cpu_owner", "owned.cpu_node"}
--- a/tests/test_lab_slopes_node.py
+++ b/tests/test_lab_slopes_node.py
@@ -6,20 +6,20 @@
 import pytest
 
 from caperdeck.lab.slopes import bench, connections, deliveries, host_list, memory
-from caperdeck.lab.slopes.bench import Bench, EndProcess, NodeProcess
-from caperdeck.lab.slopes.clients_end import Client, ClientsEnd
-from caperdeck.lab.slopes.deliveries import Run, Sizes
-from caperdeck.lab.slopes.end import STAMP, stamped
-from caperdeck.lab.slopes.errors import MeasuringError
-from caperdeck.lab.slopes.hosts_end import Sender
-from caperdeck.lab.slopes.process import ProcessError, kernel_slab, own_memory, processor_seconds
+from caperdeck.lab.slopes.bench import Bench, EndpointProcess, NodeProcess
+from caperdeck.lab.slopes.clients_end import Client, ClientsEndpoint
+from caperdeck.lab.slopes.deliveries import RateResult, Sizes
+from caperdeck.lab.slopes.end import STAMP_DIGITS, stamped_line
+from caperdeck.lab.slopes.errors import MeasurementError
+from caperdeck.lab.slopes.hosts_end import LineSender
+from caperdeck.lab.slopes.process import ProcessError, kernel_slab_bytes, unique_set_size, processor_seconds
 from caperdeck.lab.slopes.record import Source
 from caperdeck.state.descriptors import raise_descriptor_limit
 
 MEBIBYTE = 1 << 20
 
 
-def quiet(text):
+def ignore_progress(text):
     pass
 
 
@@ -40,14 +40,14 @@
 
 
 def test_memory_that_a_process_takes_shows_in_its_own():
-    before = own_memory(os.getpid())
+    before = unique_set_size(os.getpid())
     held = bytearray(b"x") * (64 * MEBIBYTE)
-    assert own_memory(os.getpid()) - before > 60 * MEBIBYTE
+    assert unique_set_size(os.getpid()) - before > 60 * MEBIBYTE
     del held
 
 
 def test_figures_of_the_machine_are_read():
-    assert kernel_slab() > MEBIBYTE
+    assert kernel_slab_bytes() > MEBIBYTE
     assert raise_descriptor_limit() >= 1024
 
 
@@ -59,7 +59,7 @@
     with pytest.raises(ProcessError):
         processor_seconds(child)
     with pytest.raises(ProcessError):
-        own_memory(child)
+        unique_set_size(child)
 
 
 # ---- the ends
@@ -80,13 +80,13 @@
 
 @pytest.mark.parametrize("length", deliveries.LENGTHS)
 def test_a_stamped_line_has_its_length_and_its_time(length):
-    line = stamped(123456789, length)
+    line = stamped_line(123456789, length)
     assert len(line) == length and line.endswith(b"x\r\n")
-    assert int(line[:STAMP]) == 123456789
+    assert int(line[:STAMP_DIGITS]) == 123456789
 
 
 def test_the_sender_tells_what_went_out_from_what_did_not():
-    sender = Sender([], 1.0, 1.0, 100)
+    sender = LineSender([], 1.0, 1.0, 100)
     now = time.monotonic()
     for sock in (Socket(100), Socket(40), Socket(), Socket(100)):
         sender.send(sock, now)
@@ -96,18 +96,18 @@
 
 def test_lines_go_out_over_all_connections_in_turn():
     sockets = [Socket(100) for _ in range(3)]
-    sender = Sender(sockets, 100_000.0, 0.05, 100)
+    sender = LineSender(sockets, 100_000.0, 0.05, 100)
     sender.run()
     assert sender.sent == sum(len(sock.lines) for sock in sockets) > 3
     assert max(len(sock.lines) for sock in sockets) - min(len(sock.lines) for sock in sockets) <= 1
 
 
 def test_a_client_times_lines_that_come_in_pieces():
-    crowd = ClientsEnd()
+    crowd = ClientsEndpoint()
     crowd.length = 100
     client = Client(crowd, b"a1")
     client.up = True
-    data = b"".join(stamped(time.monotonic_ns() - 10**9, 100) for _ in range(3))
+    data = b"".join(stamped_line(time.monotonic_ns() - 10**9, 100) for _ in range(3))
     for piece in (data[:30], data[30:150], data[150:]):
         client.dataReceived(piece)
     assert len(crowd.delays) == 3 and client.held == b""
@@ -119,16 +119,16 @@
 
 def test_a_node_that_does_not_start_is_void_with_its_reason(monkeypatch):
     monkeypatch.setattr(NodeProcess, "config", lambda self: {"listen": f"127.0.0.1:{self.port}"})
-    with Bench() as made, pytest.raises(MeasuringError, match="did not start: caperdeck: configuration"):
+    with Bench() as made, pytest.raises(MeasurementError, match="did not start: caperdeck: configuration"):
         made.node().__enter__()
 
 
 def test_an_end_that_ended_is_void():
-    end = EndProcess("clients")
+    end = EndpointProcess("clients")
     end.process.kill()
     end.process.wait()
-    with pytest.raises(MeasuringError, match="the process of clients ended"):
-        end.ask("received")
+    with pytest.raises(MeasurementError, match="the process of clients ended"):
+        end.call("received")
     end.end()
 
 
@@ -138,7 +138,7 @@
     def __init__(self, **answers):
         self.answers = answers
 
-    def ask(self, do, **values):
+    def call(self, do, **values):
         answer = self.answers.get(do)
         return answer(**values) if callable(answer) else answer
 
@@ -150,7 +150,7 @@
     node = NodeProcess.__new__(NodeProcess)
     node.bench, node.port = Stand, 1
     node.open(1100)
-    with pytest.raises(MeasuringError, match="12 of 1000 connections were refused"):
+    with pytest.raises(MeasurementError, match="12 of 1000 connections were refused"):
         node.open(1000)
 
 
@@ -158,7 +158,7 @@
 
 
 def test_memory_is_told_apart_into_the_nodes_own_and_the_kernels():
-    measured = by_name(memory.measure(True, quiet))
+    measured = by_name(memory.measure(True, ignore_progress))
     assert list(measured) == ["node.memory_own", "node.memory_kernel"]
     own, kernel = measured.values()
     for each in (own, kernel):
@@ -168,7 +168,7 @@
 
 
 def test_set_up_idle_and_end_cost_processor_time():
-    measured = by_name(connections.measure(True, quiet))
+    measured = by_name(connections.measure(True, ignore_progress))
     assert list(measured) == ["node.set_up", "node.idle", "node.end"]
     assert [each.unit for each in measured.values()] == ["s", "s/s", "s"]
     for each in measured.values():
@@ -178,7 +178,7 @@
 
 
 def test_deliveries_are_measured_by_length():
-    measured = by_name(deliveries.measure(True, quiet))
+    measured = by_name(deliveries.measure(True, ignore_progress))
     assert list(measured) == [
         f"node.delivery{of}_{length}" for length in (100, 1000) for of in ("", "_p50", "_p99", "_p999")
     ]
@@ -235,7 +235,7 @@
     """What rates from 1000 to 20000 on a stand-in come to."""
     stand, sizes = StandIn(**values), Sizes(tuple(range(1000, 21000, 1000)), (50, 70), 10, 2.0, 0.01, True)
     monkeypatch.setattr(deliveries, "time", stand)
-    runs = deliveries.rise(stand, stand, sizes, 100, quiet)
+    runs = deliveries.run_rates(stand, stand, sizes, 100, ignore_progress)
     return runs, by_name(deliveries.measurements(runs, sizes, 100, 70))
 
 
@@ -274,7 +274,7 @@
     stand.hosts = Answers(send=send_late_once)
     monkeypatch.setattr(deliveries, "time", stand)
     sizes = Sizes((1000, 2000, 3000), (50,), 10, 2.0, 0.01, True)
-    runs = deliveries.rise(stand, stand, sizes, 100, said.append)
+    runs = deliveries.run_rates(stand, stand, sizes, 100, said.append)
     assert [run.rate for run in runs] == [1000, 2000, 3000] and not any(run.void for run in runs)
     assert len(said) == 4 and said[1].endswith("void: the hosts' process was 700 ms late")
 
@@ -284,8 +284,8 @@
     monkeypatch.setattr(deliveries, "time", stand)
     monkeypatch.setattr(stand, "sleep", lambda seconds: setattr(stand, "now", stand.now + seconds))
     stand.came, stand.spent = 90, 0.0
-    with pytest.raises(MeasuringError, match="90 of 100 lines arrived"):
-        deliveries.drain(stand, 100)
+    with pytest.raises(MeasurementError, match="90 of 100 lines arrived"):
+        deliveries.wait_for_delivery(stand, 100)
 
 
 def test_lines_sent_in_part_are_void():
@@ -294,15 +294,15 @@
 
 
 def test_a_run_tells_what_it_was():
-    run = Run(100, 99.0, 0.5, {}, False)
-    assert not run.void and deliveries.note_of([run], deliveries.SMALL_SIZES, 20).endswith("0.15 s a point")
+    run = RateResult(100, 99.0, 0.5, {}, False)
+    assert not run.void and deliveries.make_note([run], deliveries.SMALL_SIZES, 20).endswith("0.15 s a point")
 
 
 # ---- the list of hosts
 
 
 def test_costs_of_the_list_of_hosts_are_measured_in_this_process():
-    measured = by_name(host_list.measure(True, quiet))
+    measured = by_name(host_list.measure(True, ignore_progress))
     assert list(measured) == [
         f"node.{name}" for name in ("list", "list_memory", "change", "tick", "placement")
     ]
@@ -321,16 +321,16 @@
 
 def test_a_placement_that_waits_is_no_placement():
     node = host_list.OfflineNode()
-    with pytest.raises(MeasuringError, match="a placement came to"):
+    with pytest.raises(MeasurementError, match="a placement came to"):
         node.place()
 
 
 def test_the_bench_holds_what_the_descriptors_allow():
     made, said = Bench.__new__(Bench), []
     made.descriptors = 20000
-    assert made.possible(memory.SIZES + connections.SIZES, said.append) and not said
+    assert made.feasible_sizes(memory.SIZES + connections.SIZES, said.append) and not said
     made.descriptors = 6000
-    assert made.possible(memory.SIZES, said.append) == [500, 1000, 2000]
+    assert made.feasible_sizes(memory.SIZES, said.append) == [500, 1000, 2000]
     assert said == ["left out, too many for 6000 descriptors: [4000, 8000]"]
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from caperdeck.lab.sharing_network import Net
-from caperdeck.lab.slopes.membership_fleet import SECOND, Fleet
+from caperdeck.lab.slopes.membership_fleet import SECOND_MS, Fleet
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.peers import codec
 from caperdeck.peers.codec import Heartbeat, DatagramError, MessageKind, Message, MemberState, MemberUpdate
@@ -280,19 +280,19 @@
     """Updates on all members of a rack at once are more than the pings can carry."""
     members, rack = 240, 24
     fleet = Fleet(members, seed=5, warm=True)
-    fleet.run(10 * SECOND)
+    fleet.run(10 * SECOND_MS)
     fleet.killed.update(range(rack))
     suspicion = SUSPICION_PERIODS * PING_PERIOD_MS * math.log10(members)
 
     def known(swim):
         return swim.state[:rack].count(MemberState.SILENT) >= 0.9 * rack
 
-    fleet.run(suspicion + 16 * SECOND)
-    assert sum(map(known, fleet.living)) >= 0.9 * len(fleet.living)
-    assert not any(s is not MemberState.ALIVE for swim in fleet.living for s in swim.state[rack:])
+    fleet.run(suspicion + 16 * SECOND_MS)
+    assert sum(map(known, fleet.alive)) >= 0.9 * len(fleet.alive)
+    assert not any(s is not MemberState.ALIVE for swim in fleet.alive for s in swim.state[rack:])
     sent = fleet.messages
-    fleet.run(60 * SECOND)  # the dissemination ends
-    assert fleet.messages - sent < 60 * 1.2 * len(fleet.living)
+    fleet.run(60 * SECOND_MS)  # the dissemination ends
+    assert fleet.messages - sent < 60 * 1.2 * len(fleet.alive)
 
 
 def gossips_sent(s, uint16, now=0.0):
