--- a/caperdeck/lab/slopes/bench.py
+++ b/caperdeck/lab/slopes/bench.py
@@ -1,4 +1,4 @@
-"""One real node on loopback between a process of hosts and a process of clients, and its figures."""
+"""The bench: one real node on loopback between a process of hosts and a process of clients."""
 
 from __future__ import annotations
 
@@ -25,25 +25,26 @@
 from .errors import MeasurementError
 from .process import ProcessError, processor_seconds
 
-ROOT = Path(__file__).resolve().parents[3]
+REPOSITORY_ROOT = Path(__file__).resolve().parents[3]
 LOOPBACK = "127.0.0.1"
 HOSTS = 10
-HOST_CAPACITY = 8000  # sessions that fill a host: those of a run fill a tenth of all hosts
-SPARE = 1000  # descriptors of the limit that sessions leave to everything else
-START = 30.0  # seconds until a part has to answer
-ANSWER = 120.0  # seconds until a command has to be answered
-POLL_INTERVAL_S = 0.02  # seconds between polls of what is waited for
-MOST_REFUSED = 0.01  # of the connections, past which a set-up is not what is measured
-IDLE = 3600.0  # seconds after which a client that says nothing would be sent away
+HOST_CAPACITY = 8000  # in sessions; the sessions of a run fill a tenth of all hosts
+RESERVED_DESCRIPTORS = 1000  # not available to sessions
+START_TIMEOUT_S = 30.0  # also for the hosts to see all connections closed
+ANSWER_TIMEOUT_S = 120.0  # for the answer to a command
+POLL_INTERVAL_S = 0.02
+MAX_REFUSED_SHARE = 0.01  # of the connections; with more, the cost is not that of set-up
+CLIENT_IDLE_TIMEOUT_S = 3600.0  # longer than any run, so that no idle client is disconnected
 
 
-def spawn_module(words: list[str], **options: Any) -> subprocess.Popen:
-    command = [sys.executable, "-B", "-m", *words]
-    return subprocess.Popen(command, cwd=ROOT, preexec_fn=end_with_parent, **options)
+def spawn_module(arguments: list[str], **options: Any) -> subprocess.Popen:
+    """Starts `python -m` with these arguments, as a process that ends with this one."""
+    command = [sys.executable, "-B", "-m", *arguments]
+    return subprocess.Popen(command, cwd=REPOSITORY_ROOT, preexec_fn=end_with_parent, **options)
 
 
 class EndpointProcess:
-    """One of the processes at the ends."""
+    """The process of all hosts or of all clients, driven by commands on its standard input."""
 
     def __init__(self, role: str) -> None:
         self.role = role
@@ -52,27 +53,28 @@
         )
 
     def send_command(self, do: str, **values: Any) -> None:
-        """Sends a command whose answer is taken later."""
+        """Sends a command without waiting for its answer."""
         try:
             self.process.stdin.write(msgspec.json.encode({"do": do, **values}) + b"\n")
         except BrokenPipeError:
             raise MeasurementError(f"the process of {self.role} ended") from None
 
-    def answer(self) -> Any:
-        """The answer to the oldest command without one."""
-        until, held = time.monotonic() + ANSWER, b""
-        while not held.endswith(b"\n"):
-            ready, _, _ = select.select([self.process.stdout], [], [], max(until - time.monotonic(), 0.0))
+    def receive_answer(self) -> Any:
+        """Waits for the answer to the oldest unanswered command."""
+        deadline, received = time.monotonic() + ANSWER_TIMEOUT_S, b""
+        while not received.endswith(b"\n"):
+            ready, _, _ = select.select([self.process.stdout], [], [], max(deadline - time.monotonic(), 0.0))
             if not ready:
-                raise MeasurementError(f"the process of {self.role} gave no answer in {ANSWER:g} s")
+                raise MeasurementError(f"the process of {self.role} gave no answer in {ANSWER_TIMEOUT_S:g} s")
             if not (data := self.process.stdout.read(1 << 16)):
                 raise MeasurementError(f"the process of {self.role} ended")
-            held += data
-        return msgspec.json.decode(held)
+            received += data
+        return msgspec.json.decode(received)
 
     def call(self, do: str, **values: Any) -> Any:
+        """Sends a command and returns its answer."""
         self.send_command(do, **values)
-        return self.answer()
+        return self.receive_answer()
 
     def end(self) -> None:
         self.process.kill()
@@ -82,7 +84,7 @@
 
 
 class Bench:
-    """The hosts and the clients, for as many nodes one after the other as are wanted."""
+    """The processes of hosts and clients, which serve any number of nodes one after the other."""
 
     def __init__(self) -> None:
         self.descriptors = raise_descriptor_limit()
@@ -92,7 +94,7 @@
 
     def __enter__(self) -> Bench:
         try:
-            self.listed = self.hosts.call("open", hosts=HOSTS, capacity=HOST_CAPACITY)
+            self.opened_hosts = self.hosts.call("open", hosts=HOSTS, capacity=HOST_CAPACITY)
         except BaseException:
             self.__exit__()
             raise
@@ -106,11 +108,11 @@
 
     @property
     def max_connections(self) -> int:
-        """Sessions that a node here can hold; each takes two descriptors."""
-        return (self.descriptors - SPARE) // 2
+        """Sessions that a node can hold within the descriptor limit; each takes two descriptors."""
+        return (self.descriptors - RESERVED_DESCRIPTORS) // 2
 
     def feasible_sizes(self, sizes: Sequence[int], progress: Callable[[str], None]) -> list[int]:
-        """The numbers of connections that the limit of descriptors allows; says which are left out."""
+        """The numbers of connections that the descriptor limit allows; reports those left out."""
         if left_out := [size for size in sizes if size > self.max_connections]:
             progress(f"left out, too many for {self.descriptors} descriptors: {left_out}")
         return [size for size in sizes if size <= self.max_connections]
@@ -118,7 +120,7 @@
     def nodes(
         self, sizes: Sequence[int], small: bool, progress: Callable[[str], None]
     ) -> Generator[tuple[int, NodeProcess], None, None]:
-        """A new node for each possible number of connections; at small sizes, to save time, one for all."""
+        """A new node for each feasible number of connections; at small sizes one for all, to save time."""
         sizes = self.feasible_sizes(sizes, progress)
         if small:
             with self.node() as node:
@@ -130,12 +132,12 @@
                 yield size, node
 
     def node(self, control: Path | None = None) -> NodeProcess:
-        """`control`: the file of that name for `caperdeck serve`."""
+        """A node; `control` is the file for `caperdeck serve --control`, if any."""
         return NodeProcess(self, control)
 
 
 class NodeProcess:
-    """A node as `caperdeck serve`, ready for clients within its `with` block."""
+    """A node started by `caperdeck serve`, which accepts clients within its `with` block."""
 
     def __init__(self, bench: Bench, control: Path | None = None) -> None:
         self.bench, self.control = bench, control
@@ -145,12 +147,12 @@
         folder = Path(self.bench.folder.name)
         config, log = folder / "node.json", folder / "node.log"
         config.write_bytes(msgspec.json.encode(self.config()))
-        words = ["caperdeck", "serve", f"--config={config}"]
+        arguments = ["caperdeck", "serve", f"--config={config}"]
         if self.control is not None:
-            words.append(f"--control={self.control}")
-        with open(log, "wb") as file:
+            arguments.append(f"--control={self.control}")
+        with open(log, "wb") as output:
             self.process = spawn_module(
-                words, stdin=subprocess.DEVNULL, stdout=file, stderr=file,
+                arguments, stdin=subprocess.DEVNULL, stdout=output, stderr=output,
                 env=os.environ | {"TMPDIR": str(folder)},
             )  # fmt: skip
         try:
@@ -161,19 +163,20 @@
         return self
 
     def config(self) -> dict[str, Any]:
-        made = node_config(
+        """The configuration, with the descriptor limit and the hosts of the bench."""
+        document = node_config(
             Scenario(name="slopes", seconds=1.0, nodes=1), "n0", f"{LOOPBACK}:{self.port}",
-            self.bench.listed["discovery"], 1, 1,
+            self.bench.opened_hosts["discovery"], 1, 1,
         )  # fmt: skip
-        made["limits"]["sockets"] = self.bench.descriptors
-        made["known"]["targets"] = self.bench.listed["rows"]
-        made["settings"]["limits"]["connIdle"] = IDLE
-        return made
+        document["limits"]["sockets"] = self.bench.descriptors
+        document["known"]["targets"] = self.bench.opened_hosts["rows"]
+        document["settings"]["limits"]["connIdle"] = CLIENT_IDLE_TIMEOUT_S
+        return document
 
     def wait_until_ready(self, log: Path) -> None:
-        """Until the node answers PING."""
-        until = time.monotonic() + START
-        while time.monotonic() < until and self.process.poll() is None:
+        """Waits until the node answers PING; raises MeasurementError with the end of its log."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline and self.process.poll() is None:
             with suppress(OSError), socket.create_connection((LOOPBACK, self.port), 1.0) as sock:
                 sock.sendall(b"PING\r\n")
                 if sock.recv(64).startswith(b"PONG"):
@@ -185,26 +188,26 @@
         self.process.kill()
         self.process.wait()
 
-    # ---- what is done to it
+    # ---- load on the node and its usage
 
-    def open(self, count: int, prefix: str = "i") -> None:
-        """So many connections more; raises MeasurementError if the node refused too many of them first."""
-        asked = {"host": LOOPBACK, "port": self.port, "prefix": prefix, "count": count}
-        refused = self.bench.clients.call("open", **asked)["refused"]
-        if refused > MOST_REFUSED * count + 1:
+    def open_connections(self, count: int, prefix: str = "i") -> None:
+        """Opens `count` more connections; raises MeasurementError if the node refused too many at first."""
+        request = {"host": LOOPBACK, "port": self.port, "prefix": prefix, "count": count}
+        refused = self.bench.clients.call("open", **request)["refused"]
+        if refused > MAX_REFUSED_SHARE * count + 1:
             raise MeasurementError(f"{refused} of {count} connections were refused at first")
 
-    def close(self, reset: bool = False) -> None:
-        """Ends all connections, and waits until the hosts have seen it."""
+    def close_connections(self, reset: bool = False) -> None:
+        """Closes all connections, and waits until the hosts have seen it."""
         self.bench.clients.call("close", reset=reset)
-        until = time.monotonic() + START
+        deadline = time.monotonic() + START_TIMEOUT_S
         while self.bench.hosts.call("sessions"):
-            if time.monotonic() > until:
-                raise MeasurementError("hosts still hold connections that clients have ended")
+            if time.monotonic() > deadline:
+                raise MeasurementError("hosts still hold connections that clients have closed")
             time.sleep(POLL_INTERVAL_S)
 
-    def processor(self) -> float:
-        """Processor seconds that the node has used."""
+    def processor_time(self) -> float:
+        """Processor seconds that the node has used since its start."""
         try:
             return processor_seconds(self.process.pid)
         except (ProcessError, OSError):
--- a/caperdeck/lab/slopes/deliveries.py
+++ b/caperdeck/lab/slopes/deliveries.py
@@ -1,7 +1,7 @@
-"""Processor time of a delivery, and the time that it takes: a line from a host to a client, through a node.
+"""Processor time and latency of a delivery: a line from a host to a client through a node.
 
-Lines go out at random moments (a Poisson process), whatever became of those before, at rising rates up to the
-first at which the node's process is full. Before each point the lines of the last one have all arrived.
+Lines are sent as a Poisson process, independent of the fate of earlier lines, at increasing rates up to the
+first at which the node's process is saturated. All lines of a point arrive before the next point starts.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from .line import Point
 from .record import Measurement, Source, make_measurement
 
-LENGTHS = (100, 1000)  # bytes of a line, its end among them
-FULL = 0.95  # of one processor, from which the node counts as full
-CAUGHT_UP = 0.97  # of the lines sent that have arrived as the sending ends, under which it is full too
-END_FULL = 0.9  # of one processor, from which the clients' process may be what limits
-DRAIN = 20.0  # seconds in which lines under way have to arrive
-POLL_INTERVAL_S = 0.02  # seconds between polls of that
-FEW = 10  # lines past a percentile, under which it is a matter of chance
-TRIES = 3  # of a point that is doubtful
-LEAD_IN = 0.5  # seconds at the lowest rate, before anything is kept
+LINE_LENGTHS = (100, 1000)  # bytes, including the line end
+FULL_SHARE = 0.95  # of one processor, from which the node counts as saturated
+MIN_RECEIVED_SHARE = 0.97  # of the lines sent, received when sending ends; with fewer the node is saturated
+CLIENTS_FULL_SHARE = 0.9  # of one processor, from which the clients' process may be the bottleneck
+DELIVERY_TIMEOUT_S = 20.0  # for lines under way to arrive
+POLL_INTERVAL_S = 0.02
+MIN_TAIL_LINES = 10  # lines beyond a percentile; with fewer the percentile depends on chance
+MAX_ATTEMPTS = 3  # at a point with an inconclusive result
+WARM_UP_S = 0.5  # at the lowest rate, not recorded
 
 
 class Sizes(msgspec.Struct, frozen=True):
     """What is measured: rates in lines a second, times in seconds."""
 
     rates: tuple[int, ...]
-    beside: tuple[int, ...]  # idle connections that stand beside those that lines come on
-    active: int  # connections that lines come on
-    seconds: float  # of a point
-    most_late: float  # 99 of 100 lines are sent no later than this after their moment, else the point is void
-    until_full: bool  # whether a full node ends the rise
+    idle_connections: tuple[int, ...]  # open beside the active ones
+    active_connections: int  # that carry lines
+    seconds: float  # duration of a point
+    max_lateness_s: float  # 99th percentile of the sender's lateness, beyond which the point is void
+    stop_when_full: bool  # whether a saturated node ends the series of rates
 
 
 FULL_SIZES = Sizes(
@@ -44,147 +44,167 @@
         500, 1000, 2000, 3000, 4000, 5000, 6000, 7000, 8000, 9000, 10000, 12000, 14000, 16000, 20000, 24000,
         32000, 40000,
     ),
-    beside=(1000, 4000), active=200, seconds=2.5, most_late=0.01, until_full=True,
+    idle_connections=(1000, 4000), active_connections=200, seconds=2.5, max_lateness_s=0.01,
+    stop_when_full=True,
 )  # fmt: skip
 SMALL_SIZES = Sizes(
-    rates=(100, 200, 300, 400), beside=(20,), active=10, seconds=0.15, most_late=10.0, until_full=False
-)
+    rates=(100, 200, 300, 400), idle_connections=(20,), active_connections=10, seconds=0.15,
+    max_lateness_s=10.0, stop_when_full=False,
+)  # fmt: skip
 
 
 class RateResult(msgspec.Struct, frozen=True):
-    """One rate, as measured."""
+    """The result at one rate."""
 
-    rate: float  # lines a second that were to be sent
-    delivered: float  # lines a second that had arrived as the sending ended
-    processor: float  # seconds a second of the node
+    rate: float  # lines a second, as requested
+    delivered: float  # lines a second, received when sending ended
+    processor_share: float  # processor seconds of the node a second
     percentiles: dict[str, float]  # seconds from host to client, by the names of PERCENTILES
-    full: bool
-    void: str = ""  # why the point says nothing about the node
+    full: bool  # the node was saturated
+    void_reason: str = ""  # why the result says nothing about the node; empty if it does
 
     @property
     def inconclusive(self) -> bool:
-        """Void, or lines were left behind by a node that had processor time to spare."""
-        return bool(self.void) or (self.full and self.processor < FULL)
+        """Void, or the node left lines behind although it had processor time to spare."""
+        return bool(self.void_reason) or (self.full and self.processor_share < FULL_SHARE)
 
 
 def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
+    """Measures deliveries for each number of idle connections and each line length."""
     sizes = SMALL_SIZES if small else FULL_SIZES
-    made = []
+    measured = []
     with Bench() as bench:
-        for beside in bench.feasible_sizes(sizes.beside, progress):
+        for idle_connections in bench.feasible_sizes(sizes.idle_connections, progress):
             with bench.node() as node:
-                node.open(beside, "i")
-                node.open(sizes.active, "a")
+                node.open_connections(idle_connections, "i")
+                node.open_connections(sizes.active_connections, "a")
                 bench.hosts.call("quiet")
                 bench.clients.call("quiet")
-                for length in LENGTHS:
-                    runs = run_rates(bench, node, sizes, length, progress)
-                    made += measurements(runs, sizes, length, beside)
-                node.close(reset=True)
-    return made
+                for length in LINE_LENGTHS:
+                    results = run_rates(bench, node, sizes, length, progress)
+                    measured += make_measurements(results, sizes, length, idle_connections)
+                node.close_connections(reset=True)
+    return measured
 
 
 def run_rates(
     bench: Bench, node: NodeProcess, sizes: Sizes, length: int, progress: Callable[[str], None]
 ) -> list[RateResult]:
-    """The rates from the lowest on, up to the first at which the node is full or an end is the limit."""
-    run_rate(bench, node, sizes, sizes.rates[0], min(LEAD_IN, sizes.seconds), length)
-    runs = []
+    """Runs the rates in rising order, up to the first at which the node is saturated or the result void."""
+    run_rate(bench, node, sizes, sizes.rates[0], min(WARM_UP_S, sizes.seconds), length)
+    results = []
     for rate in sizes.rates:
-        # Danger: one moment in which the machine did something else would end the rise.
-        for _ in range(TRIES if sizes.until_full else 1):
-            run = run_rate(bench, node, sizes, rate, sizes.seconds, length)
-            progress(describe(run, length))
-            if not run.inconclusive:
+        # Repeated because a single moment in which the machine was busy would otherwise end the series.
+        for _ in range(MAX_ATTEMPTS if sizes.stop_when_full else 1):
+            result = run_rate(bench, node, sizes, rate, sizes.seconds, length)
+            progress(describe(result, length))
+            if not result.inconclusive:
                 break
-        runs.append(run)
-        if sizes.until_full and (run.full or run.void):
+        results.append(result)
+        if sizes.stop_when_full and (result.full or result.void_reason):
             break
-    return runs
+    return results
 
 
-def describe(run: RateResult, length: int) -> str:
-    times = ", ".join(f"{name} {value * 1000:.2f} ms" for name, value in run.percentiles.items())
-    state = f", void: {run.void}" if run.void else ", full" if run.full else ""
-    return f"{run.rate:g} lines of {length} B a second: processor {run.processor:.3f}, {times}{state}"
+def describe(result: RateResult, length: int) -> str:
+    """The result as a progress line."""
+    times = ", ".join(f"{name} {value * 1000:.2f} ms" for name, value in result.percentiles.items())
+    state = f", void: {result.void_reason}" if result.void_reason else ", full" if result.full else ""
+    return (
+        f"{result.rate:g} lines of {length} B a second: processor {result.processor_share:.3f}, "
+        f"{times}{state}"
+    )
 
 
 def run_rate(
     bench: Bench, node: NodeProcess, sizes: Sizes, rate: float, seconds: float, length: int
 ) -> RateResult:
+    """Sends lines at one rate, and waits until all have arrived."""
     hosts, clients = bench.hosts, bench.clients
     clients.call("watch", length=length)
-    began, used = time.monotonic(), node.processor()
+    started_at, used = time.monotonic(), node.processor_time()
     sent = hosts.call("send", prefix="a", rate=rate, seconds=seconds, length=length)
-    span, used = time.monotonic() - began, node.processor() - used
-    got = clients.call("received")
+    span, used = time.monotonic() - started_at, node.processor_time() - used
+    received = clients.call("received")
     wait_for_delivery(bench, sent["sent"])
     share = used / span
-    behind = sent["blocked"] > 0 or got["received"] < CAUGHT_UP * sent["sent"]
+    fell_behind = sent["blocked"] > 0 or received["received"] < MIN_RECEIVED_SHARE * sent["sent"]
     return RateResult(
         rate=rate,
-        delivered=got["received"] / span,
-        processor=share,
+        delivered=received["received"] / span,
+        processor_share=share,
         percentiles=clients.call("delays")["percentiles"],
-        full=share >= FULL or behind,
-        void=void(sizes, sent, got["processor"] / span),
+        full=share >= FULL_SHARE or fell_behind,
+        void_reason=void_reason(sizes, sent, received["processor"] / span),
     )
 
 
-def void(sizes: Sizes, sent: dict[str, float], clients_share: float) -> str:
-    """Why a point says nothing about the node, if it does not."""
+def void_reason(sizes: Sizes, sent: dict[str, float], clients_share: float) -> str:
+    """Why a result says nothing about the node; empty if it does."""
     if sent["cut"]:
         return f"{sent['cut']} lines went out in part"
-    if sent["late"] > sizes.most_late:
+    if sent["late"] > sizes.max_lateness_s:
         return f"the hosts' process was {sent['late'] * 1000:.0f} ms late"
-    if clients_share > END_FULL and sizes.until_full:
+    if clients_share > CLIENTS_FULL_SHARE and sizes.stop_when_full:
         return f"the clients' process was full ({clients_share:.2f})"
     return ""
 
 
 def wait_for_delivery(bench: Bench, sent: int) -> None:
-    """Waits until all that was sent has arrived."""
-    until = time.monotonic() + DRAIN
+    """Waits until the clients have received all lines; raises MeasurementError after DELIVERY_TIMEOUT_S."""
+    deadline = time.monotonic() + DELIVERY_TIMEOUT_S
     while (received := bench.clients.call("received")["received"]) < sent:
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise MeasurementError(f"{received} of {sent} lines arrived")
         time.sleep(POLL_INTERVAL_S)
 
 
-def measurements(runs: list[RateResult], sizes: Sizes, length: int, beside: int) -> list[Measurement]:
-    """The processor time, against what was delivered, and the percentiles, against what was sent."""
-    suffix = "" if beside == sizes.beside[0] else f"_beside_{beside}"
-    valid, note = [run for run in runs if not run.void], make_note(runs, sizes, beside)
-    made = [
+def make_measurements(
+    results: list[RateResult], sizes: Sizes, length: int, idle_connections: int
+) -> list[Measurement]:
+    """The processor time by the rate delivered, and each percentile by the rate sent."""
+    suffix = "" if idle_connections == sizes.idle_connections[0] else f"_beside_{idle_connections}"
+    valid, note = (
+        [result for result in results if not result.void_reason], make_note(results, sizes, idle_connections)
+    )  # fmt: skip
+    measured = [
         make_measurement(
             f"node.delivery_{length}{suffix}",
             f"processor time a second while lines of {length} B are delivered", "s/s", "lines a second",
-            Source.PROCESSES, [Point(run.delivered, run.processor) for run in valid],
+            Source.PROCESSES, [Point(result.delivered, result.processor_share) for result in valid],
             "the slope is one delivery; size as delivered; " + note,
         )
     ]  # fmt: skip
-    rests = f"p999 rests on fewer than {FEW} lines under {FEW * 1000 / sizes.seconds:g} a second; "
+    tail_note = (
+        f"p999 rests on fewer than {MIN_TAIL_LINES} lines under {MIN_TAIL_LINES * 1000 / sizes.seconds:g} "
+        "a second; "
+    )
     for name in PERCENTILES:
-        made.append(
+        measured.append(
             make_measurement(
                 f"node.delivery_{name}_{length}{suffix}",
                 f"time of a line of {length} B from host to client, {name}", "s", "lines a second",
-                Source.PROCESSES, [Point(run.rate, run.percentiles[name]) for run in valid],
-                "size as sent; no line is expected near the full process; " + rests * (name == "p999") + note,
+                Source.PROCESSES, [Point(result.rate, result.percentiles[name]) for result in valid],
+                "size as sent; no line is expected near the full process; "
+                + tail_note * (name == "p999") + note,
             )
         )  # fmt: skip
-    return made
-
-
-def make_note(runs: list[RateResult], sizes: Sizes, beside: int) -> str:
-    told = [f"lines on {sizes.active} connections at random moments, {beside} idle ones beside"]
-    told.append(f"{sizes.seconds:g} s a point")
-    for run in runs:
-        if run.void:
-            told.append(f"void at {run.rate:g} and left out: {run.void}")
-        elif run.full:
-            told.append(
-                f"the node was full at {run.rate:g}: {run.delivered:.0f} delivered, processor "
-                f"{run.processor:.2f}; the times there grow with the seconds"
+    return measured
+
+
+def make_note(results: list[RateResult], sizes: Sizes, idle_connections: int) -> str:
+    """The conditions of the measurement, and the rates at which the node was saturated or the result void."""
+    parts = [
+        f"lines on {sizes.active_connections} connections at random moments, "
+        f"{idle_connections} idle ones beside"
+    ]
+    parts.append(f"{sizes.seconds:g} s a point")
+    for result in results:
+        if result.void_reason:
+            parts.append(f"void at {result.rate:g} and left out: {result.void_reason}")
+        elif result.full:
+            parts.append(
+                f"the node was full at {result.rate:g}: {result.delivered:.0f} delivered, processor "
+                f"{result.processor_share:.2f}; the times there grow with the seconds"
             )
-    return "; ".join(told)
+    return "; ".join(parts)
--- a/caperdeck/lab/slopes/ends.py
+++ b/caperdeck/lab/slopes/ends.py
@@ -1,8 +1,8 @@
-"""The processes at both ends of a measured node: one for all hosts, one for all clients.
+"""Entry point of the processes on both sides of a measured node: one for all hosts, one for all clients.
 
-Commands come as lines of JSON on standard input, `do` and its values; each is answered by one line with its
-result. When the input ends, the process exits. Times on the lines that are relayed are CLOCK_MONOTONIC in
-nanoseconds, which both processes read alike.
+Commands arrive as lines of JSON on standard input, with the name in `do` and its arguments beside it. Each
+is answered by one line with its result. The process exits when its input ends. Times on relayed lines are
+CLOCK_MONOTONIC in nanoseconds, which reads the same in both processes.
 """
 
 from __future__ import annotations
@@ -26,16 +26,18 @@
 ROLES = {"hosts": HostsEndpoint, "clients": ClientsEndpoint}
 
 
-class Commands(LineOnlyReceiver):
+class CommandReceiver(LineOnlyReceiver):
+    """Passes each command to the endpoint's method `do_NAME` and writes its reply."""
+
     delimiter = b"\n"
     MAX_LENGTH = 1 << 20
 
-    def __init__(self, end: Endpoint) -> None:
-        self.end = end
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.endpoint = endpoint
 
     def lineReceived(self, line: bytes) -> None:
         command = msgspec.json.decode(line)
-        getattr(self.end, f"do_{command.pop('do')}")(self.reply, **command)
+        getattr(self.endpoint, f"do_{command.pop('do')}")(self.reply, **command)
 
     def reply(self, value: Any) -> None:
         self.transport.write(msgspec.json.encode(value) + b"\n")
@@ -45,7 +47,7 @@
 
 
 def main() -> None:
-    stdio.StandardIO(Commands(ROLES[sys.argv[1]]()))
+    stdio.StandardIO(CommandReceiver(ROLES[sys.argv[1]]()))
     reactor.run(installSignalHandlers=False)
 
 
--- a/caperdeck/lab/slopes/host_list.py
+++ b/caperdeck/lab/slopes/host_list.py
@@ -1,7 +1,6 @@
-"""What the list of hosts costs a node: taking it in, a change in it, a tick, a placement.
+"""What the list of hosts costs a node: loading it, changing it, a run of the timers, and a placement.
 
-Called in this process, on the node's own classes with a clock that stands still: processor time, median of
-several.
+Calls the node's own classes in this process, on a clock set by hand. Costs are medians of processor time.
 """
 
 from __future__ import annotations
@@ -33,19 +32,19 @@
 SIZES = (100, 300, 1000, 3000, 10000)
 SMALL_SIZES = (10, 20, 30, 40)
 REPEATS, SMALL_REPEATS = 9, 2
-SESSIONS, SMALL_SESSIONS = 1000, 20  # that stand, whatever the number of hosts
-PLACEMENTS, SMALL_PLACEMENTS = 100, 5  # of one repeat
-CHANGES, SMALL_CHANGES = 20, 4  # of one repeat
-LOAD = 2.0  # milliseconds of work a second of a session
-FIGURE = 0.3  # that every host tells: its load over its capacity
-WAIT = 1000.0  # milliseconds that a client waits
-START = 1e6  # milliseconds on the clock as the node starts, long after its hosts
+SESSIONS, SMALL_SESSIONS = 1000, 20  # established, independent of the number of hosts
+PLACEMENTS, SMALL_PLACEMENTS = 100, 5  # in one repeat
+CHANGES, SMALL_CHANGES = 20, 4  # in one repeat
+SESSION_LOAD = 2.0  # milliseconds of work a second
+HOST_LOAD = 0.3  # reported by every host, relative to its capacity
+CLIENT_WAIT_MS = 1000.0
+START_MS = 1e6  # clock time when the node starts, long after its hosts
 SOCKETS = 1 << 17
 AGAINST = "hosts"
 
 
 class OfflineNode:
-    """The node's front and decisions without a network, on a clock that is set by hand."""
+    """A node's session handler and balancer without a network, on a clock set by hand."""
 
     def __init__(self) -> None:
         config = decode_config(
@@ -53,58 +52,62 @@
                 Scenario(name="slopes", seconds=1.0, nodes=1), "n0", "127.0.0.1:1", "127.0.0.1:2", 1, 1
             )
         )
-        self.now = START
+        self.now = START_MS
         self.balancer = Balancer(config.settings, self.now)
         self.handler = SessionHandler(
             Clock(), lambda: self.now, self.balancer, config.names, config.limits, Hosts(config.names.zones),
             SocketBudget(SOCKETS, 0),
         )  # fmt: skip
-        self.made = 0
+        self.placed_sessions = 0
 
-    def take(self, text: bytes) -> None:
-        """A list or a change as discovery's line has it."""
-        told = orjson.loads(text)
-        self.handler.update_roster(told["all"], told["targets"])
+    def apply_list(self, text: bytes) -> None:
+        """Applies a full list or a change, as a line of JSON from discovery."""
+        update = orjson.loads(text)
+        self.handler.update_roster(update["all"], update["targets"])
 
-    def figures(self, hosts: int) -> None:
-        """Every host has just been looked at."""
-        told = LoadReport(FIGURE, None, None)
+    def report_loads(self, hosts: int) -> None:
+        """Completes a probe of every host."""
+        report = LoadReport(HOST_LOAD, None, None)
         for host in range(hosts):
-            self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, told))
+            self.balancer.handle_event(self.now, ProbeCompleted(host, Outcome.GOOD, report))
 
-    def place(self) -> int:
-        """A session that is placed at once; raises MeasurementError for one that is not."""
-        self.made += 1
-        orders = self.balancer.open_session(self.now, self.made, 0, 0, WAIT, LOAD)
-        if len(orders) != 1 or not isinstance(orders[0], Connect):
-            raise MeasurementError(f"a placement came to {orders}, not to one connection")
-        return self.made
+    def place_session(self) -> int:
+        """Places a session; raises MeasurementError unless it results in exactly one connection."""
+        self.placed_sessions += 1
+        commands = self.balancer.open_session(
+            self.now, self.placed_sessions, 0, 0, CLIENT_WAIT_MS, SESSION_LOAD
+        )
+        if len(commands) != 1 or not isinstance(commands[0], Connect):
+            raise MeasurementError(f"a placement came to {commands}, not to one connection")
+        return self.placed_sessions
 
-    def stands(self, session: int) -> None:
+    def establish_session(self, session: int) -> None:
         self.balancer.handle_event(self.now, SessionEstablished(session))
 
-    def ends(self, session: int) -> None:
+    def end_session(self, session: int) -> None:
         self.balancer.handle_event(self.now, DialEnded(session, 0, Outcome.GOOD, True))
 
 
-def row(number: int, state: str = "Ready") -> dict[str, Any]:
+def roster_row(number: int, state: str = "Ready") -> dict[str, Any]:
     return {
         "uid": f"host-{number:05d}", "endpoint": f"127.0.{number >> 8}.{number & 255}:9000", "az": "east",
         "state": state, "model": "m", "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 0,
     }  # fmt: skip
 
 
-def list_text(hosts: int) -> bytes:
-    return orjson.dumps({"rev": 1, "all": True, "targets": [row(number) for number in range(hosts)]})
+def full_list(hosts: int) -> bytes:
+    """A full list of hosts, as discovery sends it."""
+    return orjson.dumps({"rev": 1, "all": True, "targets": [roster_row(number) for number in range(hosts)]})
 
 
-def change_text(number: int, state: str) -> bytes:
-    return orjson.dumps({"rev": 2, "all": False, "targets": [row(number, state)]})
+def state_change(number: int, state: str) -> bytes:
+    """A change of one host's state, as discovery sends it."""
+    return orjson.dumps({"rev": 2, "all": False, "targets": [roster_row(number, state)]})
 
 
 @contextmanager
-def no_collection() -> Iterator[None]:
-    """No collection of garbage: its time would fall on whatever runs just then."""
+def gc_paused() -> Iterator[None]:
+    """Turns the garbage collector off: its time would count for the operation during which it runs."""
     gc.disable()
     try:
         yield
@@ -112,36 +115,39 @@
         gc.enable()
 
 
-def taken(do: Callable[[], Any], repeats: int, prepare: Callable[[], Any] = lambda: None) -> float:
-    """Processor seconds of one call, the median of so many; `prepare` runs before each and is not timed."""
-    spans = []
-    with no_collection():
+def median_processor_time(
+    operation: Callable[[], Any], repeats: int, prepare: Callable[[], Any] = lambda: None
+) -> float:
+    """Median processor seconds of one call; `prepare` runs before each call and is not timed."""
+    times = []
+    with gc_paused():
         for _ in range(repeats):
             prepare()
-            began = time.process_time()
-            do()
-            spans.append(time.process_time() - began)
-    return median(spans)
-
-
-def of_list(hosts: int, small: bool) -> float:
-    text = list_text(hosts)
-    nodes: list[OfflineNode] = []  # the one that the list is for
-    return taken(
-        lambda: nodes[-1].take(text),
+            started_at = time.process_time()
+            operation()
+            times.append(time.process_time() - started_at)
+    return median(times)
+
+
+def list_cost(hosts: int, small: bool) -> float:
+    """Loading a full list at a new node."""
+    text = full_list(hosts)
+    nodes: list[OfflineNode] = []  # holds the node of the current repeat
+    return median_processor_time(
+        lambda: nodes[-1].apply_list(text),
         SMALL_REPEATS if small else REPEATS,
         lambda: nodes.__setitem__(slice(None), [OfflineNode()]),
     )
 
 
-def of_list_memory(hosts: int, small: bool) -> float:
-    """Bytes that Python's allocator holds for a list that was taken in."""
-    text, node = list_text(hosts), OfflineNode()
+def list_memory(hosts: int, small: bool) -> float:
+    """Bytes that Python's allocator holds for a loaded list."""
+    text, node = full_list(hosts), OfflineNode()
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        node.take(text)
+        node.apply_list(text)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
@@ -149,81 +155,91 @@
     return after - before
 
 
-def listed_node(hosts: int) -> OfflineNode:
+def node_with_hosts(hosts: int) -> OfflineNode:
     node = OfflineNode()
-    node.take(list_text(hosts))
+    node.apply_list(full_list(hosts))
     return node
 
 
-def of_change(hosts: int, small: bool) -> float:
-    """One host begins to drain, or is ready again."""
-    node, changes = listed_node(hosts), SMALL_CHANGES if small else CHANGES
-    drained, ready = (
-        [change_text(n, state) for n in range(changes // 2)] for state in ("Terminating", "Ready")
+def change_cost(hosts: int, small: bool) -> float:
+    """One host starts to drain, or becomes ready again."""
+    node, changes = node_with_hosts(hosts), SMALL_CHANGES if small else CHANGES
+    drains, returns = (
+        [state_change(n, state) for n in range(changes // 2)] for state in ("Terminating", "Ready")
     )
 
-    def change() -> None:
-        for text in (*drained, *ready):
-            node.take(text)
+    def apply_changes() -> None:
+        for text in (*drains, *returns):
+            node.apply_list(text)
 
-    return taken(change, SMALL_REPEATS if small else REPEATS) / len(drained + ready)
+    return median_processor_time(apply_changes, SMALL_REPEATS if small else REPEATS) / len(drains + returns)
 
 
-def loaded_node(hosts: int, small: bool) -> OfflineNode:
-    """With a fresh figure of every host, and with sessions that stand."""
-    node = listed_node(hosts)
-    node.figures(hosts)
+def node_with_sessions(hosts: int, small: bool) -> OfflineNode:
+    """A node with fresh load reports of all hosts and with established sessions."""
+    node = node_with_hosts(hosts)
+    node.report_loads(hosts)
     for _ in range(SMALL_SESSIONS if small else SESSIONS):
-        node.stands(node.place())
+        node.establish_session(node.place_session())
     return node
 
 
-def of_tick(hosts: int, small: bool) -> float:
-    node = loaded_node(hosts, small)
+def tick_cost(hosts: int, small: bool) -> float:
+    """One run of the balancer's timers."""
+    node = node_with_sessions(hosts, small)
 
-    def come_due() -> None:
+    def advance_to_timer() -> None:
         node.now = node.balancer.next_timer_at
-        node.figures(hosts)
+        node.report_loads(hosts)
 
-    return taken(lambda: node.balancer.run_timers(node.now), SMALL_REPEATS if small else REPEATS, come_due)
+    return median_processor_time(
+        lambda: node.balancer.run_timers(node.now), SMALL_REPEATS if small else REPEATS, advance_to_timer
+    )
 
 
-def of_placement(hosts: int, small: bool) -> float:
-    node, placements = loaded_node(hosts, small), SMALL_PLACEMENTS if small else PLACEMENTS
+def placement_cost(hosts: int, small: bool) -> float:
+    """The choice of a host for one session."""
+    node, placements = node_with_sessions(hosts, small), SMALL_PLACEMENTS if small else PLACEMENTS
     placed: list[int] = []
 
-    def clear() -> None:
+    def end_placed_sessions() -> None:
         for session in placed:
-            node.ends(session)
+            node.end_session(session)
         placed.clear()
 
-    def place() -> None:
-        placed.extend(node.place() for _ in range(placements))
+    def place_sessions() -> None:
+        placed.extend(node.place_session() for _ in range(placements))
 
-    return taken(place, SMALL_REPEATS if small else REPEATS, clear) / placements
+    return (
+        median_processor_time(place_sessions, SMALL_REPEATS if small else REPEATS, end_placed_sessions)
+        / placements
+    )
 
 
 COSTS: tuple[tuple[str, str, str, Callable[[int, bool], float], str], ...] = (
-    ("list", "processor time of a list of all hosts", "s", of_list, "from the JSON text on, at a new node"),
-    ("list_memory", "memory of a list of all hosts", "B", of_list_memory, "as Python's allocator counts it"),
-    ("change", "processor time of one change in the list", "s", of_change, "drains, or is ready again"),
+    ("list", "processor time of a list of all hosts", "s", list_cost, "from the JSON text on, at a new node"),
+    ("list_memory", "memory of a list of all hosts", "B", list_memory, "as Python's allocator counts it"),
+    ("change", "processor time of one change in the list", "s", change_cost, "drains, or is ready again"),
     (
-        "tick", "processor time of a tick", "s", of_tick,
+        "tick", "processor time of a tick", "s", tick_cost,
         f"two a second; {SESSIONS} sessions stand and every host has told a figure",
     ),
     (
-        "placement", "processor time of a placement", "s", of_placement,
+        "placement", "processor time of a placement", "s", placement_cost,
         f"the choice alone, with fresh figures of all hosts and {SESSIONS} sessions that stand",
     ),
 )  # fmt: skip
 
 
 def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
-    made = []
+    """Measures each of COSTS at several numbers of hosts."""
+    measured = []
     for name, what, unit, cost_of, note in COSTS:
         points = []
         for hosts in SMALL_SIZES if small else SIZES:
             points.append(Point(hosts, cost_of(hosts, small)))
             progress(f"{hosts} hosts: {name} {points[-1].cost:.3g} {unit}")
-        made.append(make_measurement(f"node.{name}", what, unit, AGAINST, Source.IN_PROCESS, points, note))
-    return made
+        measured.append(
+            make_measurement(f"node.{name}", what, unit, AGAINST, Source.IN_PROCESS, points, note)
+        )
+    return measured
--- a/caperdeck/lab/slopes/memory.py
+++ b/caperdeck/lab/slopes/memory.py
@@ -1,4 +1,4 @@
-"""Memory of a node against its standing connections: its own, and the kernel's for its sockets."""
+"""Memory of a node by its number of connections: its own, and the kernel's for its sockets."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from .bench import Bench
 from .line import Point
-from .process import kernel_slab_bytes, unique_set_size, socket_buffer_bytes
+from .process import kernel_slab_bytes, socket_buffer_bytes, unique_set_size
 from .record import Measurement, Source, make_measurement
 
 SIZES = (500, 1000, 2000, 4000, 8000)
 SMALL_SIZES = (20, 40, 60, 80)
-SETTLE = 2.0  # seconds until what a set-up needed for a while has gone
-SMALL_SETTLE = 0.05
+SETTLE_S = 2.0  # until temporary memory of the set-up has been freed
+SMALL_SETTLE_S = 0.05
 AGAINST = "standing connections"
 OWN_NOTE = "unique set size of the process; {nodes}, connections idle"
 KERNEL_NOTE = (
@@ -25,29 +25,30 @@
 
 
 def measure(small: bool, progress: Callable[[str], None]) -> list[Measurement]:
-    own, kernel, buffers = [], [], 0
-    sizes, settle = (SMALL_SIZES, SMALL_SETTLE) if small else (SIZES, SETTLE)
+    """Measures the memory of the node's process and of the kernel at several numbers of connections."""
+    own, kernel, buffer_growth = [], [], 0
+    sizes, settle_s = (SMALL_SIZES, SMALL_SETTLE_S) if small else (SIZES, SETTLE_S)
     with Bench() as bench, closing(bench.nodes(sizes, small, progress)) as nodes:
         for size, node in nodes:
-            slab, charged = kernel_slab_bytes(), socket_buffer_bytes()
-            node.open(size)
-            time.sleep(settle)
+            slab_before, buffers_before = kernel_slab_bytes(), socket_buffer_bytes()
+            node.open_connections(size)
+            time.sleep(settle_s)
             own.append(Point(size, unique_set_size(node.pid)))
-            kernel.append(Point(size, (kernel_slab_bytes() - slab) / 2))
-            buffers = max(buffers, socket_buffer_bytes() - charged)
-            node.close(reset=True)
-            time.sleep(settle)
+            kernel.append(Point(size, (kernel_slab_bytes() - slab_before) / 2))
+            buffer_growth = max(buffer_growth, socket_buffer_bytes() - buffers_before)
+            node.close_connections(reset=True)
+            time.sleep(settle_s)
             progress(
                 f"{size} connections: own {own[-1].cost / 1e6:.1f} MB, kernel {kernel[-1].cost / 1e6:.1f} MB"
             )
-    new = "one node for all sizes" if small else "a new node for each size"
+    node_note = "one node for all sizes" if small else "a new node for each size"
     return [
         make_measurement(
             "node.memory_own", "memory of the node's process", "B", AGAINST, Source.PROCESSES, own,
-            OWN_NOTE.format(nodes=new),
+            OWN_NOTE.format(nodes=node_note),
         ),
         make_measurement(
             "node.memory_kernel", "memory of the kernel for the node's sockets", "B", AGAINST,
-            Source.PROCESSES, kernel, KERNEL_NOTE.format(buffers=buffers),
+            Source.PROCESSES, kernel, KERNEL_NOTE.format(buffers=buffer_growth),
         ),
     ]  # fmt: skip
