--- a/caperdeck/lab/slopes/command.py
+++ b/caperdeck/lab/slopes/command.py
@@ -1,6 +1,7 @@
-"""`caperdeck lab slopes`: measures what each part costs, fits the lines, and keeps the record.
+"""`caperdeck lab slopes`: measures the cost of each part, fits the lines, and writes the record.
 
-A part is a module of this package with `measure(small, say) -> list[Measurement]`. PARTS names them all.
+A part is a module of this package with a function `measure(small, progress) -> list[Measurement]`. PARTS
+lists all of them.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from .errors import InputError, MeasurementError
 from .line import FitError
 from .record import Measurement, Provenance, Record
-from .table import rows
+from .table import table_lines
 
 ProgressCallback = Callable[[str], None]
-Measure = Callable[[bool, ProgressCallback], list[Measurement]]
+MeasureFunction = Callable[[bool, ProgressCallback], list[Measurement]]
 
-PARTS = {  # the part, and the module that measures it
+PARTS = {  # the part's name on the command line, and the module that measures it
     "memory": "memory",
     "connections": "connections",
     "deliveries": "deliveries",
@@ -32,7 +33,7 @@
     "configuration": "configuration",
     "distribution": "distribution",
 }
-SMALL = "small sizes; "  # begins the note of what was measured with --small
+SMALL_NOTE_PREFIX = "small sizes; "  # marks measurements taken with --small
 
 
 def run(
@@ -40,67 +41,67 @@
 ) -> None:
     """Measures the parts one after the other and writes the record after each.
 
-    `merge`: into the record that is there, of whatever revision and machine; what is measured then carries
-    its own. Raises InputError before anything is measured, MeasurementError for a part that gave nothing to
-    go by.
+    With `merge`, the results replace those of the existing record, whatever its revision and machine, and
+    carry their own provenance. Raises InputError before anything is measured, MeasurementError for a part
+    without a usable result.
     """
-    chosen = chosen_parts(only)
-    functions = [(name, function_of(name)) for name in chosen]
-    # the revision is that of the start: a record that is kept in the work tree changes it
+    chosen = select_parts(only)
+    functions = [(name, load_measure_function(name)) for name in chosen]
+    # Taken at the start: writing a record inside the work tree changes the revision.
     revision = records.revision()
-    destination = destination_of(out, only, small, merge, revision)
+    destination = open_destination(out, only, small, merge, revision)
     measured: list[Measurement] = []
     for name, measure in functions:
         progress(f"part {name}")
         try:
-            measured += [marked(each, small) for each in measure(small, progress)]
+            measured += [mark_small(measurement, small) for measurement in measure(small, progress)]
         except FitError as error:
             raise MeasurementError(f"part {name}: {error}") from None
         if destination is not None:
             destination.write(measured, revision)
-    for row in rows(measured):
-        progress(row)
+    for line in table_lines(measured):
+        progress(line)
     if out is not None:
         progress(f"written: {out}")
 
 
 class Destination(NamedTuple):
-    """The file of the record, with what it has of earlier runs."""
+    """The file of the record, with its measurements of earlier runs."""
 
     path: str
-    old: Record | None  # what is measured is merged into it; None: it becomes a record of this run
+    earlier: Record | None  # the record to merge into; None: the file becomes a record of this run
     kept: list[Measurement]
 
     def write(self, measured: list[Measurement], revision: str) -> None:
-        if self.old is None:
-            made = records.make_record(merged(self.kept, measured))
-            records.write_record(self.path, msgspec.structs.replace(made, revision=revision))
+        if self.earlier is None:
+            new_record = records.make_record(merge_measurements(self.kept, measured))
+            records.write_record(self.path, msgspec.structs.replace(new_record, revision=revision))
             return
         provenance = Provenance(records.now(), revision, records.this_machine())
-        new = [msgspec.structs.replace(each, provenance=provenance) for each in measured]
-        together = tuple(merged(self.kept, new))
-        records.write_record(self.path, msgspec.structs.replace(self.old, measurements=together))
+        new = [msgspec.structs.replace(measurement, provenance=provenance) for measurement in measured]
+        merged = tuple(merge_measurements(self.kept, new))
+        records.write_record(self.path, msgspec.structs.replace(self.earlier, measurements=merged))
 
 
-def destination_of(
+def open_destination(
     out: str | None, only: str | None, small: bool, merge: bool, revision: str,
 ) -> Destination | None:  # fmt: skip
-    """Raises InputError."""
+    """Checks the output file and reads what it holds; raises InputError if the run must not write to it."""
     if out is None:
         if merge:
             raise InputError("--merge: into which record? --out is not given")
         return None
     check_writable(out)
     if merge:
-        old = earlier(out, small)
-        if old is None:
+        earlier = read_earlier(out, small)
+        if earlier is None:
             raise InputError(f"--merge: there is no {out}")
-        return Destination(out, old, list(old.measurements))
+        return Destination(out, earlier, list(earlier.measurements))
     return Destination(out, None, kept_measurements(out, revision, small) if only is not None else [])
 
 
-def chosen_parts(only: str | None) -> list[str]:
-    """All parts, or those of a list with commas, in the order of PARTS."""
+def select_parts(only: str | None) -> list[str]:
+    """All parts, or those of a comma-separated list, in the order of PARTS."""
     if only is None:
         return list(PARTS)
     wanted = [name.strip() for name in only.split(",")]
@@ -110,8 +111,8 @@
     return [name for name in PARTS if name in wanted]
 
 
-def function_of(part: str) -> Measure:
-    """The function that measures a part; raises InputError where its module is not there."""
+def load_measure_function(part: str) -> MeasureFunction:
+    """Imports the module of a part; raises InputError if there is none."""
     module = f"{__package__}.{PARTS[part]}"
     try:
         return importlib.import_module(module).measure
@@ -122,42 +123,48 @@
 
 
 def check_writable(out: str) -> None:
-    """Raises InputError for a place that no record can be written to, before minutes are spent."""
+    """Raises InputError before the measurement starts if no record can be written to this path."""
     path = Path(out)
     if path.is_dir() or not path.parent.is_dir():
         raise InputError(f"--out: {out} is no place for a file")
 
 
 def kept_measurements(out: str, revision: str, small: bool) -> list[Measurement]:
-    """What the file has from earlier runs; raises InputError unless they fit with this one."""
-    old = earlier(out, small)
-    if old is None:
+    """Measurements of earlier runs; raises InputError if revision, machine or sizes differ from this run."""
+    earlier = read_earlier(out, small)
+    if earlier is None:
         return []
-    if old.revision != revision:
-        raise InputError(f"{out} is of revision {old.revision}, this is {revision}")
-    if old.machine != records.this_machine():
+    if earlier.revision != revision:
+        raise InputError(f"{out} is of revision {earlier.revision}, this is {revision}")
+    if earlier.machine != records.this_machine():
         raise InputError(f"{out} was measured on another machine")
-    return list(old.measurements)
+    return list(earlier.measurements)
 
 
-def earlier(out: str, small: bool) -> Record | None:
-    """The record that is there, if any; raises InputError for what is none, and for other sizes."""
+def read_earlier(out: str, small: bool) -> Record | None:
+    """Reads the existing record, if any; raises InputError if it is invalid or of other sizes."""
     if not Path(out).exists():
         return None
     try:
-        old = records.read_record(out)
+        earlier = records.read_record(out)
     except records.RecordError as error:
         raise InputError(str(error)) from None
-    if any(each.note.startswith(SMALL) is not small for each in old.measurements):
+    if any(
+        measurement.note.startswith(SMALL_NOTE_PREFIX) is not small for measurement in earlier.measurements
+    ):
         raise InputError(f"{out} was measured {'at full size' if small else 'with --small'}")
-    return old
+    return earlier
 
 
-def marked(each: Measurement, small: bool) -> Measurement:
-    return msgspec.structs.replace(each, note=SMALL + each.note) if small else each
+def mark_small(measurement: Measurement, small: bool) -> Measurement:
+    return (
+        msgspec.structs.replace(measurement, note=SMALL_NOTE_PREFIX + measurement.note)
+        if small
+        else measurement
+    )
 
 
-def merged(kept: Sequence[Measurement], measured: Sequence[Measurement]) -> list[Measurement]:
-    """What was measured, beside what was kept under other names."""
-    names = {each.name for each in measured}
-    return [each for each in kept if each.name not in names] + list(measured)
+def merge_measurements(kept: Sequence[Measurement], measured: Sequence[Measurement]) -> list[Measurement]:
+    """The new measurements, after the kept ones of other names."""
+    names = {measurement.name for measurement in measured}
+    return [measurement for measurement in kept if measurement.name not in names] + list(measured)
--- a/caperdeck/lab/slopes/errors.py
+++ b/caperdeck/lab/slopes/errors.py
@@ -1,11 +1,11 @@
-"""Errors of measuring that a command answers with one line."""
+"""Errors of a measurement run that the command reports in one line."""
 
 from __future__ import annotations
 
 
 class InputError(ValueError):
-    """What was asked for cannot be measured; nothing was started."""
+    """The request cannot be measured; nothing was started."""
 
 
 class MeasurementError(RuntimeError):
-    """A measurement was begun and gave nothing to go by, as with too few valid points; void."""
+    """A measurement started but gave no usable result, for example too few valid points; the run is void."""
--- a/caperdeck/lab/slopes/garbage.py
+++ b/caperdeck/lab/slopes/garbage.py
@@ -1,4 +1,4 @@
-"""Spans of a measurement in which the garbage collector does not run."""
+"""Control of the garbage collector during simulations."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @contextmanager
 def without_gc() -> Iterator[None]:
-    """Without the garbage collector, which would go through the tables of all members again and again.
+    """Turns the garbage collector off, which would otherwise scan the tables of all members repeatedly.
 
-    What a simulation leaves behind is collected when the next one begins.
+    The garbage of a simulation is collected when the next one starts.
     """
     gc.collect()
     gc.disable()
--- a/caperdeck/lab/slopes/line.py
+++ b/caperdeck/lab/slopes/line.py
@@ -7,12 +7,12 @@
 import msgspec
 from scipy.stats import linregress
 
-LEAST_SIZES = 4  # different sizes that a fit needs
-WELL_FITTED = 0.98  # squared correlation from which residuals are not worth a look
+MIN_SIZES = 4  # different sizes that a fit needs
+MIN_R_SQUARED = 0.98  # from which a line counts as fitting its points
 
 
 class FitError(ValueError):
-    """The points do not allow a fit."""
+    """There are too few points for a fit."""
 
 
 class Point(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """cost = fixed + slope * size, with the standard errors of both and what the line leaves over."""
+    """cost = fixed + slope * size, with the standard errors of both and the residuals."""
 
     fixed: float
     slope: float
@@ -33,32 +33,33 @@
     residuals: tuple[float, ...]
 
     def at(self, size: float) -> float:
-        """The cost that the line gives for a size."""
+        """The fitted cost at a size."""
         return self.fixed + self.slope * size
 
     @property
     def fits(self) -> bool:
-        return self.r_squared >= WELL_FITTED
+        return self.r_squared >= MIN_R_SQUARED
 
 
 def fit(points: Sequence[Point]) -> Line:
-    """Raises FitError for fewer than LEAST_SIZES different sizes."""
+    """Fits a line; raises FitError for fewer than MIN_SIZES different sizes."""
     sizes = [point.size for point in points]
     costs = [point.cost for point in points]
-    if len(set(sizes)) < LEAST_SIZES:
-        raise FitError(f"{len(set(sizes))} sizes, a line needs {LEAST_SIZES}")
+    if len(set(sizes)) < MIN_SIZES:
+        raise FitError(f"{len(set(sizes))} sizes, a line needs {MIN_SIZES}")
     if len(set(costs)) == 1:
-        # the library leaves the errors of a level line undefined, and JSON has no such figure
+        # scipy leaves the errors of a horizontal line undefined (NaN), which JSON cannot represent.
         return Line(costs[0], 0.0, 0.0, 0.0, 1.0, (0.0,) * len(costs))
-    found = linregress(sizes, costs)
+    regression = linregress(sizes, costs)
     residuals = [
-        cost - (found.intercept + found.slope * size) for size, cost in zip(sizes, costs, strict=True)
+        cost - (regression.intercept + regression.slope * size)
+        for size, cost in zip(sizes, costs, strict=True)
     ]
     return Line(
-        fixed=float(found.intercept),
-        slope=float(found.slope),
-        fixed_error=float(found.intercept_stderr),
-        slope_error=float(found.stderr),
-        r_squared=float(found.rvalue) ** 2,
+        fixed=float(regression.intercept),
+        slope=float(regression.slope),
+        fixed_error=float(regression.intercept_stderr),
+        slope_error=float(regression.stderr),
+        r_squared=float(regression.rvalue) ** 2,
         residuals=tuple(float(residual) for residual in residuals),
     )
--- a/caperdeck/lab/slopes/object_size.py
+++ b/caperdeck/lab/slopes/object_size.py
@@ -1,4 +1,4 @@
-"""Memory of an object graph, as the interpreter counts it."""
+"""Memory of an object graph, as reported by the interpreter."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 
 def object_bytes(value: Any) -> int:
-    """Bytes of an object and all that it alone refers to; what is shared by the program is not counted."""
-    seen: set[int] = set()
-    return sum(sys.getsizeof(each) for each in _parts(value, seen))
+    """Bytes of an object and everything reachable from it, except types, enum members, booleans and None."""
+    seen_ids: set[int] = set()
+    return sum(sys.getsizeof(item) for item in _reachable(value, seen_ids))
 
 
-def _parts(value: Any, seen: set[int]) -> Iterator[Any]:
-    if value is None or isinstance(value, bool | Enum | type) or id(value) in seen:
+def _reachable(value: Any, seen_ids: set[int]) -> Iterator[Any]:
+    """Yields each object once, also if several others refer to it."""
+    if value is None or isinstance(value, bool | Enum | type) or id(value) in seen_ids:
         return
-    seen.add(id(value))
+    seen_ids.add(id(value))
     yield value
     if isinstance(value, dict):
-        below = [*value.keys(), *value.values()]
+        children = [*value.keys(), *value.values()]
     elif isinstance(value, str | bytes | int | float):
-        below = []
+        children = []
     elif hasattr(value, "__dict__"):
-        below = [value.__dict__]
+        children = [value.__dict__]
     else:
-        below = list(value)
-    for each in below:
-        yield from _parts(each, seen)
+        children = list(value)
+    for child in children:
+        yield from _reachable(child, seen_ids)
--- a/tests/test_lab_slopes_command.py
+++ b/tests/test_lab_slopes_command.py
@@ -1,4 +1,4 @@
-"""`caperdeck lab slopes`: what is chosen, what is kept in a file of earlier runs, and what is refused."""
+"""`caperdeck lab slopes`: choice of parts, merging into records of earlier runs, and refused input."""
 
 import sys
 import types
@@ -10,53 +10,53 @@
 from caperdeck.lab.slopes.errors import MeasurementError
 from caperdeck.lab.slopes.line import Point
 from caperdeck.lab.slopes.record import Source, make_measurement, read_record
-from caperdeck.lab.slopes.table import rows
+from caperdeck.lab.slopes.table import table_lines
 
 
-def made(name, cost=3.0, note=""):
+def sample_measurement(name, cost=3.0, note=""):
     points = [Point(size, 7.0 + cost * size) for size in (1, 2, 4, 8)]
     return make_measurement(name, "a stand-in's cost", "s", "things", Source.IN_PROCESS, points, note)
 
 
 @pytest.fixture
-def stand_ins(monkeypatch):
-    """Two parts whose modules are stand-ins, and one whose module is not there."""
+def fake_parts(monkeypatch):
+    """Replaces PARTS by two fake modules and a missing one; returns the list of calls to the fakes."""
     monkeypatch.setattr(command, "PARTS", {"one": "stand_in_one", "two": "stand_in_two", "none": "stand_in"})
     monkeypatch.setattr(record, "revision", lambda: "abc")
-    seen = []
+    calls = []
     for part in ("one", "two"):
         module = types.ModuleType(f"{command.__package__}.stand_in_{part}")
 
         def measure(small, progress, part=part):
-            seen.append((part, small))
+            calls.append((part, small))
             progress(f"point of {part}")
-            return [made(f"{part}.cost", len(seen), "as told")]
+            return [sample_measurement(f"{part}.cost", len(calls), "as told")]
 
         module.measure = measure
         monkeypatch.setitem(sys.modules, module.__name__, module)
-    return seen
+    return calls
 
 
-def slopes(*options):
+def run_command(*options):
     return main(["lab", "slopes", *options])
 
 
-def test_parts_are_measured_in_the_order_of_the_table_and_their_lines_are_printed(stand_ins, capsys):
-    assert slopes("--only=two,one", "--small") == 0
-    assert stand_ins == [("one", True), ("two", True)]
+def test_parts_are_measured_in_the_order_of_the_table_and_their_lines_are_printed(fake_parts, capsys):
+    assert run_command("--only=two,one", "--small") == 0
+    assert fake_parts == [("one", True), ("two", True)]
     printed = capsys.readouterr().out.splitlines()
     assert printed[:4] == ["part one", "point of one", "part two", "point of two"]
     assert printed[4].split() == ["measurement", "fixed", "slope", "r²", "unit", "against"]
     assert printed[5].split()[:4] == ["one.cost", "7", "±", "0"]
 
 
-def test_what_a_file_has_of_other_parts_is_kept(stand_ins, tmp_path):
+def test_measurements_of_other_parts_in_the_file_are_kept(fake_parts, tmp_path):
     out = str(tmp_path / "slopes.json")
     for only in ("one", "two", "one"):
-        assert slopes(f"--only={only}", f"--out={out}") == 0
+        assert run_command(f"--only={only}", f"--out={out}") == 0
     kept = read_record(out)
-    assert [each.name for each in kept.measurements] == ["two.cost", "one.cost"]
-    assert [each.line.slope for each in kept.measurements] == pytest.approx([2.0, 3.0])
+    assert [measurement.name for measurement in kept.measurements] == ["two.cost", "one.cost"]
+    assert [measurement.line.slope for measurement in kept.measurements] == pytest.approx([2.0, 3.0])
     assert kept.revision == "abc" and kept.find("one.cost").note == "as told"
 
 
@@ -67,30 +67,30 @@
         (lambda patch: patch.setattr(record, "this_machine", lambda: None), "measured on another machine"),
     ],
 )
-def test_another_revision_or_machine_is_not_mixed_in(
-    stand_ins, tmp_path, monkeypatch, capsys, change, reason
+def test_record_of_another_revision_or_machine_is_refused_and_unchanged(
+    fake_parts, tmp_path, monkeypatch, capsys, change, reason
 ):
     out = tmp_path / "slopes.json"
-    assert slopes("--only=one", f"--out={out}") == 0
+    assert run_command("--only=one", f"--out={out}") == 0
     before = out.read_bytes()
     change(monkeypatch)
-    assert slopes("--only=two", f"--out={out}") == 2
+    assert run_command("--only=two", f"--out={out}") == 2
     error = capsys.readouterr().err
     assert reason in error and error.count("\n") == 1
-    assert out.read_bytes() == before and len(stand_ins) == 1
+    assert out.read_bytes() == before and len(fake_parts) == 1
 
 
-def test_lines_of_a_later_revision_are_merged_with_their_own_provenance(stand_ins, tmp_path, monkeypatch):
+def test_merged_measurements_carry_their_own_provenance(fake_parts, tmp_path, monkeypatch):
     out = str(tmp_path / "slopes.json")
-    assert slopes("--only=one,two", f"--out={out}") == 0
-    old = read_record(out)
+    assert run_command("--only=one,two", f"--out={out}") == 0
+    earlier = read_record(out)
     monkeypatch.setattr(record, "revision", lambda: "def")
     monkeypatch.setattr(record, "this_machine", lambda: record.Machine(1, 2, "another", "Linux", "3"))
-    assert slopes("--only=one", f"--out={out}", "--merge") == 0
+    assert run_command("--only=one", f"--out={out}", "--merge") == 0
     new = read_record(out)
-    assert (new.provenance, new.find("two.cost")) == (old.provenance, old.find("two.cost"))
-    own = new.find("one.cost").provenance
-    assert (own.revision, own.machine.processor) == ("def", "another") and old.revision == "abc"
+    assert (new.provenance, new.find("two.cost")) == (earlier.provenance, earlier.find("two.cost"))
+    merged = new.find("one.cost").provenance
+    assert (merged.revision, merged.machine.processor) == ("def", "another") and earlier.revision == "abc"
 
 
 @pytest.mark.parametrize(
@@ -101,21 +101,21 @@
         (["--merge", "--out={out}", "--small"], "was measured at full size"),
     ],
 )
-def test_a_merge_without_its_record_is_refused(stand_ins, tmp_path, capsys, options, reason):
+def test_merge_without_a_matching_record_is_refused(fake_parts, tmp_path, capsys, options, reason):
     out = tmp_path / "slopes.json"
     if "--small" in options:
-        assert slopes("--only=one", f"--out={out}") == 0
-    before = len(stand_ins)
-    assert slopes("--only=two", *(option.format(out=out) for option in options)) == 2
+        assert run_command("--only=one", f"--out={out}") == 0
+    before = len(fake_parts)
+    assert run_command("--only=two", *(option.format(out=out) for option in options)) == 2
     error = capsys.readouterr().err
-    assert reason in error and error.count("\n") == 1 and len(stand_ins) == before
+    assert reason in error and error.count("\n") == 1 and len(fake_parts) == before
 
 
-def test_small_sizes_are_marked_and_not_mixed_with_full_ones(stand_ins, tmp_path, capsys):
+def test_small_sizes_are_marked_and_not_mixed_with_full_sizes(fake_parts, tmp_path, capsys):
     out = str(tmp_path / "slopes.json")
-    assert slopes("--only=one", "--small", f"--out={out}") == 0
+    assert run_command("--only=one", "--small", f"--out={out}") == 0
     assert read_record(out).find("one.cost").note == "small sizes; as told"
-    assert slopes("--only=two", f"--out={out}") == 2
+    assert run_command("--only=two", f"--out={out}") == 2
     assert "was measured with --small" in capsys.readouterr().err
 
 
@@ -129,38 +129,38 @@
         (["--only=one", "--out=/nowhere/at/all.json"], "--out: /nowhere/at/all.json is no place for a file"),
     ],
 )
-def test_bad_input_is_one_line_and_nothing_is_measured(stand_ins, capsys, options, reason):
-    assert slopes(*options) == 2
+def test_invalid_input_is_an_error_of_one_line_and_nothing_is_measured(fake_parts, capsys, options, reason):
+    assert run_command(*options) == 2
     error = capsys.readouterr().err
     assert error.startswith(f"caperdeck: {reason}") and error.count("\n") == 1
-    assert stand_ins == []
+    assert fake_parts == []
 
 
-def test_what_is_no_record_is_left_as_it_is(stand_ins, tmp_path, capsys):
+def test_file_that_is_not_a_record_is_left_unchanged(fake_parts, tmp_path, capsys):
     out = tmp_path / "notes.txt"
     out.write_text("not a record")
-    assert slopes("--only=one", f"--out={out}") == 2
-    assert out.read_text() == "not a record" and stand_ins == []
+    assert run_command("--only=one", f"--out={out}") == 2
+    assert out.read_text() == "not a record" and fake_parts == []
 
 
-def test_a_part_that_gives_nothing_is_void_and_what_was_measured_before_it_is_kept(
-    stand_ins, tmp_path, monkeypatch, capsys,
+def test_void_part_ends_the_run_but_earlier_parts_are_recorded(
+    fake_parts, tmp_path, monkeypatch, capsys,
 ):  # fmt: skip
     def measure(small, progress):
         raise MeasurementError("2 valid points")
 
     monkeypatch.setattr(sys.modules[f"{command.__package__}.stand_in_two"], "measure", measure)
     out = str(tmp_path / "slopes.json")
-    assert slopes("--only=one,two", f"--out={out}") == 3
+    assert run_command("--only=one,two", f"--out={out}") == 3
     assert capsys.readouterr().err == "void: 2 valid points\n"
-    assert [each.name for each in read_record(out).measurements] == ["one.cost"]
+    assert [measurement.name for measurement in read_record(out).measurements] == ["one.cost"]
 
 
-def test_a_curve_is_flagged_with_its_largest_residual():
+def test_curve_is_flagged_with_its_largest_residual():
     points = [Point(size, size**2) for size in (1, 10, 100, 1000, 3000)]
     curve = make_measurement("part.curve", "a square", "B", "things", Source.IN_PROCESS, points)
-    table = rows([made("part.line"), curve])
-    assert len(table) == 4
+    lines = table_lines([sample_measurement("part.line"), curve])
+    assert len(lines) == 4
     worst = max(curve.line.residuals, key=abs)
     at = curve.points[curve.line.residuals.index(worst)].size
-    assert table[3] == f"  a curve: {worst:+.3g} B off its line at {at:g}"
+    assert lines[3] == f"  a curve: {worst:+.3g} B off its line at {at:g}"
