--- a/caperdeck/lab/slopes/instances.py
+++ b/caperdeck/lab/slopes/instances.py
@@ -1,4 +1,4 @@
-"""Instances of owners as real processes on loopback, and calls to them over one connection."""
+"""Owner instances as real processes on loopback, and calls to them over one connection."""
 
 from __future__ import annotations
 
@@ -24,58 +24,60 @@
 
 CLUSTER = "slopes"
 LOOPBACK = "127.0.0.1"
-POLL_INTERVAL_S = 0.005  # seconds between two polls of a process that starts
-STARTED = 20.0  # seconds that a start, or an election, may take
-ENDED = 5.0  # seconds until a process that was told to end is killed
-ANSWERED = 30.0  # seconds until a call counts as lost
-OWN_END = """
+POLL_INTERVAL_S = 0.005
+START_TIMEOUT_S = 20.0  # for a start or an election
+STOP_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
+CALL_TIMEOUT_S = 30.0
+# Start of the code of a child process: lets it end with the process that started it.
+END_WITH_PARENT = """
 import sys
 from caperdeck.lab.parent_death import end_with_parent
 end_with_parent()
-"""  # a process that is started so ends with the one that started it
-SERVE = OWN_END + "from caperdeck.__main__ import main\nsys.exit(main(sys.argv[1:]))"
+"""
+SERVE = END_WITH_PARENT + "from caperdeck.__main__ import main\nsys.exit(main(sys.argv[1:]))"
 
 
 class InstanceError(MeasurementError):
-    """A process has not started, has ended, or does not answer in time."""
+    """A process did not start, has ended, or did not answer in time."""
 
 
-class Process:
-    """A process of this rig: ended by its own number, also when what is measured fails."""
+class LoggedProcess:
+    """A child process whose output goes to a log file."""
 
     def __init__(self, code: str, *arguments: str, log: Path) -> None:
         self.log = log
         with open(log, "wb") as output:
             command = [sys.executable, "-c", code, *arguments]
             self.popen = subprocess.Popen(command, stdout=output, stderr=subprocess.STDOUT)
-        self.figures = psutil.Process(self.popen.pid)
+        self.psutil_process = psutil.Process(self.popen.pid)
 
     def check(self) -> None:
-        """Raises InstanceError if it has ended by itself."""
+        """Raises InstanceError with the last line of the log if the process has ended by itself."""
         if self.popen.poll() is not None:
-            said = self.log.read_text(encoding="utf-8", errors="replace").strip().splitlines()
-            raise InstanceError(f"exit {self.popen.returncode}: {said[-1] if said else 'nothing was said'}")
+            lines = self.log.read_text(encoding="utf-8", errors="replace").strip().splitlines()
+            raise InstanceError(f"exit {self.popen.returncode}: {lines[-1] if lines else 'no output'}")
 
-    def cpu(self) -> float:
-        """Seconds of processor time, of user and system, so far."""
+    def cpu_seconds(self) -> float:
+        """User and system time since the start."""
         return processor_seconds(self.popen.pid)
 
-    def written(self) -> int:
-        """Bytes that it has handed to write() so far: files and the log, not sockets."""
-        return self.figures.io_counters().write_chars
+    def bytes_written(self) -> int:
+        """Bytes passed to write() since the start: files and the log, not sockets."""
+        return self.psutil_process.io_counters().write_chars
 
     def end(self) -> None:
+        """Terminates the process, and kills it if it has not ended after STOP_TIMEOUT_S."""
         if self.popen.poll() is None:
             self.popen.terminate()
             try:
-                self.popen.wait(ENDED)
+                self.popen.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 self.popen.kill()
                 self.popen.wait()
 
 
 class Instances:
-    """So many instances that agree. They begin at `start` and end with the block."""
+    """The instances of a cluster. `start` starts them; they end with the `with` block."""
 
     def __init__(
         self, count: int, folder: Path, nodes: dict[str, Address] | None = None, cluster: str = CLUSTER,
@@ -83,7 +85,7 @@
         self.folder, self.ports, self.cluster = folder, Ports(), cluster
         self.addresses = [Address(LOOPBACK, self.ports.take(socket.SOCK_STREAM)) for _ in range(count)]
         self.nodes = nodes or {}
-        self.processes: list[Process] = []
+        self.processes: list[LoggedProcess] = []
 
     def __enter__(self) -> Instances:
         return self
@@ -94,76 +96,78 @@
         self.ports.close()
 
     def disk(self, number: int) -> Path:
+        """The data folder of an instance."""
         return self.folder / f"disk-{number}"
 
     def start(self) -> None:
-        """Starts all; returns before they are up."""
+        """Starts all instances without waiting until they are ready."""
         for number in range(len(self.addresses)):
             path = self.folder / f"owner-{number}.toml"
-            path.write_text(tomli_w.dumps(self._file(number)), encoding="utf-8")
+            path.write_text(tomli_w.dumps(self._config(number)), encoding="utf-8")
             log = self.folder / f"owner-{number}.log"
             arguments = ["owner", "serve", f"--config={path}"]
-            self.processes.append(Process(SERVE, *arguments, log=log))
+            self.processes.append(LoggedProcess(SERVE, *arguments, log=log))
 
-    def _file(self, number: int) -> dict[str, Any]:
+    def _config(self, number: int) -> dict[str, Any]:
         return {
             "cluster": self.cluster, "me": number, "folder": str(self.disk(number)),
-            "instances": {str(i): _text(address) for i, address in enumerate(self.addresses)},
-            "nodes": {name: _text(address) for name, address in self.nodes.items()},
+            "instances": {str(i): _address_text(address) for i, address in enumerate(self.addresses)},
+            "nodes": {name: _address_text(address) for name, address in self.nodes.items()},
         }  # fmt: skip
 
     def status(self, number: int) -> dict[str, Any] | None:
+        """The status of an instance; None if it does not answer."""
         return call_instance(self.addresses[number], self.cluster, {"do": "status"})
 
-    def count(self, number: int, event: str) -> int:
-        """How often that has happened at an instance; raises InstanceError where it does not answer."""
+    def event_count(self, number: int, event: str) -> int:
+        """How often an event has occurred at an instance; raises InstanceError if it does not answer."""
         status = self.status(number)
         if status is None:
             raise InstanceError(f"o{number} does not answer")
         return status["events"].get(event, 0)
 
     def wait_for_answer(self, number: int) -> None:
-        """Raises InstanceError."""
-        self._wait(lambda: self.status(number) is not None, "no answer")
+        """Waits until an instance answers; raises InstanceError after START_TIMEOUT_S."""
+        self._wait_for(lambda: self.status(number) is not None, "no answer")
 
-    def leader(self) -> int:
-        """The number of the one that leads, once there is one; raises InstanceError."""
-        found: list[int] = []
+    def wait_for_leader(self) -> int:
+        """Waits for a leader and returns its number; raises InstanceError after START_TIMEOUT_S."""
+        leaders: list[int] = []
 
         def one_leads() -> bool:
-            found[:] = [i for i in range(len(self.addresses)) if _leads(self.status(i))]
-            return bool(found)
+            leaders[:] = [i for i in range(len(self.addresses)) if _is_leader(self.status(i))]
+            return bool(leaders)
 
-        self._wait(one_leads, "no leader")
-        return found[0]
+        self._wait_for(one_leads, "no leader")
+        return leaders[0]
 
-    def _wait(self, true: Callable[[], bool], text: str) -> None:
-        until = time.monotonic() + STARTED
-        while not true():
+    def _wait_for(self, condition: Callable[[], bool], failure: str) -> None:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not condition():
             for process in self.processes:
                 process.check()
-            if time.monotonic() > until:
-                raise InstanceError(f"{text} in {STARTED:g} s")
+            if time.monotonic() > deadline:
+                raise InstanceError(f"{failure} in {START_TIMEOUT_S:g} s")
             time.sleep(POLL_INTERVAL_S)
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address.host}:{address.port}"
 
 
-def _leads(status: dict[str, Any] | None) -> bool:
+def _is_leader(status: dict[str, Any] | None) -> bool:
     return isinstance(status, dict) and status["role"] == "leader"
 
 
-class Caller:
-    """One connection to an instance, on which many calls may wait for their answers at once."""
+class InstanceConnection:
+    """A connection to an instance, on which several calls can be pending at once."""
 
     def __init__(self, address: Address) -> None:
-        self.connection = socket.create_connection(address, ANSWERED)
+        self.connection = socket.create_connection(address, CALL_TIMEOUT_S)
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.reader = self.connection.makefile("rb")
 
-    def __enter__(self) -> Caller:
+    def __enter__(self) -> InstanceConnection:
         return self
 
     def __exit__(self, *unused: object) -> None:
@@ -175,34 +179,37 @@
         self.connection.sendall(LENGTH_PREFIX.pack(len(data)) + data)
 
     def receive(self) -> tuple[int, Any]:
-        """The number of a call and its answer; raises OSError where the connection has ended."""
-        length = LENGTH_PREFIX.unpack(self._exactly(LENGTH_PREFIX.size))[0]
-        number, answer = decode_frame(self._exactly(length), CLUSTER)[1]
+        """The number of a call and its answer; raises OSError if the connection has ended."""
+        length = LENGTH_PREFIX.unpack(self._read_exactly(LENGTH_PREFIX.size))[0]
+        number, answer = decode_frame(self._read_exactly(length), CLUSTER)[1]
         return number, answer
 
-    def _exactly(self, size: int) -> bytes:
+    def _read_exactly(self, size: int) -> bytes:
         data = self.reader.read(size)
         if len(data) < size:
-            raise OSError("the connection has ended")
+            raise OSError("the instance closed the connection")
         return data
 
     def call_all(
-        self, bodies: Iterable[dict[str, Any]], at_once: int,
-        answered: Callable[[int], None] = lambda number: None,
+        self, bodies: Iterable[dict[str, Any]], max_pending: int,
+        on_answer: Callable[[int], None] = lambda number: None,
     ) -> list[Any]:  # fmt: skip
-        """The answers in the order of the calls, of which so many wait at once; `answered` takes numbers."""
+        """Makes all calls, at most `max_pending` at once, and returns the answers in the order of the calls.
+
+        `on_answer` is called with the number of each call when its answer arrives.
+        """
         answers: dict[int, Any] = {}
 
         def receive_one() -> None:
             number, answer = self.receive()
-            answered(number)
+            on_answer(number)
             answers[number] = answer
 
         sent = 0
         for body in bodies:
             self.send(sent, body)
             sent += 1
-            if sent - len(answers) >= at_once:
+            if sent - len(answers) >= max_pending:
                 receive_one()
         while len(answers) < sent:
             receive_one()
--- a/caperdeck/lab/slopes/publishing_instances.py
+++ b/caperdeck/lab/slopes/publishing_instances.py
@@ -1,4 +1,4 @@
-"""Three instances that agree and publish versions, one of which is watched; and the versions' documents."""
+"""Three instances that publish versions, one of which is watched, and the documents of the versions."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 from .watching_nodes import REGION, ZONE, ProcessorMeter, wait_for
 
 INSTANCES = 3
-CUSTOMER_BYTES = 40  # of one in a document, with the comma
-EMPTY_BYTES = 29  # of a document without customers
+CUSTOMER_BYTES = 40  # of one customer in a document, with the comma
+EMPTY_DOCUMENT_BYTES = 29  # of a document without customers
 
 
-def document(size: int, change: int) -> Document:
-    """Of so many bytes, less than a customer's; each change renames one customer of a list."""
-    count = max((size - EMPTY_BYTES) // CUSTOMER_BYTES, 1)
+def make_document(size: int, change: int) -> Document:
+    """A document of about `size` bytes, to within one customer; each `change` renames one customer."""
+    count = max((size - EMPTY_DOCUMENT_BYTES) // CUSTOMER_BYTES, 1)
     names = [f"customer-{i:08}-{0:010}" for i in range(count)]
-    i = change % count
-    names[i] = f"customer-{i:08}-{change + 1:010}"
+    renamed = change % count
+    names[renamed] = f"customer-{renamed:08}-{change + 1:010}"
     return {"settings": {"projects": [{"name": name} for name in names]}}
 
 
 class PublishingInstances:
-    """`watched` follows: it serves watches and bears nothing of the leader's work."""
+    """A cluster whose instance `watched` is a follower: it serves watches but does no work of the leader."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir()
@@ -47,7 +47,7 @@
     def __enter__(self) -> PublishingInstances:
         try:
             self.instances.start()
-            self.leader = self.instances.leader()
+            self.leader = self.instances.wait_for_leader()
             self.watched = min({*range(INSTANCES)} - {self.leader})
             for number in range(INSTANCES):
                 self.instances.wait_for_answer(number)
@@ -60,11 +60,11 @@
         self.instances.__exit__()
 
     def publish(self, size: int) -> int:
-        """The revision of a new version of so many bytes; as the operators' command does it."""
+        """Publishes a new version of about `size` bytes by `config publish`; returns its revision."""
         self.changes += 1
         revisions: list[int] = []
 
-        def noted(address: Address, cluster: str, body: Any) -> Any:
+        def call_and_record(address: Address, cluster: str, body: Any) -> Any:
             answer = call_instance(address, cluster, body)
             if body["do"] == "publish" and isinstance(answer, dict) and answer.get("ok") is True:
                 revisions.append(answer["revision"])
@@ -72,20 +72,20 @@
 
         try:
             with contextlib.redirect_stdout(io.StringIO()):
-                commands.publish(self.owners, document(size, self.changes), None, noted)
+                commands.publish(self.owners, make_document(size, self.changes), None, call_and_record)
         except (commands.InputError, commands.UnknownError) as error:
             raise MeasurementError(f"publish: {error}") from None
         return revisions[-1]
 
     def check_alive(self) -> None:
-        """Raises MeasurementError."""
+        """Raises MeasurementError if an instance has ended."""
         for process in self.instances.processes:
             process.check()
 
     def check(self) -> None:
-        """Raises MeasurementError where one has ended, or the roles have changed and so what was measured."""
+        """Raises MeasurementError if an instance has ended or the leader has changed."""
         self.check_alive()
-        if self.instances.leader() != self.leader:
+        if self.instances.wait_for_leader() != self.leader:
             raise MeasurementError("another instance leads now")
 
     @property
@@ -101,33 +101,35 @@
     def memory(self, number: int) -> int:
         return unique_set_size(self.pid(number))
 
-    def said(self) -> list[dict[str, Any]]:
-        """The last words of the nodes that the watched instance has heard lately."""
+    def node_reports(self) -> list[dict[str, Any]]:
+        """The latest reports of nodes to the watched instance."""
         answer = call_instance(self.address, CLUSTER, {"do": "distribution"})
         return answer["rows"] if isinstance(answer, dict) else []
 
     def wait_until_reported(self, node: str, revision: int) -> None:
-        """Until a node has said that this revision is in force there; raises MeasurementError."""
+        """Waits until a node has reported the revision as active; raises MeasurementError."""
 
-        def in_force() -> bool:
-            return any(row["node"] == node and row["revision"] >= revision for row in self.said())
+        def is_reported() -> bool:
+            return any(
+                report["node"] == node and report["revision"] >= revision for report in self.node_reports()
+            )
 
-        wait_for(in_force, self.check_alive, f"{node} does not say that revision {revision} is in force")
+        wait_for(is_reported, self.check_alive, f"{node} did not report that revision {revision} is active")
 
     def control_file(self, name: str) -> Path:
-        """What a node of that name is given by `--control`: the watched instance alone."""
-        kept, path = self.folder / f"kept-{name}", self.folder / f"control-{name}.toml"
-        kept.mkdir()
+        """Writes the file for `caperdeck serve --control` of a node, with the watched instance alone."""
+        node_folder, path = self.folder / f"kept-{name}", self.folder / f"control-{name}.toml"
+        node_folder.mkdir()
         address = f"{self.address.host}:{self.address.port}"
         instance = {"address": address, "zone": ZONE, "region": REGION}
-        file = {
-            "cluster": CLUSTER, "zone": ZONE, "region": REGION, "folder": str(kept),
+        settings = {
+            "cluster": CLUSTER, "zone": ZONE, "region": REGION, "folder": str(node_folder),
             "instances": {"o": instance},
         }  # fmt: skip
-        path.write_text(tomli_w.dumps(file), encoding="utf-8")
+        path.write_text(tomli_w.dumps(settings), encoding="utf-8")
         return path
 
 
 def document_bytes(size: int) -> int:
-    """Of the canonical text of a document that was asked for by that size."""
-    return len(canonical(document(size, 0)))
+    """Bytes of the canonical text of `make_document(size, ...)`."""
+    return len(canonical(make_document(size, 0)))
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -1,7 +1,8 @@
-"""Stand-in nodes for owners of work, many in one process: the program's target behind its second address.
+"""Simulated nodes for owners of work, many in one process: the production target behind its admin address.
 
-The first argument is the control port, the others are the nodes' ports. A caller of the control port says
-`begin NODES INSTANCE` with an instance's address, and reads what all nodes together have taken by `figures`.
+The first argument is the control port, the others are the nodes' ports. On the control port, the call
+`begin NODES INSTANCE` starts that many nodes for the instance at this address, and `figures` answers with
+the counters of all nodes together.
 """
 
 from __future__ import annotations
@@ -25,101 +26,106 @@
 
 reactor = install_reactor()
 
-HOSTS = [f"s-{i}" for i in range(50)]  # on each node's list; none is ever ill
-LINE_END = 2  # bytes
+HOST_UIDS = [f"s-{i}" for i in range(50)]  # on each node's list; none ever fails
+LINE_END_BYTES = 2
 
 
-class Figures(msgspec.Struct):
-    """Of all nodes together since they began."""
+class TargetCounters(msgspec.Struct):
+    """Counters of all nodes together since the last `begin`."""
 
     connections: int = 0
-    bytes: int = 0  # of lines, both ways
+    bytes: int = 0  # of lines, in both directions
     refused: int = 0
-    reached: int = 0  # nodes that an act has come to, taken or refused
+    reached: int = 0  # nodes that have received an act, accepted or refused
 
 
-class CountedCaller(Caller):
+class CountingConnection(Caller):
+    """Counts the bytes of lines received and answered."""
+
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.front.figures.bytes += len(data)
+        self.front.counters.bytes += len(data)
         super().dataReceived(data)
 
     def answer(self, lines: Answer, verb: bytes, at: float) -> None:
-        self.front.figures.bytes += sum(len(line) + LINE_END for line in lines)
+        self.front.counters.bytes += sum(len(line) + LINE_END_BYTES for line in lines)
         super().answer(lines, verb, at)
 
 
-class CountedFront(Front):
-    """A node's second address; which node that is changes with each size."""
+class CountingServer(Front):
+    """The admin address of a node; `begin` replaces the node behind it."""
 
     def __init__(self, calls: Calls) -> None:
         super().__init__(reactor, calls)
-        self.figures = Figures()
+        self.counters = TargetCounters()
 
-    def buildProtocol(self, addr: Any) -> CountedCaller:  # noqa: N802
-        self.figures.connections += 1
-        return CountedCaller(self)
+    def buildProtocol(self, addr: Any) -> CountingConnection:  # noqa: N802
+        self.counters.connections += 1
+        return CountingConnection(self)
 
 
-class Node:
-    """What a node does with an act, without the hosts and clients of a whole one."""
+class TargetNode:
+    """The part of a node that executes acts, without hosts and clients."""
 
     def __init__(self, number: int, nodes: int, owners: OwnerEndpoints) -> None:
-        self.target = Target(number + 1, nodes, lambda: HOSTS, list, lambda uid: False, lambda: 0)
+        self.target = Target(number + 1, nodes, lambda: HOST_UIDS, list, lambda uid: False, lambda: 0)
         self.token_recovery = TokenRecovery(reactor, owners, self.target.fence.record_token)
 
     @property
     def reached(self) -> bool:
+        """Whether the node has received an act."""
         return self.target.accepted > 0 or bool(self.target.refused)
 
-    def act(self, work: str, token: str, body: str, then: Then) -> None:
+    def act(self, work: str, token: str, body: str, on_answer: Then) -> None:
         now = reactor.seconds() * 1000.0
         answer = self.target.execute(now, work, int(token), orjson.loads(body))
         reason = answer.get("no")
         if reason is None:
-            then(yes(orjson.dumps(answer).decode()))
+            on_answer(yes(orjson.dumps(answer).decode()))
             return
         if reason == "asks-first":
             self.token_recovery.recover(work)
-        then(no(reason))
+        on_answer(no(reason))
 
 
-class Nodes:
-    """All ports of the process, and the nodes behind the first of them."""
+class TargetNodes:
+    """The admin servers of all ports of the process, and the nodes behind the first of them."""
 
     def __init__(self, ports: list[int]) -> None:
-        self.nodes: list[Node] = []
-        self.fronts = [self._front(number) for number in range(len(ports))]
-        for front, port in zip(self.fronts, ports, strict=True):
-            front.listen(Address(LOOPBACK, port))
+        self.nodes: list[TargetNode] = []
+        self.servers = [self._server(number) for number in range(len(ports))]
+        for server, port in zip(self.servers, ports, strict=True):
+            server.listen(Address(LOOPBACK, port))
 
-    def _front(self, number: int) -> CountedFront:
+    def _server(self, number: int) -> CountingServer:
         calls = Calls()
-        calls.add("act", 3, lambda *rest: self.nodes[number].act(*rest), LONGEST_ACT, keeps=True)
-        return CountedFront(calls)
+        calls.add("act", 3, lambda *arguments: self.nodes[number].act(*arguments), LONGEST_ACT, keeps=True)
+        return CountingServer(calls)
 
-    def begin(self, count: str, instance: str, then: Then) -> None:
+    def begin(self, count: str, instance: str, on_answer: Then) -> None:
+        """Replaces all nodes by `count` new ones for the instance, and resets the counters."""
         for node in self.nodes:
             node.token_recovery.stop()
         owners = OwnerEndpoints(CLUSTER, (parse_address(instance),))
-        self.nodes = [Node(number, int(count), owners) for number in range(int(count))]
-        for front in self.fronts:
-            front.figures = Figures()
-        then(yes())
+        self.nodes = [TargetNode(number, int(count), owners) for number in range(int(count))]
+        for server in self.servers:
+            server.counters = TargetCounters()
+        on_answer(yes())
 
-    def figures(self, then: Then) -> None:
-        whole = Figures(reached=sum(node.reached for node in self.nodes))
-        whole.connections = sum(front.figures.connections for front in self.fronts)
-        whole.bytes = sum(front.figures.bytes for front in self.fronts)
-        whole.refused = sum(sum(node.target.refused.values()) for node in self.nodes)
-        then(yes(msgspec.json.encode(whole).decode()))
+    def report_counters(self, on_answer: Then) -> None:
+        """Answers with the counters of all nodes together, as JSON."""
+        total = TargetCounters(reached=sum(node.reached for node in self.nodes))
+        total.connections = sum(server.counters.connections for server in self.servers)
+        total.bytes = sum(server.counters.bytes for server in self.servers)
+        total.refused = sum(sum(node.target.refused.values()) for node in self.nodes)
+        on_answer(yes(msgspec.json.encode(total).decode()))
 
 
 def main(arguments: list[str]) -> None:
     control, *ports = map(int, arguments)
-    nodes = Nodes(ports)
+    nodes = TargetNodes(ports)
     calls = Calls()
     calls.add("begin", 2, nodes.begin)
-    calls.add("figures", 0, nodes.figures)
+    calls.add("figures", 0, nodes.report_counters)
     Front(reactor, calls).listen(Address(LOOPBACK, control))
     reactor.run()
 
--- a/caperdeck/lab/slopes/watching_nodes.py
+++ b/caperdeck/lab/slopes/watching_nodes.py
@@ -1,7 +1,7 @@
-"""Processes of nodes that watch one instance, as a measurement starts, reads and ends them.
+"""Processes of nodes that watch one instance for configuration versions, and their usage.
 
-The process is that of `caperdeck lab in-force`: each of its nodes has the watch, the connection and the
-version file of `caperdeck serve --control`, without a service behind them.
+Each process runs the module that `caperdeck lab in-force` uses: its nodes have the watch, the connection and
+the version file of `caperdeck serve --control`, without a service behind them.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 from .bench import POLL_INTERVAL_S, spawn_module
 from .errors import MeasurementError
-from .process import unique_set_size, processor_seconds
+from .process import processor_seconds, unique_set_size
 
 MODULE = "caperdeck.lab.propagation.nodes"
-LATE_BEAT = 150.0  # milliseconds, from which the process counts a beat of its own as late
-REPORT_EVERY = 0.1  # seconds
+LATE_BEAT_MS = 150.0  # from which the process counts a beat of its event loop as late
+REPORT_INTERVAL_S = 0.1
 ZONE, REGION = "z0", "north"
-WAIT = 60.0  # seconds for whatever is waited for
+WAIT_TIMEOUT_S = 60.0  # for any condition
 
 
 class NodesSample(NamedTuple):
@@ -40,11 +40,11 @@
 
 
 class NodesProcess:
-    """One process with some of the nodes."""
+    """A process with some of the nodes, which reports their state periodically."""
 
     def __init__(self, plan: Plan, log: Path) -> None:
         self.names = [node.place.name for node in plan.nodes]
-        self.revisions: dict[str, int] = dict.fromkeys(self.names, 0)  # in force, by node
+        self.revisions: dict[str, int] = dict.fromkeys(self.names, 0)  # active revision by node
         self.report: Report | None = None
         self.reported_at = 0.0
         self.log = log
@@ -52,15 +52,15 @@
             self.popen = spawn_module([MODULE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=output)
         self.popen.stdin.write(msgspec.json.encode(plan) + b"\n")
         self.popen.stdin.flush()
-        self.reader = threading.Thread(target=self._read, daemon=True)
+        self.reader = threading.Thread(target=self._read_reports, daemon=True)
         self.reader.start()
 
-    def _read(self) -> None:
+    def _read_reports(self) -> None:
         decode = msgspec.json.Decoder(Report).decode
         while (line := self.popen.stdout.readline()).endswith(b"\n"):
             report = decode(line)
-            for each in report.put:
-                self.revisions[each.node] = each.revision
+            for applied in report.put:
+                self.revisions[applied.node] = applied.revision
             self.report, self.reported_at = report, time.monotonic()
 
     @property
@@ -68,15 +68,15 @@
         return self.report is not None and self.report.ready
 
     def check(self) -> None:
-        """Raises MeasurementError if it has ended by itself."""
+        """Raises MeasurementError with the end of the log if the process has ended by itself."""
         if self.popen.poll() is not None:
-            said = self.log.read_text(encoding="utf-8", errors="replace").strip()[-200:]
-            raise MeasurementError(f"a process of nodes ended: {said}")
+            log_tail = self.log.read_text(encoding="utf-8", errors="replace").strip()[-200:]
+            raise MeasurementError(f"a process of nodes ended: {log_tail}")
 
     def sample(self) -> NodesSample:
-        """As of the next report."""
-        asked = time.monotonic()
-        wait_for(lambda: self.reported_at > asked, self.check, "no report of nodes")
+        """Waits for the next report and returns its usage."""
+        requested_at = time.monotonic()
+        wait_for(lambda: self.reported_at > requested_at, self.check, "no report of nodes")
         return NodesSample(self.reported_at, self.report.cpu, stream_bytes(self.report))
 
     def memory(self) -> int:
@@ -92,25 +92,25 @@
 
 
 class WatchingNodes:
-    """So many nodes in some processes, within its `with` block; all watch the one instance named.
+    """Nodes in several processes, which run within the `with` block and all watch the same instance.
 
-    They are of its zone and region, and know of no other.
+    They are in the zone and region of the instance, and know no other instance.
     """
 
     def __init__(self, count: int, processes: int, instance: Address, folder: Path) -> None:
         self.count = count
         folder.mkdir()
-        known = {"o": (Place("o", ZONE, REGION), f"{instance.host}:{instance.port}")}
-        self.plans = [self._plan(range(i, count, processes), folder, known) for i in range(processes)]
+        instances = {"o": (Place("o", ZONE, REGION), f"{instance.host}:{instance.port}")}
+        self.plans = [self._plan(range(i, count, processes), folder, instances) for i in range(processes)]
         self.folder = folder
         self.processes: list[NodesProcess] = []
 
     @staticmethod
-    def _plan(numbers: range, folder: Path, known: dict[str, tuple[Place, str]]) -> Plan:
+    def _plan(numbers: range, folder: Path, instances: dict[str, tuple[Place, str]]) -> Plan:
         nodes = [NodePlan(Place(f"n{n}", ZONE, REGION), str(folder / f"n{n}")) for n in numbers]
         for node in nodes:
             Path(node.folder).mkdir()
-        return Plan(nodes, known, LATE_BEAT, REPORT_EVERY)
+        return Plan(nodes, instances, LATE_BEAT_MS, REPORT_INTERVAL_S)
 
     def __enter__(self) -> WatchingNodes:
         try:
@@ -130,15 +130,15 @@
         for process in self.processes:
             process.check()
 
-    def wait_until(self, true: Callable[[NodesProcess], bool], text: str) -> None:
-        """Of each process; raises MeasurementError."""
-        wait_for(lambda: all(map(true, self.processes)), self.check, text)
+    def wait_until(self, condition: Callable[[NodesProcess], bool], failure: str) -> None:
+        """Waits until the condition holds for every process; raises MeasurementError."""
+        wait_for(lambda: all(map(condition, self.processes)), self.check, failure)
 
     def wait_until_applied(self, revision: int) -> None:
-        """At all nodes; raises MeasurementError."""
+        """Waits until the revision is active at all nodes; raises MeasurementError."""
         self.wait_until(
             lambda process: min(process.revisions.values()) >= revision,
-            f"revision {revision} is not in force at all nodes",
+            f"revision {revision} is not active at all nodes",
         )
 
     def samples(self) -> list[NodesSample]:
@@ -148,23 +148,26 @@
         return sum(process.memory() for process in self.processes)
 
 
-def wait_for(true: Callable[[], bool], check: Callable[[], None], text: str) -> None:
-    """Raises MeasurementError, also what `check` raises."""
-    until = time.monotonic() + WAIT
-    while not true():
+def wait_for(condition: Callable[[], bool], check: Callable[[], None], failure: str) -> None:
+    """Waits until the condition holds, calling `check` before each pause.
+
+    Raises MeasurementError after WAIT_TIMEOUT_S, and whatever `check` raises.
+    """
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    while not condition():
         check()
-        if time.monotonic() > until:
-            raise MeasurementError(f"{text} after {WAIT:g} s")
+        if time.monotonic() > deadline:
+            raise MeasurementError(f"{failure} after {WAIT_TIMEOUT_S:g} s")
         time.sleep(POLL_INTERVAL_S)
 
 
 class ProcessorMeter:
-    """Processor seconds of a process from now on."""
+    """Measures the processor time of a process from the creation of the meter on."""
 
     def __init__(self, pid: int) -> None:
         self.pid = pid
-        self.began, self.used = time.monotonic(), processor_seconds(pid)
+        self.started_at, self.used_before = time.monotonic(), processor_seconds(pid)
 
     def read(self) -> tuple[float, float]:
-        """Seconds used, and seconds passed."""
-        return processor_seconds(self.pid) - self.used, time.monotonic() - self.began
+        """Processor seconds used, and seconds passed."""
+        return processor_seconds(self.pid) - self.used_before, time.monotonic() - self.started_at
--- a/tests/test_lab_slopes_distribution.py
+++ b/tests/test_lab_slopes_distribution.py
@@ -1,4 +1,4 @@
-"""Cost slopes of the distribution of configuration, at tiny sizes on real instances and nodes."""
+"""Measurements of the distribution of configuration, at tiny sizes on real instances and nodes."""
 
 import msgspec
 import pytest
@@ -7,14 +7,14 @@
 from caperdeck.distribution.document import canonical, difference, encode_changes
 from caperdeck.lab.slopes import distribution
 from caperdeck.lab.slopes.errors import MeasurementError
-from caperdeck.lab.slopes.publishing_instances import CUSTOMER_BYTES, PublishingInstances, document
+from caperdeck.lab.slopes.publishing_instances import CUSTOMER_BYTES, PublishingInstances, make_document
 from caperdeck.lab.slopes.record import Source
 from caperdeck.lab.slopes.watching_nodes import NodesSample, WatchingNodes, wait_for
 from caperdeck.lifecycle.merge import check_document
 
 
 def test_distribution_is_measured_on_instances_and_nodes(tmp_path):
-    # what is idle is subtracted, and is as large as the cost at these sizes: below 0 now and then
+    # The idle cost is subtracted; at these sizes it is as large as the cost, so results can be below 0.
     measured = distribution.measure(True, ignore_progress)
     found = by_name(measured)
     for name in ("subscribe_cpu", "instance_version_cpu", "instance_version_cpu_by_size", "version_cpu"):
@@ -27,22 +27,22 @@
             "version_memory", "commit_cpu", "history_memory",
         )
     }  # fmt: skip
-    # a question and its answer a second and watch; the whole list with each version
+    # One request and its answer per second and watch; each version sends the whole list.
     assert 150 < found["distribution.node_bytes"].line.slope < 1500
     assert found["distribution.version_bytes"].line.slope == pytest.approx(1.0, abs=0.05)
 
 
 @pytest.mark.parametrize("size", [100, 1000, 100_000])
-def test_a_document_has_its_size_and_each_change_sends_its_list(size):
-    documents = [document(size, change) for change in (0, 1, size)]
-    for made in documents:
-        check_document(made)
-        assert abs(len(canonical(made)) - size) < CUSTOMER_BYTES
+def test_documents_have_the_requested_size_and_each_change_sends_the_list(size):
+    documents = [make_document(size, change) for change in (0, 1, size)]
+    for document in documents:
+        check_document(document)
+        assert abs(len(canonical(document)) - size) < CUSTOMER_BYTES
     for before, after in zip(documents, documents[1:], strict=False):
         assert len(canonical(encode_changes(difference(before, after)))) > size / 2
 
 
-def test_a_version_is_in_force_at_all_watching_nodes_and_their_processes_end(tmp_path):
+def test_version_is_active_at_all_watching_nodes_and_their_processes_end(tmp_path):
     with PublishingInstances(tmp_path / "instances") as instances:
         with WatchingNodes(3, 2, instances.address, tmp_path / "nodes") as nodes:
             revision = instances.publish(1000)
@@ -57,7 +57,7 @@
     assert min(sample.bytes for sample in second) > 1000
 
 
-def test_what_ended_or_changed_is_void(tmp_path, monkeypatch):
+def test_ended_process_changed_leader_and_timeout_are_errors(tmp_path, monkeypatch):
     with PublishingInstances(tmp_path / "instances") as instances:
         instances.leader = instances.watched
         with pytest.raises(MeasurementError, match="another instance leads"):
@@ -66,13 +66,13 @@
             nodes.processes[0].popen.kill()
             with pytest.raises(MeasurementError, match="a process of nodes ended"):
                 nodes.wait_until_applied(99)
-    monkeypatch.setattr("caperdeck.lab.slopes.watching_nodes.WAIT", 0.0)
+    monkeypatch.setattr("caperdeck.lab.slopes.watching_nodes.WAIT_TIMEOUT_S", 0.0)
     with pytest.raises(MeasurementError, match="nothing after 0 s"):
         wait_for(lambda: False, lambda: None, "nothing")
 
 
-def test_what_the_same_time_costs_idle_is_not_the_versions():
-    class Stub(msgspec.Struct):
+def test_idle_cost_of_the_same_time_is_subtracted():
+    class FakeInstancesAndNodes(msgspec.Struct):
         watched: int = 0
         count: int = 2
         at: float = 0.0
@@ -93,7 +93,9 @@
             self.at += 5.0
             return [NodesSample(self.at, 0.0, int(100 * self.at))] * 2
 
-    sizes = distribution.SMALL._replace(answered=0.0, versions=3)
-    found = distribution.spent(Stub(), Stub(), distribution.IdleCost(0.0, 30.0, 0.25), 10, sizes)
-    # two processes with 500 bytes each in 5 s, 150 of them idle; 3 s of 4, 1 of them idle
-    assert found == distribution.Spent(2 * 500 - 5 * 30.0, 3.0 - 4 * 0.25)
+    sizes = distribution.SMALL._replace(settle_s=0.0, versions=3)
+    extra = distribution.extra_cost(
+        FakeInstancesAndNodes(), FakeInstancesAndNodes(), distribution.IdleCost(0.0, 30.0, 0.25), 10, sizes
+    )
+    # Two processes with 500 bytes each in 5 s, 150 of them idle; 3 s of processor time in 4 s, 1 s idle.
+    assert extra == distribution.ExtraCost(2 * 500 - 5 * 30.0, 3.0 - 4 * 0.25)
--- a/tests/test_lab_slopes_fleet.py
+++ b/tests/test_lab_slopes_fleet.py
@@ -1,4 +1,4 @@
-"""Cost slopes of what the fleet shares: membership, owned work, agreement, configuration; at tiny sizes."""
+"""Measurements of membership, configuration, agreement and owned work, at tiny sizes."""
 
 import gc
 import math
@@ -9,7 +9,7 @@
 from caperdeck.lab.slopes import agreement, configuration, membership, membership_fleet, owned_work
 from caperdeck.lab.slopes.errors import MeasurementError
 from caperdeck.lab.slopes.garbage import without_gc
-from caperdeck.lab.slopes.instances import Caller, InstanceError, Instances, Process
+from caperdeck.lab.slopes.instances import InstanceConnection, InstanceError, Instances, LoggedProcess
 from caperdeck.lab.slopes.line import Point, fit
 from caperdeck.lab.slopes.membership_costs import SETTLE_MS, silent_share_across, steady_cost
 from caperdeck.lab.slopes.membership_fleet import Fleet, WaitTimeoutError
@@ -23,27 +23,33 @@
 
 
 def by_name(measured):
-    return {each.name: each for each in measured}
+    return {measurement.name: measurement for measurement in measured}
 
 
-def test_what_a_part_cannot_measure_is_one_line_of_the_command():
+def test_errors_of_all_parts_are_reported_by_the_command_in_one_line():
     for error in (InstanceError, WaitTimeoutError, configuration.ReloadError):
         assert issubclass(error, MeasurementError)
 
 
 def check(measured, part, sources, tmp_path):
-    """Names, four sizes, nothing under 0, numbers that are numbers, and a record that can be written."""
-    for each in measured:
-        assert each.name.startswith(f"{part}.") and each.what and each.unit and each.against and each.note
-        assert each.source in sources
-        assert len({point.size for point in each.points}) >= 4
-        assert all(point.cost >= 0 for point in each.points)
-        line = each.line
+    """Checks names, four sizes or more, costs from 0, finite numbers, and that a record can be written."""
+    for measurement in measured:
+        assert (
+            measurement.name.startswith(f"{part}.")
+            and measurement.what
+            and measurement.unit
+            and measurement.against
+            and measurement.note
+        )
+        assert measurement.source in sources
+        assert len({point.size for point in measurement.points}) >= 4
+        assert all(point.cost >= 0 for point in measurement.points)
+        line = measurement.line
         assert all(map(math.isfinite, (line.fixed, line.slope, line.fixed_error, line.slope_error)))
     write_record(tmp_path / "slopes.json", make_record(measured))
 
 
-def test_costs_that_are_all_alike_have_a_level_line():
+def test_fit_of_equal_costs_is_a_horizontal_line():
     line = fit([Point(size, 1.0) for size in range(4)])
     assert (line.fixed, line.slope, line.slope_error, line.r_squared) == (1.0, 0.0, 0.0, 1.0)
 
@@ -60,19 +66,19 @@
         "peers.false_deaths",
     }  # fmt: skip
     assert found["peers.state_bytes"].line.slope > 0
-    # gossip carries a start to all within a few rounds, however many they are; pings alone took 15.5 s at 32
+    # Gossip spreads a start within a few rounds at any number of members; pings alone took 15.5 s at 32.
     assert all(0 < point.cost < 10 for point in found["peers.known"].points)
     assert all(point.cost <= 1 for point in found["peers.false_deaths"].points)
 
 
-def test_membership_costs_are_the_same_in_each_run_but_for_processor_time():
+def test_membership_costs_except_processor_time_are_deterministic():
     first, second = (steady_cost(10, 4000.0) for _ in range(2))
     assert first._replace(cpu=0.0) == second._replace(cpu=0.0)
-    # a ping and its answer every two seconds at the mean: a datagram a second
+    # On average one ping and its answer every two seconds: one datagram per second.
     assert first.messages == pytest.approx(1.0, rel=0.25)
 
 
-def test_a_killed_member_is_found_and_no_living_one():
+def test_only_the_killed_member_is_detected_as_silent():
     fleet = Fleet(10, 3, warm=True)
     fleet.run(SETTLE_MS)
     fleet.killed.add(4)
@@ -81,7 +87,7 @@
     assert all(state[4] is MemberState.SILENT and state.count(MemberState.SILENT) == 1 for state in states)
 
 
-def test_members_across_a_cut_hold_each_other_dead_and_come_back():
+def test_members_across_a_cut_consider_each_other_silent_until_it_heals():
     fleet = Fleet(10, 3, warm=True)
     fleet.cut_below = 4
     fleet.run(60_000.0)
@@ -91,24 +97,24 @@
     assert silent_share_across(fleet, 4) == 0.0
 
 
-def test_what_takes_too_long_is_an_error(monkeypatch):
+def test_waiting_for_a_condition_times_out(monkeypatch):
     monkeypatch.setattr(membership_fleet, "MAX_WAIT_MS", 10_000.0)
     fleet = Fleet(4, 3, warm=True)
     with pytest.raises(WaitTimeoutError, match="4 members"):
         fleet.wait_for(lambda: False)
 
 
-def test_the_garbage_collector_is_on_again_after_a_simulation_that_fails():
+def test_garbage_collector_is_enabled_again_after_a_failed_simulation():
     with pytest.raises(ZeroDivisionError), without_gc():
         assert not gc.isenabled()
         _ = 1 / 0
     assert gc.isenabled()
 
 
-def test_memory_counts_what_an_object_holds_once():
+def test_object_size_counts_shared_objects_once():
     shared = [1.5, 2.5]
-    held = object_bytes([shared, shared])
-    assert held < 2 * object_bytes(shared) + object_bytes([]) + 16
+    total = object_bytes([shared, shared])
+    assert total < 2 * object_bytes(shared) + object_bytes([]) + 16
     assert object_bytes(MemberState.ALIVE) == 0
 
 
@@ -124,19 +130,21 @@
         "configuration.apply_by_customers", "configuration.bytes_by_listeners",
     }  # fmt: skip
     assert found["configuration.bytes_by_listeners"].line.fits
-    assert all(point.cost > 0 for each in measured for point in each.points)
+    assert all(point.cost > 0 for measurement in measured for point in measurement.points)
 
 
-def test_what_is_timed_puts_the_file_into_force(tmp_path):
-    node = configuration.Node(str(tmp_path), configuration.configuration(hosts=3, listeners=2, customers=1))
+def test_timed_reload_applies_the_file(tmp_path):
+    node = configuration.ServiceNode(
+        str(tmp_path), configuration.configuration_text(hosts=3, listeners=2, customers=1)
+    )
     assert len(node.service.handler.hosts.uids) == 3
-    node.path.write_bytes(configuration.configuration(hosts=3, listeners=5, customers=4))
+    node.path.write_bytes(configuration.configuration_text(hosts=3, listeners=5, customers=4))
     node.reload()
     assert len(node.service.handler.names.listeners) == 5 and len(node.service.handler.names.customers) == 4
 
 
-def test_a_file_that_is_not_taken_is_no_measurement(tmp_path):
-    node = configuration.Node(str(tmp_path), configuration.configuration())
+def test_reload_of_an_invalid_file_is_an_error(tmp_path):
+    node = configuration.ServiceNode(str(tmp_path), configuration.configuration_text())
     node.path.write_bytes(b"{}")
     with pytest.raises(configuration.ReloadError, match="2 bytes"):
         node.reload()
@@ -145,37 +153,37 @@
 # ---- processes
 
 
-def test_an_instance_answers_every_call_and_ends_with_its_block(tmp_path):
+def test_instance_answers_every_call_and_ends_with_its_block(tmp_path):
     with Instances(1, tmp_path) as instances:
         instances.start()
-        leader = instances.leader()
-        with Caller(instances.addresses[leader]) as caller:
-            answers = caller.call_all([{"do": "status"}, {"do": "dance"}] * 4, at_once=3)
+        leader = instances.wait_for_leader()
+        with InstanceConnection(instances.addresses[leader]) as connection:
+            answers = connection.call_all([{"do": "status"}, {"do": "dance"}] * 4, max_pending=3)
         process = instances.processes[leader]
-        assert process.cpu() > 0 and process.written() > 0
+        assert process.cpu_seconds() > 0 and process.bytes_written() > 0
     assert [answer.get("role", answer.get("no")) for answer in answers] == ["leader", "unknown-call"] * 4
     assert process.popen.returncode is not None and not instances.ports.kept
 
 
-def test_processes_end_where_a_measurement_fails(tmp_path):
+def test_processes_end_when_a_measurement_fails(tmp_path):
     with pytest.raises(ZeroDivisionError), Instances(1, tmp_path) as instances:
         instances.start()
         _ = 1 / 0
     assert all(process.popen.returncode is not None for process in instances.processes)
 
 
-def test_an_instance_that_cannot_start_says_why(tmp_path):
+def test_error_of_an_instance_that_cannot_start_has_its_reason(tmp_path):
     with Instances(1, tmp_path) as instances:
         instances.disk(0).write_text("a file where the folder should be")
         instances.start()
         with pytest.raises(InstanceError, match="exit 2: caperdeck: .*disk-0"):
-            instances.leader()
+            instances.wait_for_leader()
 
 
-def test_a_process_that_does_not_heed_its_end_is_killed(tmp_path, monkeypatch):
-    monkeypatch.setattr("caperdeck.lab.slopes.instances.ENDED", 0.1)
-    deaf = "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); print(flush=True)"
-    process = Process(f"{deaf}; time.sleep(600)", log=tmp_path / "log")
+def test_process_that_ignores_sigterm_is_killed(tmp_path, monkeypatch):
+    monkeypatch.setattr("caperdeck.lab.slopes.instances.STOP_TIMEOUT_S", 0.1)
+    ignore_sigterm = "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); print(flush=True)"
+    process = LoggedProcess(f"{ignore_sigterm}; time.sleep(600)", log=tmp_path / "log")
     while not (tmp_path / "log").read_bytes():
         time.sleep(0.01)
     process.end()
@@ -191,12 +199,12 @@
     found = by_name(measured)
     axes = {"entries proposed": "", "bytes of an entry": "_by_size"}
     for cost in ("cpu", "bytes", "disk", "time"):
-        for against, ending in axes.items():
-            assert found.pop(f"raft.commit_{cost}{ending}").against == against
+        for against, suffix in axes.items():
+            assert found.pop(f"raft.commit_{cost}{suffix}").against == against
     assert found.keys() == {"raft.start_time"}
 
 
-def test_more_and_larger_entries_write_and_send_more(tmp_path):
+def test_more_or_larger_entries_write_and_send_more_bytes(tmp_path):
     with Instances(1, tmp_path) as instances:
         instances.start()
         cluster = agreement.Cluster(instances)
@@ -206,14 +214,14 @@
     assert small.written >= 4 * small.size and large.written >= 4 * large.size
     sent = agreement.leader_bytes_sent(20, 100)
     assert sent == agreement.leader_bytes_sent(20, 100)
-    # to two others, in base 64
+    # Sent to two followers, in base 64.
     assert sent[1] > 20 * 2 * 4 / 3 * sent[0]
 
 
-def test_a_proposal_that_may_not_stand_is_no_measurement():
+def test_proposal_with_unknown_outcome_is_an_error():
     for answer in (None, {"no": "older-token"}):
         with pytest.raises(agreement.LeaderChangedError, match="answer 1"):
-            agreement._stood([{"ok": True}, answer])
+            agreement._require_committed([{"ok": True}, answer])
 
 
 # ---- owned work
@@ -225,24 +233,27 @@
     found = by_name(measured)
     assert found.keys() == {"owned.connections", "owned.bytes", "owned.cpu_owner", "owned.cpu_node"}
     assert found["owned.bytes"].points[-1].cost > 0
-    # the connections that were counted at the start are kept: a round opens none
+    # Connections opened at the start are kept, so later rounds open none.
     assert all(point.cost == 0 for point in found["owned.connections"].points)
 
 
-def test_nodes_that_do_not_come_up_are_an_error(tmp_path, monkeypatch):
-    monkeypatch.setattr(owned_work, "TARGETS", "import sys; print('no reactor'); sys.exit(3)")
-    with pytest.raises(InstanceError, match="exit 3: no reactor"), owned_work.targets(1, tmp_path):
+def test_nodes_that_fail_to_start_are_an_error(tmp_path, monkeypatch):
+    monkeypatch.setattr(owned_work, "TARGETS_CODE", "import sys; print('no reactor'); sys.exit(3)")
+    with pytest.raises(InstanceError, match="exit 3: no reactor"), owned_work.running_targets(1, tmp_path):
         pass
 
 
-def test_leases_that_were_lost_in_a_measurement_are_in_the_note():
+def test_note_lists_leases_lost_during_the_measurement():
     sizes = owned_work.Sizes((4, 8, 12, 16), 0.0, 1.0)
-    found = {count: owned_work.Load(1.0 * count, 1.0, 0.1, 0.1, lost=0) for count in sizes.nodes}
-    assert all("measured: none" in each.note for each in owned_work._measurements(found, sizes))
-    found[8] = found[8]._replace(lost=2)
-    assert all("measured: 2 at 8;" in each.note for each in owned_work._measurements(found, sizes))
+    loads = {count: owned_work.OwnerLoad(1.0 * count, 1.0, 0.1, 0.1, lost=0) for count in sizes.nodes}
+    assert all("measured: none" in measurement.note for measurement in owned_work._measurements(loads, sizes))
+    loads[8] = loads[8]._replace(lost=2)
+    assert all(
+        "measured: 2 at 8;" in measurement.note for measurement in owned_work._measurements(loads, sizes)
+    )
 
 
-def test_members_draw_from_seeds_that_are_far_apart():
+def test_seeds_of_members_are_far_apart():
+    """With consecutive seeds members would ping the same targets at the same time, and some never."""
     seeds = sorted(swim.seed for swim in Fleet(40, 3, warm=True).members)
     assert min(b - a for a, b in zip(seeds, seeds[1:], strict=False)) > 1000
