--- a/caperdeck/lab/slopes/configuration.py
+++ b/caperdeck/lab/slopes/configuration.py
@@ -88,7 +88,7 @@
             MemoryReactorClock(), config, Sink(STDERR_DESCRIPTOR),
             lambda: reload_config(environment, str(self.path)),
         )  # fmt: skip
-        self.service.know(config.known)
+        self.service.load_hosts(config.known_hosts)
 
     def reload(self) -> float:
         """Reloads the file and returns the seconds taken; raises ReloadError if it is not accepted."""
--- a/caperdeck/lab/slopes/targets.py
+++ b/caperdeck/lab/slopes/targets.py
@@ -14,10 +14,10 @@
 import orjson
 
 from caperdeck.leases.target import Target
-from caperdeck.lifecycle.owners import LONGEST_ACT
+from caperdeck.lifecycle.owners import MAX_ACT_ARGUMENT_BYTES
 from caperdeck.lifecycle.reactor import install_reactor
-from caperdeck.ops.admin_calls import Answer, Calls, Then, no, yes
-from caperdeck.ops.admin_server import Caller, Front
+from caperdeck.ops.admin_calls import Answer, AdminCalls, AnswerCallback, nak, ack
+from caperdeck.ops.admin_server import AdminConnection, AdminServer
 from caperdeck.owner.token_recovery import TokenRecovery
 from caperdeck.owner.config import OwnerEndpoints
 from caperdeck.state.addresses import Address, parse_address
@@ -39,22 +39,22 @@
     reached: int = 0  # nodes that have received an act, accepted or refused
 
 
-class CountingConnection(Caller):
+class CountingConnection(AdminConnection):
     """Counts the bytes of lines received and answered."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.front.counters.bytes += len(data)
+        self.server.counters.bytes += len(data)
         super().dataReceived(data)
 
     def answer(self, lines: Answer, verb: bytes, at: float) -> None:
-        self.front.counters.bytes += sum(len(line) + LINE_END_BYTES for line in lines)
+        self.server.counters.bytes += sum(len(line) + LINE_END_BYTES for line in lines)
         super().answer(lines, verb, at)
 
 
-class CountingServer(Front):
+class CountingServer(AdminServer):
     """The admin address of a node; `begin` replaces the node behind it."""
 
-    def __init__(self, calls: Calls) -> None:
+    def __init__(self, calls: AdminCalls) -> None:
         super().__init__(reactor, calls)
         self.counters = TargetCounters()
 
@@ -75,16 +75,16 @@
         """Whether the node has received an act."""
         return self.target.accepted > 0 or bool(self.target.refused)
 
-    def act(self, work: str, token: str, body: str, on_answer: Then) -> None:
+    def act(self, work: str, token: str, body: str, on_answer: AnswerCallback) -> None:
         now = reactor.seconds() * 1000.0
         answer = self.target.execute(now, work, int(token), orjson.loads(body))
         reason = answer.get("no")
         if reason is None:
-            on_answer(yes(orjson.dumps(answer).decode()))
+            on_answer(ack(orjson.dumps(answer).decode()))
             return
         if reason == "asks-first":
             self.token_recovery.recover(work)
-        on_answer(no(reason))
+        on_answer(nak(reason))
 
 
 class TargetNodes:
@@ -97,11 +97,17 @@
             server.listen(Address(LOOPBACK, port))
 
     def _server(self, number: int) -> CountingServer:
-        calls = Calls()
-        calls.add("act", 3, lambda *arguments: self.nodes[number].act(*arguments), LONGEST_ACT, keeps=True)
+        calls = AdminCalls()
+        calls.add(
+            "act",
+            3,
+            lambda *args: self.nodes[number].act(*args),
+            MAX_ACT_ARGUMENT_BYTES,
+            keep_open=True,
+        )
         return CountingServer(calls)
 
-    def begin(self, count: str, instance: str, on_answer: Then) -> None:
+    def begin(self, count: str, instance: str, on_answer: AnswerCallback) -> None:
         """Replaces all nodes by `count` new ones for the instance, and resets the counters."""
         for node in self.nodes:
             node.token_recovery.stop()
@@ -109,24 +115,24 @@
         self.nodes = [TargetNode(number, int(count), owners) for number in range(int(count))]
         for server in self.servers:
             server.counters = TargetCounters()
-        on_answer(yes())
+        on_answer(ack())
 
-    def report_counters(self, on_answer: Then) -> None:
+    def report_counters(self, on_answer: AnswerCallback) -> None:
         """Answers with the counters of all nodes together, as JSON."""
         total = TargetCounters(reached=sum(node.reached for node in self.nodes))
         total.connections = sum(server.counters.connections for server in self.servers)
         total.bytes = sum(server.counters.bytes for server in self.servers)
         total.refused = sum(sum(node.target.refused.values()) for node in self.nodes)
-        on_answer(yes(msgspec.json.encode(total).decode()))
+        on_answer(ack(msgspec.json.encode(total).decode()))
 
 
 def main(arguments: list[str]) -> None:
     control, *ports = map(int, arguments)
     nodes = TargetNodes(ports)
-    calls = Calls()
+    calls = AdminCalls()
     calls.add("begin", 2, nodes.begin)
     calls.add("figures", 0, nodes.report_counters)
-    Front(reactor, calls).listen(Address(LOOPBACK, control))
+    AdminServer(reactor, calls).listen(Address(LOOPBACK, control))
     reactor.run()
 
 
--- a/caperdeck/owner/config.py
+++ b/caperdeck/owner/config.py
@@ -10,7 +10,7 @@
 from caperdeck.leases.census_state import MAX_NODES, digest_collision
 from caperdeck.leases.table import MAX_SPAN_MS
 from caperdeck.leases.target import CENSUS, HOSTS
-from caperdeck.lifecycle.toml import TomlError, check_keys, loopback_address, name_of, read_toml
+from caperdeck.lifecycle.toml import TomlError, check_keys, parse_loopback_address, parse_name, read_toml
 from caperdeck.raft.core import ELECTION_TIMEOUT_MS
 from caperdeck.state.addresses import Address
 
@@ -87,7 +87,7 @@
         raise _ConfigFault(f"first: {first!r:.50} are not all instances")
     if len(set(first)) < len(first):
         raise _ConfigFault("first: an instance twice")
-    listen = loopback_address(raw["listen"], "listen") if "listen" in raw else instances[me]
+    listen = parse_loopback_address(raw["listen"], "listen") if "listen" in raw else instances[me]
     return OwnerConfig(
         _cluster(raw), me, folder, listen,
         instances, tuple(first), _nodes(raw), _works(raw), _span(raw),
@@ -100,7 +100,7 @@
 
 
 def _cluster(raw: dict[str, Any]) -> str:
-    return name_of(raw.get("cluster"), "cluster", MAX_NAME_LENGTH)
+    return parse_name(raw.get("cluster"), "cluster", MAX_NAME_LENGTH)
 
 
 def _table(raw: dict[str, Any], key: str, max_rows: int) -> dict[str, Any]:
@@ -111,7 +111,7 @@
 
 
 def _addresses(table: dict[str, Any], key: str) -> dict[str, Address]:
-    found = {name: loopback_address(value, f"{key}.{name}") for name, value in table.items()}
+    found = {name: parse_loopback_address(value, f"{key}.{name}") for name, value in table.items()}
     if len(set(found.values())) < len(found):
         # A process under two names would vote or be counted twice.
         raise _ConfigFault(f"{key}: an address twice")
--- a/caperdeck/peers/swim.py
+++ b/caperdeck/peers/swim.py
@@ -20,7 +20,7 @@
 import operator
 from typing import NamedTuple
 
-from .codec import MAX_GOSSIP_UPDATES, MAX_UPDATES, Heartbeat, MessageKind, Message, MemberState, MemberUpdate
+from .codec import MAX_GOSSIP_UPDATES, MAX_UPDATES, Heartbeat, MemberState, MemberUpdate, Message, MessageKind
 from .member_random import MemberRandom
 
 PING_PERIOD_MS = 2000.0  # mean time between pings
@@ -69,6 +69,7 @@
         self.rate, self.left, self.at = rate, rate, now
 
     def take(self, now: float) -> bool:
+        """Takes a token if there is one."""
         self.left = min(self.left + max(now - self.at, 0.0) * self.rate / 1000.0, self.rate)
         self.at = now
         if self.left < 1:
@@ -128,6 +129,7 @@
         return len(self.state)
 
     def drop(self, reason: str) -> None:
+        """Counts a datagram or event that was dropped for that reason."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # ---- queries
@@ -150,6 +152,7 @@
 
     @property
     def due(self) -> float:
+        """Time of the next call of `tick` if nothing arrives before."""
         due = (
             self.next_round_at
             if len(self.pending_updates) <= MAX_UPDATES
@@ -289,7 +292,9 @@
             helper = helpers.pop(int(self._random() * len(helpers)))
             self.last_nonce = (self.last_nonce + 1) & 0xFFFFFFFF
             self.pending_indirect[self.last_nonce] = member, now
-            sends.append(Send(helper, self._message(helper, MessageKind.PING_FOR, member, self.last_nonce)))
+            sends.append(
+                Send(helper, self._message(helper, MessageKind.INDIRECT_PING, member, self.last_nonce))
+            )
         return sends
 
     # ---- messages
@@ -313,7 +318,12 @@
         return self._respond(now, message)
 
     def _respond(self, now: float, message: Message) -> tuple[list[Send], AnswerReceived | None]:
-        if message.kind in (MessageKind.ASK, MessageKind.GIVE, MessageKind.TELL, MessageKind.GOSSIP):
+        if message.kind in (
+            MessageKind.QUOTA_REQUEST,
+            MessageKind.QUOTA_GRANT,
+            MessageKind.OVERLOAD_REPORT,
+            MessageKind.GOSSIP,
+        ):
             return [], None  # handled by gossip.sharing, or fully processed above
         if message.kind is MessageKind.PING:
             if not self.answer_limit.take(now):
@@ -322,7 +332,7 @@
             return [
                 Send(message.sender, self._message(message.sender, MessageKind.ACK, self.me, message.nonce))
             ], None
-        if message.kind is MessageKind.PING_FOR:
+        if message.kind is MessageKind.INDIRECT_PING:
             if (
                 not self.answer_limit.take(now)
                 or len(self.relayed_pings) >= MAX_RELAYED_PINGS
@@ -352,7 +362,7 @@
         sends = []
         if relayed := self.relayed_pings.pop(message.nonce, None):
             requester, nonce, subject, _ = relayed
-            sends.append(Send(requester, self._message(requester, MessageKind.ACK_FOR, subject, nonce)))
+            sends.append(Send(requester, self._message(requester, MessageKind.INDIRECT_ACK, subject, nonce)))
         return sends, AnswerReceived(message.sender, message.life, pending[1])
 
     def record_answer(self, now: float, member: int, asked_at: float) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -199,7 +199,7 @@
     environment = write_config(folder / "c", config) | {"TMPDIR": str(folder)}
     service = Service(handler.reactor, load_config(environment), Sink(2), lambda: reload_config(environment))
     service.handler, service.clock = handler, handler.clock
-    handler.refresh_bans = service.ban_calls.look
+    handler.refresh_bans = service.ban_calls.read_file_changes
     if handler.hosts.uids:
         service.ban_calls.begin()
     return service
@@ -245,8 +245,8 @@
     def one(connection):
         with suppress(ConnectionError):  # the node may reset a connection
             for line in connection.makefile("rb"):
-                if (said := answer(line)) is not None:
-                    connection.sendall(said)
+                if (response := answer(line)) is not None:
+                    connection.sendall(response)
 
     def loop():
         while True:
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -18,7 +18,7 @@
 )  # fmt: skip
 from test_race_conditions import answers, serve_all
 
-from caperdeck.ops.bans import FILE, Ban, Bans, BansError
+from caperdeck.ops.bans import FILE_NAME, BanChange, Bans, BansError
 from caperdeck.state.errors import MAX_RETRIES, call_with_retries
 
 
@@ -92,7 +92,7 @@
 def test_port_is_not_closed_while_accept_fails_for_queued_clients(loop, monkeypatch, tmp_path):
     loopback = loop()
     service = service_over(loopback.handler, tmp_path)
-    service.port, service.takes, ended = loopback.port, True, []
+    service.port, service.takes_clients, ended = loopback.port, True, []
     loopback.reactor.stop = lambda: ended.append(loopback.reactor.now)
     service.stop()
     serve_all(loopback, 0.8)
@@ -100,7 +100,7 @@
         client = loopback.client(OPEN_LINE)
         FailingSocketCall(monkeypatch, "accept", [errno.ENFILE])
         service.stopped_at -= 10_000
-        service.move_some()
+        service.redirect_some()
     serve_all(loopback, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and ended
 
@@ -215,24 +215,24 @@
     service = service_over(handler, tmp_path)
     monkeypatch.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(number))
     with captured_log() as lines:
-        service.know([host_row("s-0"), host_row("s-1")], {"bans": ["s-1"]})
+        service.load_hosts([host_row("s-0"), host_row("s-1")], {"bans": ["s-1"]})
     assert service.bans.uids == {"s-1": None} and 1 in handler.balancer._node.banned_at
     assert "reason=bans-unwritable" in "".join(lines)
 
 
 def test_ban_that_a_full_disk_rejects_leaves_the_old_file_intact(tmp_path, monkeypatch):
     bans = Bans(str(tmp_path))
-    bans.change(Ban("s-0", True))
+    bans.apply(BanChange("s-0", True))
     bans.save()
     with monkeypatch.context() as full:
         full.setattr("caperdeck.ops.bans.os.rename", lambda *_: raised(errno.ENOSPC))
-        bans.change(Ban("s-1", True))
+        bans.apply(BanChange("s-1", True))
         with pytest.raises(BansError, match="No space"):
             bans.save()
     again = Bans(str(tmp_path))
     again.load()
     assert again.uids == {"s-0": None} and bans.uids == {"s-0": None, "s-1": None}
-    assert [path.name for path in tmp_path.iterdir()] == [FILE]
+    assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
     bans.save()
     again.load()
     assert again.uids == {"s-0": None, "s-1": None}
@@ -246,7 +246,7 @@
     """A loopback node whose service is stopping; clients wait for at most 1.2 s."""
     loopback = loop(mostDials=1)
     service = service_over(loopback.handler, tmp_path)
-    service.port, service.takes = loopback.port, True
+    service.port, service.takes_clients = loopback.port, True
     loopback.reactor.stop = lambda: None
     service.stop()
     return loopback, service
@@ -336,6 +336,6 @@
             handler.sweep()
     (line,) = [line for line in lines if line.startswith("dial id=")]
     assert "dial=0 host=s-" in line and "outcome=unreached sent=False ms=" in line
-    told = handler.metrics.lines(handler.gauges())
-    assert 'app_failed_dials_total{outcome="unreached"} 1' in told
-    assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in told)
+    metrics = handler.metrics.lines(handler.gauges())
+    assert 'app_failed_dials_total{outcome="unreached"} 1' in metrics
+    assert any(text.startswith('app_ended_total{reason="refused"} 1') for text in metrics)
