--- a/caperdeck/lab/slopes/agreement.py
+++ b/caperdeck/lab/slopes/agreement.py
@@ -49,10 +49,10 @@
     """What is measured, in numbers of entries and bytes."""
 
     entries: tuple[int, ...]  # proposed in a batch, of STATE_BYTES each
-    states: tuple[int, ...]  # bytes of state in an entry
+    state_sizes: tuple[int, ...]  # bytes of state in an entry
     batch: int  # entries in a batch of each of these sizes
     sequential: int  # entries of each of these sizes proposed one after the other
-    tables: tuple[int, ...]  # bytes of state of each of MAX_WORKS works
+    table_sizes: tuple[int, ...]  # bytes of state of each of MAX_WORKS works
     starts: int  # of an instance with each of these tables
 
 
@@ -233,10 +233,12 @@
         for entries in sizes.entries:
             by_count[entries] = _report(progress, entries, cluster.commit(entries, STATE_BYTES, MAX_PENDING))
         by_size = [
-            _report(progress, sizes.batch, cluster.commit(sizes.batch, n, MAX_PENDING)) for n in sizes.states
+            _report(progress, sizes.batch, cluster.commit(sizes.batch, n, MAX_PENDING))
+            for n in sizes.state_sizes
         ]
         sequential = [
-            _report(progress, sizes.sequential, cluster.commit(sizes.sequential, n, 1)) for n in sizes.states
+            _report(progress, sizes.sequential, cluster.commit(sizes.sequential, n, 1))
+            for n in sizes.state_sizes
         ]
     return [*_measurements_by_count(by_count), *_measurements_by_size(by_size, sequential, sizes)]
 
@@ -310,10 +312,10 @@
 def _measure_virtual_time(sizes: Sizes, progress: Callable[[str], None]) -> list[Measurement]:
     by_count = [Point(entries, leader_bytes_sent(entries, STATE_BYTES)[1]) for entries in sizes.entries]
     by_size = []
-    for state in sizes.states:
+    for state in sizes.state_sizes:
         size, sent = leader_bytes_sent(sizes.batch, state)
         by_size.append(Point(size, sent / sizes.batch))
-        progress(f"agreement: {sent / sizes.batch:.0f} B sent an entry of {size} B, in virtual time")
+        progress(f"agreement: {sent / sizes.batch:.0f} B sent per entry of {size} B, in virtual time")
     note = (
         f"{INSTANCES} instances in virtual time, nothing lost, messages {MESSAGE_DELAY_MS[0]:g} ms under "
         f"way, writes 0.2 to 8 ms; {PENDING_NOTE}; of messages as encoded, to both others, heartbeats "
@@ -334,7 +336,7 @@
 
 def _measure_starts(sizes: Sizes, progress: Callable[[str], None]) -> Measurement:
     points = []
-    for state in sizes.tables:
+    for state in sizes.table_sizes:
         size, took = measure_start_time(state, sizes.starts)
         points.append(Point(size, took))
         progress(f"agreement: an instance starts from a table of {size} B in {took:.3f} s")
--- a/caperdeck/lab/slopes/connections.py
+++ b/caperdeck/lab/slopes/connections.py
@@ -40,7 +40,7 @@
             idle.append(Point(size, (used_idle_end - used_idle_start) / idle_span))
             end.append(Point(size, used_closed - used_idle_end))
             progress(
-                f"{size} connections: set-up {set_up[-1].cost:.3f} s, idle {idle[-1].cost:.4f} s a second, "
+                f"{size} connections: set-up {set_up[-1].cost:.3f} s, idle {idle[-1].cost:.4f} s per second, "
                 f"end {end[-1].cost:.3f} s"
             )
     node_note = "one node for all sizes; " if small else "a new node for each size; "
--- a/caperdeck/lab/slopes/deliveries.py
+++ b/caperdeck/lab/slopes/deliveries.py
@@ -111,7 +111,7 @@
     times = ", ".join(f"{name} {value * 1000:.2f} ms" for name, value in result.percentiles.items())
     state = f", void: {result.void_reason}" if result.void_reason else ", full" if result.full else ""
     return (
-        f"{result.rate:g} lines of {length} B a second: processor {result.processor_share:.3f}, "
+        f"{result.rate:g} lines of {length} B per second: processor {result.processor_share:.3f}, "
         f"{times}{state}"
     )
 
--- a/caperdeck/lab/slopes/distribution.py
+++ b/caperdeck/lab/slopes/distribution.py
@@ -31,7 +31,7 @@
 
     watches: tuple[int, ...]
     processes: int  # that share the nodes of these watches
-    documents: tuple[int, ...]
+    document_sizes: tuple[int, ...]
     watches_by_size: int  # while the size of the document is varied
     small_document: int  # while the number of watches is varied
     unwatched_s: float  # without watches, before each number of them
@@ -43,11 +43,11 @@
 
 FULL = Sizes(
     watches=(50, 100, 200, 400, 800), processes=4,
-    documents=(2000, 25_000, 50_000, 100_000, 200_000, 400_000), watches_by_size=64, small_document=2000,
+    document_sizes=(2000, 25_000, 50_000, 100_000, 200_000, 400_000), watches_by_size=64, small_document=2000,
     unwatched_s=1.5, idle_s=4.0, settle_s=1.2, versions=5, history=33,
 )  # fmt: skip
 SMALL = Sizes(
-    watches=(2, 4, 6, 8), processes=2, documents=(1000, 2000, 4000, 8000), watches_by_size=4,
+    watches=(2, 4, 6, 8), processes=2, document_sizes=(1000, 2000, 4000, 8000), watches_by_size=4,
     small_document=1000, unwatched_s=0.3, idle_s=HEARTBEAT_INTERVAL_MS / MS, settle_s=0.2, versions=2,
     history=3,
 )  # fmt: skip
@@ -218,7 +218,9 @@
             ]
             versions = _version_costs(instances, sizes, folder, progress)
             at_node = _node_version_costs(instances, sizes, progress)
-        commits = [_report(progress, commit_cost(folder / f"commit-{n}", n, sizes)) for n in sizes.documents]
+        commits = [
+            _report(progress, commit_cost(folder / f"commit-{n}", n, sizes)) for n in sizes.document_sizes
+        ]
     return [
         *_by_watches(watches, sizes), *_by_size(versions, sizes), *_by_size_at_node(at_node, sizes),
         *_by_size_at_leader(commits, sizes),
@@ -238,7 +240,9 @@
     with WatchingNodes(count, sizes.processes, instances.address, folder / "by-size") as nodes:
         time.sleep(sizes.settle_s)
         idle = idle_cost(instances, nodes, sizes.idle_s)
-        costs = [_report(progress, version_cost(instances, nodes, idle, n, sizes)) for n in sizes.documents]
+        costs = [
+            _report(progress, version_cost(instances, nodes, idle, n, sizes)) for n in sizes.document_sizes
+        ]
     instances.check()
     return costs
 
@@ -255,7 +259,7 @@
         used, passed = meter.read()
         return [
             _report(progress, node_version_cost(instances, node, used / passed, n, sizes))
-            for n in sizes.documents
+            for n in sizes.document_sizes
         ]
 
 
--- a/caperdeck/lab/slopes/membership.py
+++ b/caperdeck/lab/slopes/membership.py
@@ -75,7 +75,7 @@
             costs[members] = steady_cost(members, sizes.span_ms)
         cost = costs[members]
         progress(
-            f"membership: {members} members steady: {cost.bytes:.1f} B/s, {cost.cpu * 1e6:.1f} us/s a member"
+            f"membership: {members} members steady: {cost.bytes:.1f} B/s, {cost.cpu * 1e6:.1f} us/s each"
         )
 
     def points(field: str) -> list[Point]:
@@ -127,7 +127,7 @@
 
 def _measure_detection(sizes: tuple[int, ...], progress: Callable[[str], None]) -> Measurement:
     points = _points(
-        sizes, detection_time, progress, "a death among {members} members is known after {cost:g} s"
+        sizes, detection_time, progress, "a killed member among {members} is detected after {cost:g} s"
     )
     what = "time until a killed member is known dead by nine in ten of the living"
     return _membership_measurement(
@@ -142,7 +142,10 @@
 
 def _measure_false_deaths(sizes: tuple[int, ...], progress: Callable[[str], None]) -> Measurement:
     points = _points(
-        sizes, false_death_share, progress, "a cut among {members} members: {cost:.4f} of pairs held dead"
+        sizes,
+        false_death_share,
+        progress,
+        "a cut among {members} members: {cost:.4f} of pairs considered dead",
     )
     what = "living members held dead at the peak, in a cut of two fifths of the members for 60 s"
     return _membership_measurement(
--- a/caperdeck/lab/slopes/membership_fleet.py
+++ b/caperdeck/lab/slopes/membership_fleet.py
@@ -18,7 +18,7 @@
 
 SECOND_MS = 1000.0
 DATAGRAM_DELAY_MS = (1.0, 25.0)  # range of the uniform distribution
-MIN_TICK_INTERVAL_MS = 1.0  # between two ticks of a member, as in the production event loop
+MIN_TICK_INTERVAL_MS = 1.0  # between two ticks of a member, as enforced by the node's peer socket
 SEED_BITS = 32  # of each member's own seed
 FLEET_ID = codec.fleet_id(0, ())  # its value does not affect any cost
 CHECK_INTERVAL_MS = SECOND_MS / 2  # between two checks of a condition that is waited for
--- a/caperdeck/lab/slopes/owned_work.py
+++ b/caperdeck/lab/slopes/owned_work.py
@@ -168,7 +168,7 @@
             load = loads[count] = measure_owner(nodes, count, folder, sizes)
             progress(
                 f"owned work: {count} nodes: {load.connections:.1f} connections/s, {load.bytes:.0f} B/s, "
-                f"{load.cpu_owner * 1000:.1f} ms/s at the owner, {load.cpu_node * 1000:.2f} ms/s a node"
+                f"{load.cpu_owner * 1000:.1f} ms/s at the owner, {load.cpu_node * 1000:.2f} ms/s per node"
             )
     return _measurements(loads, sizes)
 
