--- a/caperdeck/lab/capacity/roles/configuration.py
+++ b/caperdeck/lab/capacity/roles/configuration.py
@@ -1,24 +1,22 @@
-"""Distribution of configuration: versions that instances publish, and that each node process watches for.
+"""Distribution of configuration: instances publish versions, and each node process watches for them.
 
-Carried where `serve --control` is given. In `run` it is off: a file at each node, and a SIGHUP by hand.
+It is on with `serve --control`. In `run` it is off: each node has a file, and an operator sends SIGHUP.
 """
 
 from __future__ import annotations
 
 from caperdeck.distribution.document import MAX_DOCUMENT_BYTES
-from caperdeck.distribution.publisher import BUSY_RETRY_MS, MAX_CONNECTS_PER_SECOND, CONNECT_BURST
-from caperdeck.distribution.subscriber import RECONNECT_SPREAD_MS, PUBLISHER_SILENT_MS
+from caperdeck.distribution.publisher import BUSY_RETRY_MS, CONNECT_BURST, MAX_CONNECTS_PER_SECOND
+from caperdeck.distribution.subscriber import PUBLISHER_SILENT_MS, RECONNECT_SPREAD_MS
 from caperdeck.distribution.watch_server import MAX_WATCHES
 from caperdeck.lifecycle.config import MAX_FILE_BYTES
 
 from ..figure import Figure, figure, largest
 from ..fleet import Fleet
-from ..load import MS, busy
+from ..load import MS_PER_S, on_busy_machine
 from ..needs import Need
-from ..row import Kind, Role, Row, row
+from ..row import Kind, Role, Row, make_row
 from ..versions import (
-    most_watches,
-    moved_watches,
     publish_processor,
     version_bytes,
     version_processor,
@@ -27,16 +25,18 @@
     watch_bytes,
     watch_memory,
     watch_processor,
+    watches_per_instance,
+    watches_taken_over,
 )
 
 ONE_REACTOR = 1.0
 OWN_LIMIT = "the program's own limit"
 WITHOUT_CONTROL = "in `run`, and wherever `--control` is not given"
-ZONE_WITH_ONE = "a whole zone's, where instances do not go twice round the zones"
+ZONE_WITH_ONE_INSTANCE = "a whole zone's, where instances do not go twice round the zones"
 
 
 def file_bytes(fleet: Fleet) -> Figure:
-    """Bytes of one node's whole file: its listeners, customers, known hosts and members."""
+    """Bytes of the whole configuration file of one node: listeners, customers, known hosts and members."""
     listeners = fleet.lines.at("configuration.bytes_by_listeners", fleet.assumed("listeners"))
     customers = fleet.assumed("customers") * fleet.assumed("customer_bytes")
     hosts = fleet.assumed("hosts") * fleet.assumed("host_row_bytes")
@@ -44,33 +44,33 @@
 
 
 def apply_seconds(fleet: Fleet) -> Figure:
-    """Processor seconds in which a node takes a file.
+    """Processor seconds in which a node applies a file.
 
-    The line by size is of the reading; what listeners and customers cost beyond it is added by their
-    own slopes, in which their part of the reading is counted once more.
+    The line by size covers reading the file. The further costs of listeners and customers are added from
+    their own slopes, which include their share of the reading, so that share is counted twice.
     """
     lines, listeners, customers = fleet.lines, fleet.assumed("listeners"), fleet.assumed("customers")
     return (
         lines.at("configuration.apply_by_size", file_bytes(fleet))
-        + lines.each("configuration.apply_by_listeners", listeners) * listeners
-        + lines.each("configuration.apply_by_customers", customers) * customers
+        + lines.per_unit("configuration.apply_by_listeners", listeners) * listeners
+        + lines.per_unit("configuration.apply_by_customers", customers) * customers
     )
 
 
 def file_changes(fleet: Fleet) -> Figure:
-    """Times a day that a node's file has to change: the operators' changes, and members replaced."""
+    """Changes of a node's file per day: changes by operators, and replaced members."""
     return figure(fleet.target.configuration.changes_a_day) + fleet.target.faults.machines_replaced_a_day
 
 
 def role(fleet: Fleet) -> Role:
-    parts = (_state, _at_node, _at_instance, _instance_lost, _without_control, _members)
-    return Role("Distribution of configuration", tuple(made for part in parts for made in part(fleet)))
+    sections = (_state, _at_node, _at_instance, _instance_lost, _without_control, _members)
+    return Role("Distribution of configuration", tuple(row for section in sections for row in section(fleet)))
 
 
 def _state(fleet: Fleet) -> list[Row]:
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a version's document",
@@ -79,16 +79,16 @@
             MAX_DOCUMENT_BYTES,
             OWN_LIMIT,
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "watches at one instance",
             "",
-            most_watches(fleet),
+            watches_per_instance(fleet),
             MAX_WATCHES,
-            f"{ZONE_WITH_ONE}; {OWN_LIMIT}",
+            f"{ZONE_WITH_ONE_INSTANCE}; {OWN_LIMIT}",
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "versions taken over the fleet, a second at the peak",
@@ -99,43 +99,43 @@
 
 
 def _at_node(fleet: Fleet) -> list[Row]:
-    need, share, rate = Need.CONFIGURATION, fleet.control, version_rate(fleet)
+    need, share, rate = Need.CONFIGURATION, fleet.control_budget, version_rate(fleet)
     watch, version = watch_processor(fleet), version_processor(fleet)
     return [
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "the watch at one process, share of a core",
             "",
             watch,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one process at the mean, share of a core",
             "",
             version * rate.mean,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one process at the peak, share of a core",
             "",
             version * rate.peak,
-            share.core_part,
+            share.core_share,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "one version until it is in force at a process",
             "s",
-            busy(fleet.target, version),
-            fleet.delay_bound,
+            on_busy_machine(fleet.target, version),
+            fleet.delay_bound_s,
             "all threads, one after the other: the reactor serves nobody for most of it",
         ),
-        row(
+        make_row(
             need,
             Kind.MEMORY,
             "the watch and the version in force at one process",
@@ -143,7 +143,7 @@
             watch_memory(fleet),
             share.memory,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes of the watch at one process",
@@ -151,7 +151,7 @@
             watch_bytes(fleet),
             share.bytes_per_second,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes of versions to one process at the mean",
@@ -167,16 +167,20 @@
     need, rate = Need.CONFIGURATION, version_rate(fleet)
     size, publish = version_bytes(fleet), publish_processor(fleet)
     committed = fleet.lines.at("raft.commit_time_by_size", size)
-    in_force = committed + busy(fleet.target, publish) + busy(fleet.target, version_processor(fleet))
+    in_force = (
+        committed
+        + on_busy_machine(fleet.target, publish)
+        + on_busy_machine(fleet.target, version_processor(fleet))
+    )
     return [
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a version to all that watch at one instance, a core's time",
             "s",
             publish,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "versions at one instance at the peak, share of a core",
@@ -184,14 +188,14 @@
             publish * rate.peak,
             ONE_REACTOR,
         ),
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "bytes that one instance sends for a version",
             "B",
-            version_traffic(fleet) * most_watches(fleet),
+            version_traffic(fleet) * watches_per_instance(fleet),
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "a version from its proposal until it is in force at all nodes, no fault",
@@ -204,43 +208,43 @@
 
 
 def _instance_lost(fleet: Fleet) -> list[Row]:
-    """A control machine that falls silent, the only one of its zone."""
-    need, moved = Need.CONFIGURATION, moved_watches(fleet)
-    most = most_watches(fleet)
-    subscriptions = fleet.lines.each("distribution.subscribe_cpu", moved) * moved
-    refill = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
-    tried = largest([figure(RECONNECT_SPREAD_MS / MS), refill])
+    """The only control machine of a zone falls silent."""
+    need, moved = Need.CONFIGURATION, watches_taken_over(fleet)
+    watches = watches_per_instance(fleet)
+    subscriptions = fleet.lines.per_unit("distribution.subscribe_cpu", moved) * moved
+    paced_s = (moved - CONNECT_BURST) / MAX_CONNECTS_PER_SECOND
+    reconnect_s = largest([figure(RECONNECT_SPREAD_MS / MS_PER_S), paced_s])
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches that move",
             "",
-            most,
-            note=ZONE_WITH_ONE,
+            watches,
+            note=ZONE_WITH_ONE_INSTANCE,
         ),
-        row(
+        make_row(
             need,
             Kind.STATE,
             "a control machine lost: watches at one of its region's others",
             "",
-            most + moved,
+            watches + moved,
             MAX_WATCHES,
             OWN_LIMIT,
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a control machine lost: watches taken up at one of these, a core's time, busy machine",
             "s",
-            busy(fleet.target, subscriptions),
+            on_busy_machine(fleet.target, subscriptions),
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "a control machine lost: until all its nodes watch elsewhere",
             "s",
-            PUBLISHER_SILENT_MS / MS + tried + BUSY_RETRY_MS / MS,
+            PUBLISHER_SILENT_MS / MS_PER_S + reconnect_s + BUSY_RETRY_MS / MS_PER_S,
             fleet.target.configuration.within,
             "from the program's bounds: silence, tries spread or connects paced, one refusal with a wait",
         ),
@@ -250,7 +254,7 @@
 def _without_control(fleet: Fleet) -> list[Row]:
     need = Need.CONFIGURATION
     return [
-        row(
+        make_row(
             need,
             Kind.STATE,
             "bytes of one node's file",
@@ -259,16 +263,16 @@
             MAX_FILE_BYTES,
             f"{WITHOUT_CONTROL}; {OWN_LIMIT}",
         ),
-        row(
+        make_row(
             need,
             Kind.PROCESSOR,
             "a file taken: nothing else runs in the reactor so long",
             "s",
-            busy(fleet.target, apply_seconds(fleet)),
-            fleet.delay_bound,
+            on_busy_machine(fleet.target, apply_seconds(fleet)),
+            fleet.delay_bound_s,
             WITHOUT_CONTROL,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one change by hand, one node after another",
@@ -280,17 +284,17 @@
 
 
 def _members(fleet: Fleet) -> list[Row]:
-    """A version may not set who is a member."""
+    """The list of members, which a version may not set."""
     need = Need.MEMBER_LIST
     return [
-        row(
+        make_row(
             need,
             Kind.MESSAGES,
             "files changed by replaced machines, a day, over the fleet",
             "",
             fleet.members * fleet.target.faults.machines_replaced_a_day,
         ),
-        row(
+        make_row(
             need,
             Kind.TIME,
             "one replaced machine by hand at all others",
