--- a/caperdeck/lab/capacity/command.py
+++ b/caperdeck/lab/capacity/command.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from caperdeck.lab.slopes.record import RecordError, read
+from caperdeck.lab.slopes.record import RecordError, read_record
 
 from . import page, tables
 from .report import make_report
@@ -26,7 +26,7 @@
     Raises CapacityError for files with invalid content and OSError for files that cannot be opened.
     """
     try:
-        report = make_report(load(target), read(slopes))
+        report = make_report(load(target), read_record(slopes))
         text = tables.markdown(report)
         page_text = page.replace_generated_part_of_file(page_path, text) if page_path else ""
     except (TargetError, RecordError, page.PageError) as error:
--- a/caperdeck/lab/links.py
+++ b/caperdeck/lab/links.py
@@ -46,6 +46,7 @@
         return super().between(span) if span[1] > span[0] else span[0]
 
     def link_faults(self, a: str, b: str) -> LinkFaults:
+        """The faults of a link, which callers may change."""
         return self.active_faults.setdefault((a, b), LinkFaults())
 
     def is_cut(self, a: str, b: str) -> bool:
@@ -57,6 +58,7 @@
         return not self.is_cut(a, b) and not self.is_cut(b, a)
 
     def cut(self, a: str, b: str, on: bool) -> None:
+        """Adds or removes one cut of a link, which is whole again once all its cuts are removed."""
         self.link_faults(a, b).cut += 1 if on else -1
         if not self.is_cut(a, b):
             for pipe in list(self.pipes.get((a, b), ())):
@@ -129,7 +131,7 @@
             self._schedule(self.seconds() * 1000.0)
 
     def link_healed(self) -> None:
-        """Delivers the items held during a cut, after the time that a retransmission takes."""
+        """Schedules the items held during a cut, as late as their next retransmission would be."""
         if self.scheduled is None and self.queue:
             now = self.seconds() * 1000.0
             late = now + HEAL_DELAY_MS * (1 + self.links.chance())
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -23,7 +23,7 @@
 from caperdeck.lab.capacity.target import TargetError, load
 from caperdeck.lab.capacity.text import format_amount, format_bound_ratio
 from caperdeck.lab.slopes.line import Point
-from caperdeck.lab.slopes.record import Source, measurement, read, record, write
+from caperdeck.lab.slopes.record import Source, make_measurement, read_record, make_record, write_record
 
 ROOT = Path(__file__).resolve().parents[1]
 TARGET = ROOT / "docs/capacity/target.toml"
@@ -42,12 +42,12 @@
 @cache
 def line(name, fixed, slope, sizes=SIZES):
     points = [Point(size, fixed + slope * size) for size in sizes]
-    return measurement(name, "invented", "unit", "size", Source.VIRTUAL_TIME, points)
+    return make_measurement(name, "invented", "unit", "size", Source.VIRTUAL_TIME, points)
 
 
 def invented_record(without=(), **costs):
     lines = INVENTED_COSTS | {name.replace("__", "."): cost for name, cost in costs.items()}
-    return record([line(n, *lines.get(n, (0, 1e-6))) for n in MEASUREMENT_NAMES if n not in without])
+    return make_record([line(n, *lines.get(n, (0, 1e-6))) for n in MEASUREMENT_NAMES if n not in without])
 
 
 def target(**changes):
@@ -108,8 +108,8 @@
     measurements = invented_record(node__tick=(-1.0, 1e-4))
     assert Fleet(target(), measurements).lines.at("node.tick", 10).value == 0.0
     points = [Point(size, cost) for size, cost in zip(SIZES, (0.0, 9.0, 1.0, 8.0), strict=True)]
-    bent = measurement("node.tick", "", "s", "hosts", Source.PROCESSES, points)
-    fleet = Fleet(target(), record([bent]))
+    bent = make_measurement("node.tick", "", "s", "hosts", Source.PROCESSES, points)
+    fleet = Fleet(target(), make_record([bent]))
     assert (fleet.lines.at("node.tick", 10) + 1).nonlinear == {"node.tick"}
 
 
@@ -175,9 +175,9 @@
 
 def record_with_delays(costs, sizes=SIZES):
     points = [Point(size, cost) for size, cost in zip(sizes, costs, strict=True)]
-    slow = measurement("node.delivery_p99_100", "", "s", "lines", Source.PROCESSES, points)
+    slow = make_measurement("node.delivery_p99_100", "", "s", "lines", Source.PROCESSES, points)
     others = [measured for measured in invented_record().measurements if measured.name != slow.name]
-    return record([*others, slow])
+    return make_record([*others, slow])
 
 
 def test_number_of_processes_from_the_highest_measured_rate_within_the_delay_bound():
@@ -368,7 +368,7 @@
 
 
 def test_without_measurements_only_figures_that_need_no_line_have_a_value():
-    report = make_report(target(), record([]))
+    report = make_report(target(), make_record([]))
     assert report.missing == MEASUREMENT_NAMES and report.sizing.processes.value is None
     assert (
         find(report, "memory").amount.value is None and find(report, "shards of one host").amount.value == 100
@@ -381,7 +381,7 @@
         msgspec.structs.replace(measured, note="small sizes; x")
         for measured in invented_record().measurements
     ]
-    assert "the figures say nothing" in tables.markdown(make_report(target(), record(small)))
+    assert "the figures say nothing" in tables.markdown(make_report(target(), make_record(small)))
     assert "the figures say nothing" not in tables.markdown(make_report(target(), invented_record()))
 
 
@@ -478,7 +478,7 @@
     with pytest.raises(TargetError, match=reason) as error:
         load(path)
     assert str(error.value).startswith(f"{path}: ") and "\n" not in str(error.value)
-    write(tmp_path / "slopes.json", invented_record())
+    write_record(tmp_path / "slopes.json", invented_record())
     out = tmp_path / "out.json"
     assert main(command(tmp_path / "slopes.json", path, "--json", out)) == 2
     printed = capsys.readouterr()
@@ -501,7 +501,7 @@
 
 
 def test_missing_target_prints_one_line(tmp_path, capsys):
-    write(tmp_path / "slopes.json", invented_record())
+    write_record(tmp_path / "slopes.json", invented_record())
     assert main(command(tmp_path / "slopes.json", tmp_path / "none.toml")) == 2
     assert "none.toml: No such file" in capsys.readouterr().err
 
@@ -511,7 +511,7 @@
     ["", page.BEGIN, page.END + page.BEGIN, page.BEGIN + page.END + page.END, page.BEGIN * 2 + page.END],
 )
 def test_page_without_both_marks_is_not_changed(tmp_path, capsys, text):
-    write(tmp_path / "slopes.json", invented_record())
+    write_record(tmp_path / "slopes.json", invented_record())
     file = tmp_path / "page.md"
     file.write_text(text)
     assert main(command(tmp_path / "slopes.json", TARGET, "--page", file)) == 2
@@ -522,7 +522,7 @@
 
 
 def test_command_writes_page_and_json(tmp_path, capsys):
-    write(tmp_path / "slopes.json", invented_record())
+    write_record(tmp_path / "slopes.json", invented_record())
     file, out = tmp_path / "page.md", tmp_path / "out.json"
     file.write_text(f"before\n{page.BEGIN}\nold\n{page.END}\nafter\n")
     arguments = command(tmp_path / "slopes.json", TARGET, "--page", file, "--json", out)
@@ -536,14 +536,18 @@
 
 
 def test_missing_measurements_are_printed_and_exit_with_1(tmp_path, capsys):
-    write(tmp_path / "slopes.json", invented_record(without=("peers.cpu", "raft.commit_cpu")))
+    write_record(tmp_path / "slopes.json", invented_record(without=("peers.cpu", "raft.commit_cpu")))
     assert main(command(tmp_path / "slopes.json", TARGET)) == 1
     assert capsys.readouterr().err == "not measured: peers.cpu, raft.commit_cpu\n"
 
 
 def generated():
     """The generated part of the page for the files in the repository."""
-    return tables.markdown(make_report(load(str(TARGET)), read(SLOPES))) if SLOPES.exists() else page.MISSING
+    return (
+        tables.markdown(make_report(load(str(TARGET)), read_record(SLOPES)))
+        if SLOPES.exists()
+        else page.MISSING
+    )
 
 
 def test_page_matches_slopes_and_target_of_the_repository():
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -1,4 +1,4 @@
-"""Fleets that share, in virtual time: rules hold, nothing is lost against equal shares, faults are caught."""
+"""Fleets in virtual time whose nodes share state: the rules hold, and the checks detect a faulty division."""
 
 import msgspec
 import pytest
@@ -10,35 +10,37 @@
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.gossip.sharing import Sharing, SharingFeatures
 
-ALL = list(SharingFeatures._fields)
+ALL_FEATURES = list(SharingFeatures._fields)
 
 
-def sent_cold(made, seed):
-    """Sessions that cold hosts were sent, as these counted them."""
+def count_sessions_to_cold_hosts(fleet_scenario, seed):
+    """Number of sessions that cold hosts received."""
     cold, count = set(), 0
-    for e in VirtualFleet(made, seed).run():
-        if e["ev"] == "host" and e["state"] == "cold":
-            cold.add(e["to"])
-        count += e["ev"] == "sent" and e["to"] in cold
+    for event in VirtualFleet(fleet_scenario, seed).run():
+        if event["ev"] == "host" and event["state"] == "cold":
+            cold.add(event["to"])
+        count += event["ev"] == "sent" and event["to"] in cold
     return count
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("uses", [[], ALL])
-def test_the_rules_hold_for_forty_nodes_that_share_under_faults(seed, uses):
-    made = decode(FORTY | {"sharing": uses})
-    assert [b.line() for b in judge(made, VirtualFleet(made, seed).run())] == []
+@pytest.mark.parametrize("features", [[], ALL_FEATURES])
+def test_the_rules_hold_for_forty_nodes_that_share_under_faults(seed, features):
+    fleet_scenario = decode(FORTY | {"sharing": features})
+    assert [breach.line() for breach in judge(fleet_scenario, VirtualFleet(fleet_scenario, seed).run())] == []
 
 
-def test_cold_hosts_get_no_less_than_by_equal_shares():
-    """Half of the links between the nodes are dead or open one way, and loans are lost on their way."""
-    made = scenario("shared8")
-    alone = msgspec.structs.replace(made, sharing=None)
+def test_cold_hosts_get_at_least_nearly_as_much_as_with_equal_shares():
+    """Quota transfers are lost because half of the links between nodes are cut in one or both directions."""
+    fleet_scenario = scenario("shared8")
+    without_sharing = msgspec.structs.replace(fleet_scenario, sharing=None)
     seeds = range(1, 5)
-    assert sum(sent_cold(made, s) for s in seeds) > 0.9 * sum(sent_cold(alone, s) for s in seeds)
+    assert sum(count_sessions_to_cold_hosts(fleet_scenario, seed) for seed in seeds) > 0.9 * sum(
+        count_sessions_to_cold_hosts(without_sharing, seed) for seed in seeds
+    )
 
 
-APART = {
+CUT_NODES = {
     "name": "apart", "seconds": 9, "nodes": 40, "sharing": ["cold"],
     "hosts": {"count": 4, "cores": 2}, "clients": {"rate": 60.0, "life": [8.0, 9.0], "load": [100.0, 200.0]},
     "fault": [
@@ -48,24 +50,26 @@
 }  # fmt: skip
 
 
-def test_a_fleet_that_divides_by_the_living_pushes_cold_hosts_over(monkeypatch):
-    """Cut in forty parts, each node takes itself for the whole fleet."""
-    made = decode(APART)
-    assert broken(made) == set()
-    tick, part = Sharing.tick, Node.warm_host_share
+def test_a_fleet_that_divides_by_live_nodes_overloads_cold_hosts(monkeypatch):
+    """Forty nodes that are cut off from each other each take themselves for the whole fleet."""
+    fleet_scenario = decode(CUT_NODES)
+    assert broken(fleet_scenario) == set()
+    tick, warm_host_share = Sharing.tick, Node.warm_host_share
 
     def tick_and_count(self, now):
         self.decisions.fleet_state.node.living = 1 + len(self.swim.alive())
         return tick(self, now)
 
-    def divided(self, h):
-        return part(self, h) * self.settings.nodes / getattr(self, "living", self.settings.nodes)
+    def share_of_live_nodes(self, host):
+        return (
+            warm_host_share(self, host) * self.settings.nodes / getattr(self, "living", self.settings.nodes)
+        )
 
     monkeypatch.setattr(Sharing, "tick", tick_and_count)
-    monkeypatch.setattr(Node, "warm_host_share", divided)
-    assert "cold" in broken(made)
+    monkeypatch.setattr(Node, "warm_host_share", share_of_live_nodes)
+    assert "cold" in broken(fleet_scenario)
 
 
-def test_a_use_that_is_none_is_refused():
+def test_an_unknown_sharing_feature_is_refused():
     with pytest.raises(ScenarioError, match="sharing: no use 'magic'"):
-        decode(APART | {"sharing": ["magic"]})
+        decode(CUT_NODES | {"sharing": ["magic"]})
