--- a/caperdeck/lab/census_model.py
+++ b/caperdeck/lab/census_model.py
@@ -51,6 +51,7 @@
         self.remaining = {"tick": ticks, "grant": grants, "die": deaths, "double": doubles, "late": lates}
 
     def start_node(self, name: str) -> None:
+        """Starts a new life of a node, without the state of the life before."""
         self.lives[name] += 1
         life = self.lives[name]
         # The traffic moves from node to node, so that the shares have to follow it.
@@ -138,11 +139,13 @@
         ]  # fmt: skip
 
     def double(self, index: int) -> None:
+        """Delivers a message and keeps a copy of it in flight."""
         message = self.messages[index]
         self.deliver(index)
         self.messages.append(message)
 
     def deliver(self, index: int) -> None:
+        """Delivers an action or a reply."""
         kind, i, token, name, body = self.messages.pop(index)
         owner = self.owners[i]
         if kind == "act":
--- a/caperdeck/lab/distribution/instance.py
+++ b/caperdeck/lab/distribution/instance.py
@@ -52,6 +52,7 @@
         self.world.call_later(LEARN_INTERVAL_MS, self.ask_leader)
 
     def learn(self, requested_at: float, index: int) -> None:
+        """Applies the committed entries up to an index; the version is confirmed as of the request."""
         for entry in self.world.log[self.applied : index]:
             self.machine.apply(entry)
         has_new_entries, self.applied = index > self.applied, max(index, self.applied)
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -38,6 +38,7 @@
         self.execute([])
 
     def die(self, replaced: bool) -> None:
+        """Ends the process; `replaced` also deletes its version file."""
         self.up, self.suspended = False, False
         if replaced:
             self.active_version, self.highest_revision = NO_VERSION, 0
@@ -55,6 +56,7 @@
             self.execute(self.subscriber.lost(self.world.now, publisher))
 
     def execute(self, actions: list[Action]) -> None:
+        """Carries out the subscriber's actions and sets its timer."""
         for action in actions:
             if isinstance(action, Send):
                 self.world.send_to_publisher(self, action.publisher, action.message)
@@ -69,6 +71,7 @@
         )
 
     def apply_version(self, life: int, version: HeldVersion) -> None:
+        """Applies or refuses a version, unless the node has restarted since it arrived."""
         if life != self.life:
             return
         if version.document.get("refused") and self.number % 2:
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -69,6 +69,7 @@
     # ---- commits
 
     def is_connected(self, a: Instance, b: Instance) -> bool:
+        """Whether two instances can reach each other."""
         is_separated = self.cut and a.place.region != b.place.region
         return a is b or not (is_separated or a.isolated or b.isolated)
 
@@ -79,6 +80,7 @@
         return instance.runs and reachable > len(self.instances) // 2
 
     def check_leader(self) -> None:
+        """Deposes a leader that has lost its quorum and schedules an election."""
         if self.leader is not None and not self.has_quorum(self.leader):
             self.leader = None
             self.call_later(ELECTION_MS, self.elect)
@@ -109,6 +111,7 @@
                     self.call_later(self.latency(), self.commit, number, self.term, entry)
 
     def next_document(self, change: Publish) -> dict[str, Any]:
+        """The newest document with random changes, and the mark for refusal if the change asks for it."""
         document = orjson.loads(orjson.dumps(self.committed_table.document))
         document["count"] = self.random.random()
         group = document.setdefault(f"group{self.random.randrange(4)}", {})
@@ -121,6 +124,7 @@
         return document
 
     def commit(self, leader: int, term: int, entry: Entry) -> None:
+        """Commits an entry, unless its leader has lost its quorum or its term in the meantime."""
         self.check_leader()
         if (self.leader, self.term) != (leader, term):
             return  # the entry was lost with its leader
@@ -135,6 +139,7 @@
         return self.random.uniform(*LATENCY_MS)
 
     def is_linked(self, node: Node, instance: Instance) -> bool:
+        """Whether a node can reach an instance."""
         return not (self.cut and node.place.region != instance.place.region)
 
     def deliver(self, a: str, b: str, function: Callable, *args: Any) -> None:
@@ -178,6 +183,7 @@
     # ---- faults
 
     def inject_fault(self, fault: Fault) -> None:
+        """Starts a fault and schedules its end."""
         instance = self.instances[fault.of]
         match fault.do:
             case "kill" if instance.up:
--- a/caperdeck/lab/distribution/world.py
+++ b/caperdeck/lab/distribution/world.py
@@ -58,6 +58,7 @@
             self.breach("whole", f"{name} has a document of its own as {revision}")
 
     def check(self) -> None:
+        """Checks the properties that hold at any time; is called at a fixed interval."""
         self.check_leader()
         current = [instance for i, instance in enumerate(self.instances) if self.has_quorum(i)]
         for node in self.nodes:
@@ -68,6 +69,7 @@
         self.call_later(CHECK_INTERVAL_MS, self.check)
 
     def check_propagation(self, node: Node, current: list[Instance]) -> None:
+        """Checks that a node that could reach an instance for long enough has the newest version."""
         for instance in self.instances:
             link = node.number, instance.number
             if instance in current and node.runs and not self.torment and self.is_linked(node, instance):
@@ -82,6 +84,7 @@
             self.breach("in-force", f"{node.place.name} has {node.active_version.revision}, not {wanted}")
 
     def newest_revision_at(self, time: float) -> int:
+        """The newest revision that was committed by that time; 0 for none."""
         return max((revision for revision, (_, at) in self.committed.items() if at <= time), default=0)
 
     def check_current(self, node: Node) -> None:
@@ -94,6 +97,7 @@
                 )
 
     def check_status(self) -> None:
+        """Checks the statuses of all publishers against what nodes have reported."""
         statuses = [i.publisher.status(self.now) for i in self.instances if i.runs]
         for status in statuses:
             for row in status.rows:
@@ -108,6 +112,7 @@
             self.check_summary(statuses)
 
     def check_summary(self, statuses: list[Any]) -> None:
+        """Checks the combined status that operators see."""
         summary = summarise(statuses, self.node_by_name)
         reported_revisions = {(node, state[0]) for (node, _), state in self.reported_states.items()}
         for name in summary.up_to_date:
--- a/caperdeck/lab/events.py
+++ b/caperdeck/lab/events.py
@@ -19,6 +19,7 @@
         heapq.heappush(self.heap, (self.now + delay_ms, self.sequence, function, args))
 
     def run(self, duration_ms: float) -> None:
+        """Runs the calls of the next `duration_ms` and advances the time by it."""
         until = self.now + duration_ms
         while self.heap and self.heap[0][0] <= until:
             self.now, _, function, args = heapq.heappop(self.heap)
--- a/caperdeck/lab/lease_model.py
+++ b/caperdeck/lab/lease_model.py
@@ -62,6 +62,7 @@
         return copy.deepcopy(self)
 
     def now(self, i: int) -> float:
+        """Time of the clock of a holder (0 or 1) or of the expiry monitor (2)."""
         return self.time * self.rates[i]
 
     def choices(self) -> list[tuple]:
@@ -101,10 +102,12 @@
         self.checked_tokens[i] = self.holders[i].token
 
     def act(self, i: int) -> None:
+        """Sends the action for which a holder has checked its lease."""
         self.messages.append(("act", i, self.checked_tokens[i], 0.0))
         self.checked_tokens[i] = 0
 
     def deliver(self, position: int) -> None:
+        """Delivers a request, an answer or an action."""
         kind, i, payload, requested_at = self.messages.pop(position)
         if kind == "ask":
             answer = self.table.apply(payload)
--- a/caperdeck/lab/links.py
+++ b/caperdeck/lab/links.py
@@ -43,6 +43,7 @@
         self.dropped = 0
 
     def between(self, span: tuple[float, float]) -> float:
+        """Draws a delay from a range; one of equal bounds takes no draw."""
         return super().between(span) if span[1] > span[0] else span[0]
 
     def link_faults(self, a: str, b: str) -> LinkFaults:
@@ -109,6 +110,7 @@
         links.pipes.setdefault((a, b), {})[self] = None
 
     def put(self, item: Any) -> None:
+        """Queues an item for delivery; items beyond the limit are dropped."""
         if len(self.queue) >= MAX_QUEUED_ITEMS:
             self.links.dropped += 1
             return
--- a/caperdeck/lab/owned_work.py
+++ b/caperdeck/lab/owned_work.py
@@ -79,6 +79,7 @@
             self.breach("census", f"shares add up to {total:.4f}", event)
 
     def on_life(self, event: Event) -> None:
+        """Forgets what a node that ended was told; the next life starts with the floor share."""
         if event["state"] in ("killed", "exit"):
             # A restarted node uses the floor share until it is assigned more.
             (
--- a/caperdeck/lab/propagation/command.py
+++ b/caperdeck/lab/propagation/command.py
@@ -52,6 +52,7 @@
 
 
 def parse_faults(text: str | None) -> tuple[str, ...]:
+    """Parses the list of faults; raises ScenarioError."""
     faults = tuple(text.split(",")) if text else ()
     if len(set(faults)) < len(faults):
         raise ScenarioError(f"--faults: {text:.50} has one twice")
@@ -61,6 +62,7 @@
 
 
 def summary_lines(result: Result) -> list[str]:
+    """The lines that are printed for a result."""
     output = [
         f"{result.nodes} nodes in {result.processes} processes, {result.instances} instances, "
         f"a document of {result.document_bytes} bytes; all current {result.start_s:.1f} s after the start"
--- a/caperdeck/lab/propagation/faults.py
+++ b/caperdeck/lab/propagation/faults.py
@@ -18,9 +18,7 @@
 STOP_DURATION_S = 10.0
 SETTLE_S = 3.0  # from the end of a fault to the next one
 CUT_DURATION_S = 60.0
-STALE_VISIBLE_AFTER_S = (
-    13.0  # after this time of a cut nodes are stale and their earlier reports have expired
-)
+STALE_VISIBLE_AFTER_S = 13.0  # time after which nodes are stale and their earlier reports have expired
 CHANGES_IN_CUT = 2
 CROWD_SHARE = 0.7  # share of the processes of nodes that are restarted at once
 REFUSAL_REASON_PREFIX = "settings.listeners: "
@@ -126,6 +124,7 @@
 
 
 async def observe_cut(run: PropagationRun, majority_nodes: list[str], cut_off_nodes: list[str]) -> None:
+    """Records what nodes and the status in each region report during a cut."""
     uncurrent, stale = run.uncurrent(), run.stale()
     majority_status, cut_off_status = await asyncio.gather(
         run.read_status(majority_nodes), run.read_status(region=SOUTH)
--- a/caperdeck/lab/propagation/measured.py
+++ b/caperdeck/lab/propagation/measured.py
@@ -67,6 +67,7 @@
 
     @property
     def counted_from(self) -> float:
+        """Start of the measured time, in ms of the shared clock."""
         return self.published.asked if self.since is None else self.since
 
 
--- a/caperdeck/lab/propagation/run.py
+++ b/caperdeck/lab/propagation/run.py
@@ -98,6 +98,7 @@
         self.cpu, self.began = run.instances_cpu(), time.monotonic()
 
     def end(self, name: str) -> None:
+        """Adds the costs since the start of the span to the measurements."""
         run, measured, count = self.run, self.run.measured, self.run.settings.nodes
         cpu = bytes_per_second = seconds = 0.0
         for (at, before), child in zip(self.nodes, run.children, strict=True):
@@ -115,6 +116,7 @@
 
 
 def stream_bytes(report: Report) -> int:
+    """Payload of streams in both directions."""
     return report.traffic.stream_bytes_in + report.traffic.stream_bytes_out
 
 
@@ -257,6 +259,7 @@
         return [place.name for place in self.places if place.region == region]
 
     async def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Polls a condition; returns False after the time limit, raises VoidError if a process ended."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if condition():
--- a/caperdeck/lab/raft_simulation.py
+++ b/caperdeck/lab/raft_simulation.py
@@ -76,9 +76,11 @@
         return self.driver.machine.machine.values
 
     def now(self) -> float:
+        """Time of the instance's own clock, in milliseconds."""
         return self.world.now * self.rate
 
     def start(self) -> None:
+        """Starts a new life from what is on disk."""
         disk, self.life = self.world.disks[self.me], self.life + 1
         log = Log(disk.log.snapshot, disk.log.entries)
         seed = self.world.seed * 101 + self.me * 13 + self.life
@@ -107,6 +109,7 @@
         self.world.call_later(delay_ms, self.tick, life)
 
     def write(self, save: Save, on_done: Callable[[], None]) -> None:
+        """Starts a write, which completes after a random time."""
         self.world.call_later(
             self.world.rng.uniform(*WRITE_DELAY_MS), self.write_completed, save, on_done, self.life
         )
@@ -150,6 +153,7 @@
     # ---- network and processes
 
     def send(self, source: int, target: int, message: Any) -> None:
+        """Sends a message, which may be lost, duplicated or delayed."""
         if (source, target) in self.cut_links or self.rng.random() < self.loss:
             return
         for _ in range(1 + (self.rng.random() < self.duplication)):
@@ -163,6 +167,7 @@
         return self.rng.random() < self.crash_rate
 
     def crash(self, i: int) -> None:
+        """Crashes an instance, which restarts after a random time."""
         if self.instances[i].up:
             self.instances[i].crash()
             self.call_later(self.rng.uniform(50, 900), self.start, i)
@@ -179,6 +184,7 @@
     # ---- safety properties
 
     def role_changed(self, me: int, role: Role, term: int, log: Log) -> None:
+        """Checks election safety and leader completeness when an instance becomes leader."""
         if role is not Role.LEADER:
             return
         self.election_times_ms.append(self.now)
@@ -195,6 +201,7 @@
                 )
 
     def entry_applied(self, me: int, index: int, entry: Entry) -> None:
+        """Checks state machine safety when an instance applies an entry."""
         self.applied_terms.setdefault(index, self.instances[me].raft.term)
         if self.first_applied.setdefault(index, entry) != entry:
             raise PropertyViolationError(f"state machine safety: {me} applies another entry at {index}")
@@ -215,6 +222,7 @@
                         )
 
     def leader(self) -> Instance | None:
+        """The running leader with the highest term, if there is one."""
         leaders = [i for i in self.instances if i.runs and i.raft.role is Role.LEADER]
         return max(leaders, key=lambda i: i.raft.term, default=None)
 
@@ -242,6 +250,7 @@
         self.attempt(operation, self.serial)
 
     def attempt(self, operation: dict[str, Any], serial: int) -> None:
+        """Sends an operation to a random instance, and again until it is completed."""
         if operation["ended_at"] is not None or serial != self.serial:
             return
         rng = self.world.rng
--- a/caperdeck/lab/rights_model.py
+++ b/caperdeck/lab/rights_model.py
@@ -125,10 +125,12 @@
         self.time += ACCRUAL_PERIOD_MS
 
     def ask(self, i: int, j: int) -> None:
+        """Node i requests quota from node j."""
         node = self.nodes[i]
         self.messages += (("ask", i, j, node.life, node.transfers.request(self.now(i), j), 0, ()),)
 
     def die(self, i: int) -> None:
+        """Restarts a node without its state."""
         self.nodes[i] = type(self.nodes[i])(i, self.now(i), self.nodes[i].life + 1)
 
     def sleep(self, i: int) -> None:
@@ -138,10 +140,12 @@
         self.nodes[i].awake = True
 
     def double(self, message: tuple) -> None:
+        """Delivers a message and keeps a copy of it in flight."""
         self.messages += (message,)
         self.deliver(message)
 
     def deliver(self, message: tuple) -> None:
+        """Delivers a request or a transfer of quota."""
         position = self.messages.index(message)
         self.messages = self.messages[:position] + self.messages[position + 1 :]
         kind, source, target, life, nonce, amount, quota_units = message
@@ -166,6 +170,7 @@
         node.borrowed_units += tuple((unit, until) for unit in quota_units)
 
     def accrue(self, node: NodeModel) -> None:
+        """Accrues the quota of a node and checks that it has not accrued more than its share."""
         i, now = node.me, self.now(node.me)
         live_nodes = sum(other.awake for other in self.nodes)
         rate = NODES / ACCRUAL_PERIOD_MS * node.quota_share(live_nodes)
@@ -183,6 +188,7 @@
             raise PropertyViolationError(f"node {i} has accrued {self.accrued_units[i]} by {self.time}")
 
     def spend(self, i: int) -> None:
+        """Spends all quota of a node and checks each unit that it spends."""
         node, now = self.nodes[i], self.now(i)
         self.accrue(node)
         available = node.quotas.available(now, 0)
--- a/caperdeck/lab/sharing_network.py
+++ b/caperdeck/lab/sharing_network.py
@@ -94,9 +94,11 @@
             self.start(i)
 
     def clock(self, i: int) -> float:
+        """Time of a member's own clock, in milliseconds."""
         return 1e6 + self.now * self.clock_rates[i]
 
     def start(self, i: int) -> None:
+        """Starts a new life of a member."""
         self.lives[i] += 1
         stub = self.stubs[i] = StubDecisions()
         stub.quotas.add_budget(self.clock(i), 0)
@@ -127,6 +129,7 @@
         self.call_later(max((node.due - self.clock(i)) / self.clock_rates[i], 1.0), self.tick, i, life)
 
     def send(self, i: int, sends: list[tuple[int, bytes]]) -> None:
+        """Sends datagrams of a member; a negative receiver stands for all other members."""
         others = [j for j in range(self.members) if j != i]
         addressed = [(j, data) for receiver, data in sends for j in ([receiver] if receiver >= 0 else others)]
         for receiver, data in addressed:
--- a/caperdeck/lab/simulated/clock.py
+++ b/caperdeck/lab/simulated/clock.py
@@ -39,6 +39,7 @@
         return call
 
     def schedule(self, delay: float, f: Callable, *args: Any) -> FixedCall:
+        """Schedules a call that can be cancelled but not rescheduled."""
         call = FixedCall(f, args)
         self.count += 1
         heapq.heappush(self.heap, (self.rightNow + delay, self.count, call))
--- a/caperdeck/lab/simulated/port.py
+++ b/caperdeck/lab/simulated/port.py
@@ -56,6 +56,7 @@
         return -1
 
     def accept(self, end: Transport) -> None:
+        """Takes a new connection, or queues it while reading is stopped."""
         if not self.reading:
             self.queue.append(end)
             return
--- a/caperdeck/lab/simulated/process.py
+++ b/caperdeck/lab/simulated/process.py
@@ -64,6 +64,7 @@
     # ---- time
 
     def seconds(self) -> float:
+        """Time of the process's own clock."""
         return self.world.clock.rightNow * self.rate + self.offset
 
     def callLater(self, delay: float, f: Callable, *args: Any, **kw: Any) -> DelayedCall:
--- a/caperdeck/lab/simulated/socket.py
+++ b/caperdeck/lab/simulated/socket.py
@@ -29,6 +29,7 @@
         self.process.ports.pop(self, None)
 
     def write(self, data: bytes, address: Address) -> None:
+        """Sends a datagram to an address, or to all members of a broadcast address but itself."""
         world = self.process.world
         for to in world.broadcast_members.get(address, [address]):
             if to == self.address:
--- a/caperdeck/lab/simulated/transport.py
+++ b/caperdeck/lab/simulated/transport.py
@@ -29,6 +29,7 @@
     def pair(
         cls, near: SimulatedProcess, far: SimulatedProcess, address: Address
     ) -> tuple[Transport, Transport]:
+        """Creates both ends; ends of nodes towards hosts and discovery record their events."""
         a, b = cls(near, far, address), cls(far, near, address)
         a.peer, b.peer = b, a
         kind = {"h": "host", "d": "list"}.get(far.name[0]) if near.name[0] == "n" else None
@@ -117,6 +118,7 @@
     # ---- input
 
     def attach_protocol(self, protocol: Any) -> None:
+        """Connects the protocol and gives it what has arrived before."""
         self.protocol = protocol
         protocol.makeConnection(self)
         unread, self.unread = self.unread, []
--- a/caperdeck/lab/simulated/world.py
+++ b/caperdeck/lab/simulated/world.py
@@ -27,5 +27,6 @@
         self.last_port = 20000
 
     def next_port(self) -> int:
+        """Returns an unused port number."""
         self.last_port += 1
         return self.last_port
