--- a/caperdeck/lab/cli.py
+++ b/caperdeck/lab/cli.py
@@ -10,7 +10,7 @@
 from .figures import figures
 from .figures import lines as figure_lines
 from .history import Event, read, write
-from .oracle import SAME_TURN, Breach, judge
+from .oracle import REORDER_WINDOW_MS, Breach, find_breaches
 from .owned_work import CHECKS
 from .scenario import Scenario, ScenarioError, load
 
@@ -25,7 +25,7 @@
     raise InterruptedRunError
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     print(text, flush=True)
 
 
@@ -44,10 +44,10 @@
 def write_page(path: str, page: str) -> None:
     with open(path, "w", encoding="utf-8") as file:
         file.write(page)
-    say(f"written: {path}")
+    print_line(f"written: {path}")
 
 
-def number(text: str | None, name: str, least: int, most: int, default: int) -> int:
+def parse_whole_number(text: str | None, name: str, least: int, most: int, default: int) -> int:
     if text is None:
         return default
     if not text.isdigit() or not least <= int(text) <= most:
@@ -64,42 +64,47 @@
 
         fleet = VirtualFleet(scenario, seed, watch=watch)
         events = fleet.run()
-        fleet_of = f"{fleet.length:.1f} s of {scenario.nodes} nodes"
-        say(f"simulated: {fleet_of} in {fleet.took:.1f} s, seed {fleet.seed}")
+        fleet_of = f"{fleet.duration_s:.1f} s of {scenario.nodes} nodes"
+        print_line(f"simulated: {fleet_of} in {fleet.wall_seconds:.1f} s, seed {fleet.seed}")
         return events, 0.0
     from .real import RealFleet
 
     fleet = RealFleet(scenario, seed, watch, logs)
     events = fleet.run()
-    say(f"real: {scenario.nodes} processes, seed {fleet.seed}, the relay carries {fleet.per_s:.0f} a second")
-    return events, fleet.late
+    print_line(
+        f"real: {scenario.nodes} processes, seed {fleet.seed}, "
+        f"the relay carries {fleet.relay_rate_per_s:.0f} a second"
+    )
+    return events, fleet.max_late_ms
 
 
-def verdict(scenario: Scenario, events: list[Event], virtual: bool) -> list[Breach]:
-    return judge(scenario, events, CHECKS if scenario.owners else (), 0.0 if virtual else SAME_TURN)
+def check_history(scenario: Scenario, events: list[Event], virtual: bool) -> list[Breach]:
+    return find_breaches(
+        scenario, events, CHECKS if scenario.owners else (), 0.0 if virtual else REORDER_WINDOW_MS
+    )
 
 
-def conclude(scenario: Scenario, events: list[Event], virtual: bool, late: float = 0.0) -> int:
+def report_outcome(scenario: Scenario, events: list[Event], virtual: bool, late: float = 0.0) -> int:
     """Says what came of a run; a breach seen while the rig itself ran late is nobody's."""
-    breaches = verdict(scenario, events, virtual)
+    breaches = check_history(scenario, events, virtual)
     for line in [*figure_lines(figures(events)), *(b.line() for b in breaches[:20])]:
-        say(line)
+        print_line(line)
     if len(breaches) > 20:
-        say(f"and {len(breaches) - 20} more")
+        print_line(f"and {len(breaches) - 20} more")
     if breaches and late > scenario.rules.slack:
-        say(f"void: a part of the rig ran {late:.0f} ms late; nothing is said about the nodes")
+        print_line(f"void: a part of the rig ran {late:.0f} ms late; nothing is said about the nodes")
         return VOID
-    say("BROKEN" if breaches else "all rules held")
+    print_line("BROKEN" if breaches else "all rules held")
     return BROKEN if breaches else HELD
 
 
 def fleet(arguments: dict[str, Any]) -> int:
     scenario = load(arguments["SCENARIO"][0])
-    seed = number(arguments["--seed"], "seed", 0, 2**31, scenario.seed)
+    seed = parse_whole_number(arguments["--seed"], "seed", 0, 2**31, scenario.seed)
     events, late = play(scenario, seed, arguments["--virtual"], arguments["--logs"])
     if arguments["--json"]:
         write(arguments["--json"], events)
-    return conclude(scenario, events, arguments["--virtual"], late)
+    return report_outcome(scenario, events, arguments["--virtual"], late)
 
 
 def search(arguments: dict[str, Any]) -> int:
@@ -107,18 +112,18 @@
     from .search import text
 
     scenario = load(arguments["SCENARIO"][0])
-    runs = number(arguments["--runs"], "runs", 1, 100_000, 100)
-    seed = number(arguments["--seed"], "seed", 0, 2**31, scenario.seed)
-    found = find_breach(scenario, runs, seed, say)
+    runs = parse_whole_number(arguments["--runs"], "runs", 1, 100_000, 100)
+    seed = parse_whole_number(arguments["--seed"], "seed", 0, 2**31, scenario.seed)
+    found = find_breach(scenario, runs, seed, print_line)
     if found is None:
-        say(f"nothing broke in {runs} schedules")
+        print_line(f"nothing broke in {runs} schedules")
         return HELD
     small, breaches = found
     out = arguments["--out"] or "found.toml"
     with open(out, "w", encoding="utf-8") as file:
         file.write(text(small))
-    say(f"smallest: {len(small.fault)} faults, {breaches[0].line()}")
-    say(f"replay it: caperdeck lab fleet {out} --virtual")
+    print_line(f"smallest: {len(small.fault)} faults, {breaches[0].line()}")
+    print_line(f"replay it: caperdeck lab fleet {out} --virtual")
     return BROKEN
 
 
@@ -129,14 +134,14 @@
     from .compare import compare as measure
     from .compare import lines
 
-    pairs = number(arguments["--pairs"], "pairs", 2, MOST_PAIRS, 10)
-    seed = number(arguments["--seed"], "seed", 0, 2**31, 1)
+    pairs = parse_whole_number(arguments["--pairs"], "pairs", 2, MOST_PAIRS, 10)
+    seed = parse_whole_number(arguments["--seed"], "seed", 0, 2**31, 1)
     results = []
     for path in arguments["SCENARIO"]:
         result = measure(path, arguments["--base"] or "module", arguments["--against"], pairs, seed)
         results.append(result)
         for line in lines(result):
-            say(line)
+            print_line(line)
     if arguments["--json"]:
         with open(arguments["--json"], "wb") as file:
             file.write(msgspec.json.encode(results))
@@ -161,7 +166,7 @@
         raise ScenarioError(str(error)) from None
     scenario = load(arguments["--scenario"]) if arguments["--scenario"] else None
     unchecked = ["rules not checked: no --scenario"]
-    breaches = [b.line() for b in judge(scenario, events)] if scenario else unchecked
+    breaches = [b.line() for b in find_breaches(scenario, events)] if scenario else unchecked
     write_page(out, page(events, breaches))
     return HELD
 
@@ -171,7 +176,7 @@
     from .slopes.errors import InputError, MeasuringError
 
     try:
-        run(arguments["--out"], arguments["--only"], arguments["--small"], say, arguments["--merge"])
+        run(arguments["--out"], arguments["--only"], arguments["--small"], print_line, arguments["--merge"])
     except InputError as error:
         return refuse(error)
     except MeasuringError as error:
@@ -184,7 +189,7 @@
 
     files = (arguments[f"--{name}"] for name in ("slopes", "target", "json", "page"))
     try:
-        missing = run(*files, say)
+        missing = run(*files, print_line)
     except CapacityError as error:
         return refuse(error)
     if missing:
@@ -210,17 +215,17 @@
     from .soak import line
     from .soak import soak as play_seeds
 
-    first = number(arguments["--seed"], "seed", 0, 2**31, 1)
-    seeds = number(arguments["--runs"], "runs", 1, 10_000, 50)
-    at_once = number(arguments["--processes"], "processes", 1, 8, 2)
+    first = parse_whole_number(arguments["--seed"], "seed", 0, 2**31, 1)
+    seeds = parse_whole_number(arguments["--runs"], "runs", 1, 10_000, 50)
+    at_once = parse_whole_number(arguments["--processes"], "processes", 1, 8, 2)
     broken = voids = 0
     for result in play_seeds(
         first, seeds, at_once, Path(arguments["--logs"]) if arguments["--logs"] else None
     ):
-        say(line(result))
+        print_line(line(result))
         broken += bool(result.breaches)
         voids += bool(result.void)
-    say(f"{seeds - broken - voids} of {seeds} seeds held, {broken} broken, {voids} void")
+    print_line(f"{seeds - broken - voids} of {seeds} seeds held, {broken} broken, {voids} void")
     return BROKEN if broken else VOID if voids else HELD
 
 
@@ -233,7 +238,7 @@
     view, show = live(Console())
     with view:
         events, late = play(made, None, False, None, show)
-    return conclude(made, events, False, late)
+    return report_outcome(made, events, False, late)
 
 
 def main(arguments: dict[str, Any]) -> int:
--- a/caperdeck/lab/compare.py
+++ b/caperdeck/lab/compare.py
@@ -16,7 +16,7 @@
 from .baselines import POLICIES
 from .figures import figures
 from .history import read
-from .oracle import judge
+from .oracle import find_breaches
 from .scenario import Scenario, ScenarioError, check, load
 from .virtual import VirtualFleet
 
@@ -59,7 +59,7 @@
     scenario.subsets = way.get("subsets", scenario.subsets)
     fleet = VirtualFleet(scenario, seed, POLICIES[way["policy"]], way.get("settings"))
     events = fleet.run()
-    return figures(events), len(judge(scenario, events))
+    return figures(events), len(find_breaches(scenario, events))
 
 
 def _elsewhere(path: str, seed: int, checkout: str) -> tuple[dict[str, float], int]:
@@ -72,7 +72,7 @@
             timeout=LONGEST, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
         )  # fmt: skip
         events = read(out)
-    return figures(events), len(judge(scenario, events))
+    return figures(events), len(find_breaches(scenario, events))
 
 
 def differences(a: list[dict[str, float]], b: list[dict[str, float]]) -> dict[str, dict[str, Any]]:
--- a/caperdeck/lab/discovery.py
+++ b/caperdeck/lab/discovery.py
@@ -127,7 +127,7 @@
             for line in list(self.open):
                 line.beat()
 
-    def hush(self, silent: bool) -> None:
+    def set_silent(self, silent: bool) -> None:
         self.silent = silent
         if not silent:
             self.heard()
--- a/caperdeck/lab/disk_errors.py
+++ b/caperdeck/lab/disk_errors.py
@@ -19,7 +19,7 @@
 WRITING = frozenset("wax+")
 
 
-def fail_writes_now_and_then(path: str, folder: str, seed: int) -> None:
+def inject_write_errors(path: str, folder: str, seed: int) -> None:
     """Puts failing calls in the place of the library's, for files in the folder."""
     with open(path, "rb") as file:
         shared = mmap.mmap(file.fileno(), RATE.size, access=mmap.ACCESS_READ)
--- a/caperdeck/lab/distribution/instance.py
+++ b/caperdeck/lab/distribution/instance.py
@@ -39,14 +39,20 @@
         self.machine = Sessions(VersionTable(HISTORY))
         self.machine.load(kept)
         self.publisher = self.world.publisher_kind(self.place.name, self.table, self.world.now)
-        self.up, self.inbox = True, []
+        self.up, self.deferred_calls = True, []
 
     def ask_leader(self) -> None:
         """Reads the newest from the leader; the answer comes a little later."""
-        if self.runs:
+        if self.is_running:
             self.send(self.publisher.tick(self.world.now))
             if self.world.leader is not None and self.world.is_current(self.number):
-                self.world.at(self.world.latency(), self.act, self.learn, self.world.now, len(self.world.log))
+                self.world.at(
+                    self.world.latency(),
+                    self.call_when_running,
+                    self.learn,
+                    self.world.now,
+                    len(self.world.log),
+                )
         self.world.at(LEARN, self.ask_leader)
 
     def learn(self, asked: float, index: int) -> None:
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -26,7 +26,7 @@
         self.start()
 
     def start(self) -> None:
-        self.up, self.life, self.refusal, self.inbox = True, self.life + 1, None, []
+        self.up, self.life, self.refusal, self.deferred_calls = True, self.life + 1, None, []
         seed, first = self.number * 101 + self.life, self.life << 32
         kind = self.world.subscriber_kind
         self.subscriber = kind(self.place, list(self.world.places), self.file, first, seed, self.world.now)
@@ -55,11 +55,13 @@
                 self.world.to_publisher(self, action.publisher, action.message)
             elif isinstance(action, Apply):
                 wait = self.world.random.uniform(*APPLY)
-                self.world.at(wait, self.act, self.put_in_force, self.life, action.version)
+                self.world.at(wait, self.call_when_running, self.put_in_force, self.life, action.version)
             elif isinstance(action, Leave):
                 self.world.left(self, action.publisher)
         self.timers += 1
-        self.world.at(max(self.subscriber.due - self.world.now, 1.0), self.act, self.tick, self.timers)
+        self.world.at(
+            max(self.subscriber.due - self.world.now, 1.0), self.call_when_running, self.tick, self.timers
+        )
 
     def put_in_force(self, life: int, version: HeldVersion) -> None:
         if life != self.life:
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -71,8 +71,8 @@
     def is_current(self, number: int) -> bool:
         """The instance runs and meets a majority that runs."""
         me = self.instances[number]
-        met = sum(other.runs and self.meets(me, other) for other in self.instances)
-        return me.runs and met > len(self.instances) // 2
+        met = sum(other.is_running and self.meets(me, other) for other in self.instances)
+        return me.is_running and met > len(self.instances) // 2
 
     def check_leader(self) -> None:
         if self.leader is not None and not self.is_current(self.leader):
@@ -93,7 +93,7 @@
         self.check_leader()
         # Danger: one that led and was cut off has proposals in its log that are never committed.
         for number, instance in enumerate(self.instances):
-            if instance.runs and (number == self.leader or instance.isolated or self.cut):
+            if instance.is_running and (number == self.leader or instance.isolated or self.cut):
                 newest = instance.table.newest.revision
                 command = publish_command(instance.table, newest, self.next(change), self.term)
                 entry = Entry(self.term, Kind.COMMAND, orjson.dumps(command))
@@ -149,19 +149,29 @@
         if not self.linked(node, instance):
             return
         if not instance.up:
-            self.at(self.latency(), node.act, node.lost, node.life, name)
+            self.at(self.latency(), node.call_when_running, node.lost, node.life, name)
             return
-        self.deliver(node.place.name, name, instance.act, instance.receive, message)
+        self.deliver(node.place.name, name, instance.call_when_running, instance.receive, message)
 
     def to_node(self, number: int, name: str, message: PublisherMessage) -> None:
         node, instance = self.node_of[name], self.instances[number]
         if self.linked(node, instance):
-            self.deliver(instance.place.name, name, node.act, node.receive, instance.place.name, message)
+            self.deliver(
+                instance.place.name, name, node.call_when_running, node.receive, instance.place.name, message
+            )
 
     def left(self, node: Node, name: str) -> None:
         number, instance = self.subscriptions[node.place.name, name], self.instance_of[name]
         if self.linked(node, instance):
-            self.deliver(node.place.name, name, instance.act, self.gone, instance, node.place.name, number)
+            self.deliver(
+                node.place.name,
+                name,
+                instance.call_when_running,
+                self.gone,
+                instance,
+                node.place.name,
+                number,
+            )
 
     def gone(self, instance: Instance, name: str, number: int) -> None:
         instance.send(instance.publisher.connection_lost(self.now, name, number))
@@ -174,7 +184,7 @@
             case "kill" if instance.up:
                 instance.up, instance.suspended = False, False
                 self.at(fault.span, instance.start)
-            case "sleep" if instance.runs:
+            case "sleep" if instance.is_running:
                 instance.suspend()
                 self.at(fault.span, instance.resume)
             case "isolate" if not instance.isolated:
@@ -190,7 +200,7 @@
                         self.at(fault.span, node.start)
             case "doze":
                 for node in self.random.sample(self.nodes, len(self.nodes) // 2):
-                    if node.runs:
+                    if node.is_running:
                         node.suspend()
                         self.at(fault.span, node.resume)
 
--- a/caperdeck/lab/distribution/world.py
+++ b/caperdeck/lab/distribution/world.py
@@ -62,7 +62,7 @@
     def check_in_force(self, node: Node, current: list[Instance]) -> None:
         for instance in self.instances:
             link = node.number, instance.number
-            if instance in current and node.runs and not self.torment and self.linked(node, instance):
+            if instance in current and node.is_running and not self.torment and self.linked(node, instance):
                 self.reached.setdefault(link, self.now)
             else:
                 self.reached.pop(link, None)
@@ -78,13 +78,13 @@
 
     def check_current(self, node: Node) -> None:
         """A node that calls itself current has the newest version of a moment not long ago."""
-        if node.runs and node.subscriber.state(self.now) is State.CURRENT:
+        if node.is_running and node.subscriber.state(self.now) is State.CURRENT:
             wanted = self.newest_before(self.now - STALE_AFTER_MS)
             if node.file.revision < wanted:
                 self.breach("current", f"{node.place.name} calls {node.file.revision} current, not {wanted}")
 
     def check_status(self) -> None:
-        statuses = [i.publisher.status(self.now) for i in self.instances if i.runs]
+        statuses = [i.publisher.status(self.now) for i in self.instances if i.is_running]
         for status in statuses:
             for row in status.rows:
                 said = row.revision, row.digest, row.refused and tuple(row.refused)
--- a/caperdeck/lab/faults.py
+++ b/caperdeck/lab/faults.py
@@ -12,7 +12,7 @@
 
 from .history import Event
 from .links import Links
-from .scenario import HOLDER, LEADER, ON_LINKS, ON_OWNERS, After, Fault, Scenario
+from .scenario import HOLDER_PREFIX, LEADER, ON_LINKS, ON_OWNERS, After, Fault, Scenario
 
 BACK = (500.0, 1500.0)  # until a killed process is started again where the fault does not say
 DUTY = 0.1  # seconds of one turn of a slowed process
@@ -34,19 +34,19 @@
 
     def terminate(self, node: str) -> None: ...
 
-    def stop(self, node: str) -> None: ...
+    def suspend(self, node: str) -> None: ...
 
-    def wake(self, node: str) -> None: ...
+    def resume(self, node: str) -> None: ...
 
-    def stop_at_act(self, owner: str, work: str, after: bool) -> None:
+    def suspend_at_act(self, owner: str, work: str, after: bool) -> None:
         """The instance stops by itself just before its next act of that work goes out, or just after."""
 
-    def clock(self, node: str, offset: float, drift: float) -> None: ...
+    def set_clock_skew(self, node: str, offset: float, drift: float) -> None: ...
 
-    def step(self, node: str, offset: float) -> None:
+    def step_wall_clock(self, node: str, offset: float) -> None:
         """The wall clock of the node's process is off by so many milliseconds from now on."""
 
-    def fail_calls(self, node: str, rate: float) -> None:
+    def set_call_error_rate(self, node: str, rate: float) -> None:
         """This part of the node's system calls fails or falls short from now on."""
 
     def reload(self, node: str) -> None:
@@ -55,13 +55,13 @@
     def upgrade(self, node: str) -> None:
         """A second process takes over from the one that serves."""
 
-    def fail_disk(self, node: str, rate: float) -> None:
+    def set_disk_error_rate(self, node: str, rate: float) -> None:
         """This part of the node's writes to its folder fails from now on."""
 
-    def take_out(self, host: str, out: bool) -> None:
+    def exclude_host(self, host: str, out: bool) -> None:
         """An operator takes the host out at every node, or calls it back."""
 
-    def crowd(self, node: str, clients: int) -> None:
+    def set_idle_connections(self, node: str, clients: int) -> None:
         """So many clients connect to the node and say nothing; those of before leave."""
 
     def reset(self, a: str, b: str) -> None: ...
@@ -69,16 +69,16 @@
     def hold(self, a: str, b: str, on: bool) -> None:
         """What is sent on connections opened meanwhile arrives once it is over."""
 
-    def host(self, name: str, do: str, amount: float) -> None: ...
+    def apply_host_fault(self, name: str, do: str, amount: float) -> None: ...
 
-    def hush(self, node: str, silent: bool) -> None: ...
+    def set_discovery_silent(self, node: str, silent: bool) -> None: ...
 
     def alive(self, node: str) -> bool: ...
 
-    def standing_for(self, role: str) -> str | None:
+    def endpoint_in_role(self, role: str) -> str | None:
         """The instance that leads, or holds a work, just now."""
 
-    def changed(self, a: str, b: str) -> None: ...
+    def link_changed(self, a: str, b: str) -> None: ...
 
 
 class Awaited:
@@ -161,8 +161,8 @@
         if fault.do == "cut-zone":
             zone = self.scenario.matching(f"zone:{fault.of}")
             return [p for p in zone if p[0] in "nh"]
-        if fault.of == LEADER or fault.of.startswith(HOLDER):
-            found = self.driver.standing_for(fault.of)
+        if fault.of == LEADER or fault.of.startswith(HOLDER_PREFIX):
+            found = self.driver.endpoint_in_role(fault.of)
             return [] if found is None else [found]
         endpoints = self.scenario.matching(fault.of)
         if fault.do in ("mass-kill", "mass-restart"):
@@ -181,16 +181,16 @@
             self._cut(pairs + [(b, a) for a, b in pairs], on)
         elif do == "discovery":
             for n in (p for p in endpoints if p[0] in "nd"):
-                driver.hush(f"n{n[1:]}", on)
+                driver.set_discovery_silent(f"n{n[1:]}", on)
         elif do == "clock" and on:
             for n in (p for p in endpoints if p[0] in "no"):
-                driver.clock(n, fault.offset, fault.drift)
+                driver.set_clock_skew(n, fault.offset, fault.drift)
         elif do in ("drain", "start", "ill") or (do == "kill" and endpoints and endpoints[0][0] == "h"):
             for h in (p for p in endpoints if p[0] == "h"):
-                driver.host(h, do if on else ("well" if do == "ill" else "start"), fault.amount)
+                driver.apply_host_fault(h, do if on else ("well" if do == "ill" else "start"), fault.amount)
         elif do == "exclude":
             for h in (p for p in endpoints if p[0] == "h"):
-                driver.take_out(h, on)
+                driver.exclude_host(h, on)
         elif do == "rolling":
             if on:
                 self._roll([p for p in endpoints if p[0] == "n"], max(fault.amount, 0.01))
@@ -211,21 +211,21 @@
                 if on:
                     self.restart(n, lambda: None)
             elif do == "stop":
-                (driver.stop if on else driver.wake)(n)
+                (driver.suspend if on else driver.resume)(n)
             elif do in ON_OWNERS:
-                work = fault.of.removeprefix(HOLDER) if fault.of.startswith(HOLDER) else ""
-                driver.stop_at_act(n, work, do == "stop-after-act") if on else driver.wake(n)
+                work = fault.of.removeprefix(HOLDER_PREFIX) if fault.of.startswith(HOLDER_PREFIX) else ""
+                driver.suspend_at_act(n, work, do == "stop-after-act") if on else driver.resume(n)
             elif do == "step":
-                driver.step(n, fault.offset if on else 0.0)
+                driver.step_wall_clock(n, fault.offset if on else 0.0)
             elif do == "errors":
-                driver.fail_calls(n, fault.amount if on else 0.0)
+                driver.set_call_error_rate(n, fault.amount if on else 0.0)
             elif do == "disk":
-                driver.fail_disk(n, fault.amount if on else 0.0)
+                driver.set_disk_error_rate(n, fault.amount if on else 0.0)
             elif do == "upgrade":
                 if on:
                     driver.upgrade(n)
             elif do == "crowd":
-                driver.crowd(n, int(fault.amount) if on else 0)
+                driver.set_idle_connections(n, int(fault.amount) if on else 0)
             elif do == "reload":
                 if on:
                     driver.reload(n)
@@ -234,12 +234,12 @@
                 if on:
                     self._slow(n, self.slowed[n], fault.amount, True)
                 else:
-                    driver.wake(n)
+                    driver.resume(n)
 
     def _slow(self, n: str, turn: int, amount: float, stop: bool) -> None:
         """Stopped for a part of each tenth of a second."""
         if self.slowed.get(n) == turn:
-            (self.driver.stop if stop else self.driver.wake)(n)
+            (self.driver.suspend if stop else self.driver.resume)(n)
             self.driver.later(DUTY * (amount if stop else 1 - amount), self._slow, n, turn, amount, not stop)
 
     def restart(self, n: str, then: Callable[[], None]) -> None:
@@ -277,7 +277,7 @@
     def _cut(self, pairs: list[tuple[str, str]], on: bool) -> None:
         for a, b in pairs:
             self.driver.links.cut(a, b, on)
-            self.driver.changed(a, b)
+            self.driver.link_changed(a, b)
 
     def _on_links(self, fault: Fault, pairs: list[tuple[str, str]], on: bool) -> None:
         pairs = [(a, b) for a, b in pairs if a != b]
@@ -299,4 +299,4 @@
                     trouble.delay = fault.spread if on else (0.0, 0.0)
                 else:
                     setattr(trouble, fault.do, fault.amount if on else 0.0)
-                self.driver.changed(a, b)
+                self.driver.link_changed(a, b)
--- a/caperdeck/lab/fleet.py
+++ b/caperdeck/lab/fleet.py
@@ -9,7 +9,7 @@
 from .faults import NOTICE, Timeline
 from .history import Event, History
 from .links import Links
-from .scenario import HOLDER, LEADER, Scenario
+from .scenario import HOLDER_PREFIX, LEADER, Scenario
 
 READY = 0.5  # seconds from a node's start until the front has taken it in
 CLIENTS_FROM = 1.0  # seconds from the start of the run until the first client comes
@@ -32,39 +32,39 @@
         if watch is not None:
             self.history.watchers.append(watch)
         self.lives: dict[str, int] = {}
-        self.skews: dict[str, tuple[float, float]] = {}
+        self.clock_skews: dict[str, tuple[float, float]] = {}
         self.host_lives: dict[str, int] = dict.fromkeys(scenario.host_names(), 0)
         self.roles: dict[str, str] = {}  # who leads the instances, who holds a work
-        self.history.watchers.append(self._mind_roles)
+        self.history.watchers.append(self._update_roles)
 
     @property
-    def length(self) -> float:
+    def duration_s(self) -> float:
         """Seconds that a run takes."""
         return self.scenario.seconds + self.scenario.clients.wait / 1000.0 + AFTER
 
-    def skew_from_the_start(self) -> None:
+    def apply_initial_clock_skews(self) -> None:
         for i, fault in enumerate(self.scenario.fault):
             if fault.do == "clock" and fault.at == 0:
                 self.timeline.begin(i)
 
-    def _mind_roles(self, event: Event) -> None:
+    def _update_roles(self, event: Event) -> None:
         if event["ev"] == "leader" and event["leader"] == event["who"]:
             self.roles[LEADER] = event["who"]
         elif event["ev"] == "held":
-            self.roles[HOLDER + event["work"]] = event["who"]
-        elif event["ev"] == "lost" and self.roles.get(HOLDER + event["work"]) == event["who"]:
-            del self.roles[HOLDER + event["work"]]
+            self.roles[HOLDER_PREFIX + event["work"]] = event["who"]
+        elif event["ev"] == "lost" and self.roles.get(HOLDER_PREFIX + event["work"]) == event["who"]:
+            del self.roles[HOLDER_PREFIX + event["work"]]
 
-    def standing_for(self, role: str) -> str | None:
+    def endpoint_in_role(self, role: str) -> str | None:
         return self.roles.get(role)
 
-    def stop_at_act(self, owner: str, work: str, after: bool) -> None:  # noqa: B027
+    def suspend_at_act(self, owner: str, work: str, after: bool) -> None:  # noqa: B027
         """Only real processes have one."""
 
-    def step(self, node: str, offset: float) -> None:  # noqa: B027
+    def step_wall_clock(self, node: str, offset: float) -> None:  # noqa: B027
         """Only real processes have a clock of the machine's beside the run's."""
 
-    def fail_calls(self, node: str, rate: float) -> None:  # noqa: B027
+    def set_call_error_rate(self, node: str, rate: float) -> None:  # noqa: B027
         """Only real processes make system calls."""
 
     def reload(self, node: str) -> None:  # noqa: B027
@@ -73,58 +73,58 @@
     def upgrade(self, node: str) -> None:  # noqa: B027
         """Only a real process can have a second one beside it."""
 
-    def fail_disk(self, node: str, rate: float) -> None:  # noqa: B027
+    def set_disk_error_rate(self, node: str, rate: float) -> None:  # noqa: B027
         """Only real processes have a folder."""
 
-    def take_out(self, host: str, out: bool) -> None:  # noqa: B027
+    def exclude_host(self, host: str, out: bool) -> None:  # noqa: B027
         """Only real processes have a second address."""
 
-    def crowd(self, node: str, clients: int) -> None:  # noqa: B027
+    def set_idle_connections(self, node: str, clients: int) -> None:  # noqa: B027
         """Only real processes run out of descriptors."""
 
     def hold(self, a: str, b: str, on: bool) -> None:  # noqa: B027
         """Only links between real processes do."""
 
-    def life(self, name: str, state: str, **values: Any) -> None:
+    def emit_life(self, name: str, state: str, **values: Any) -> None:
         """What has become of a process: a node's, or an instance's."""
         self.history.emit("instance" if name[0] == "o" else "life", who=name, state=state, **values)
 
-    def gone(self, node: str, state: str) -> None:
-        self.life(node, state)
+    def process_ended(self, node: str, state: str) -> None:
+        self.emit_life(node, state)
         if node[0] == "n":
-            self.front("died", node)
+            self.update_front_end("died", node)
 
-    def clock(self, node: str, offset: float, drift: float) -> None:
+    def set_clock_skew(self, node: str, offset: float, drift: float) -> None:
         """Takes effect with the node's next start."""
-        self.skews[node] = (offset, drift)
+        self.clock_skews[node] = (offset, drift)
 
-    def changed(self, a: str, b: str) -> None:  # noqa: B027
+    def link_changed(self, a: str, b: str) -> None:  # noqa: B027
         """The link's troubles are other ones now."""
 
-    def host(self, name: str, do: str, amount: float) -> None:
+    def apply_host_fault(self, name: str, do: str, amount: float) -> None:
         if do == "drain":
-            self.host_do(name, "drain")
-            self.listing(name, "drain")
+            self.control_host(name, "drain")
+            self.change_listing(name, "drain")
             span = self.scenario.hosts.drain_span / 1000.0
-            self.later(span, self._over, name, self.host_lives[name])
+            self.later(span, self._end_host_life, name, self.host_lives[name])
         elif do == "kill":
-            self.host_do(name, "stop")
-            self.later(self.links.between(NOTICE) / 1000.0, self._over, name, self.host_lives[name])
+            self.control_host(name, "stop")
+            self.later(self.links.between(NOTICE) / 1000.0, self._end_host_life, name, self.host_lives[name])
         elif do == "start":
             self.host_lives[name] += 1
-            self.host_do(name, "start")
-            self.listing(name, "cold")
+            self.control_host(name, "start")
+            self.change_listing(name, "cold")
         else:
-            self.host_do(name, "ill", amount if do == "ill" else 0.0)
+            self.control_host(name, "ill", amount if do == "ill" else 0.0)
 
-    def _over(self, name: str, life: int) -> None:
+    def _end_host_life(self, name: str, life: int) -> None:
         if self.host_lives[name] == life:
-            self.host_do(name, "stop")
-            self.listing(name, "gone")
+            self.control_host(name, "stop")
+            self.change_listing(name, "gone")
 
-    def ready(self, node: str, life: int) -> None:
+    def node_ready(self, node: str, life: int) -> None:
         if self.alive(node) and self.lives[node] == life:
-            self.front("ready", node)
+            self.update_front_end("ready", node)
 
     @abstractmethod
     def now(self) -> float:
@@ -137,12 +137,12 @@
     def alive(self, node: str) -> bool: ...
 
     @abstractmethod
-    def front(self, what: str, node: str) -> None:
+    def update_front_end(self, what: str, node: str) -> None:
         """The clients' front learns that a node is ready, leaves or died."""
 
     @abstractmethod
-    def host_do(self, name: str, what: str, amount: float = 0.0) -> None: ...
+    def control_host(self, name: str, what: str, amount: float = 0.0) -> None: ...
 
     @abstractmethod
-    def listing(self, name: str, state: str) -> None:
+    def change_listing(self, name: str, state: str) -> None:
         """Discovery's list changes."""
--- a/caperdeck/lab/launch.py
+++ b/caperdeck/lab/launch.py
@@ -12,30 +12,30 @@
 import time
 from typing import Any
 
-from caperdeck.lab.disk_errors import fail_writes_now_and_then
+from caperdeck.lab.disk_errors import inject_write_errors
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.system_errors import fail_now_and_then
-from caperdeck.lab.wall_clock import follow
+from caperdeck.lab.system_errors import inject_call_errors
+from caperdeck.lab.wall_clock import follow_stepped_clock
 
 
-def skew(offset: float, drift: float) -> None:
+def skew_clocks(offset: float, drift: float) -> None:
     """A wall clock that is off by so many milliseconds, and clocks that gain so many a second."""
-    wall, steady, rate = time.time, time.monotonic, 1 + drift / 1000.0
-    wall_from, steady_from = wall(), steady()
-    time.time = lambda: wall_from + (wall() - wall_from) * rate + offset / 1000.0
-    time.monotonic = lambda: steady_from + (steady() - steady_from) * rate
-    booted, gettime = time.clock_gettime(time.CLOCK_BOOTTIME), time.clock_gettime
-    time.clock_gettime = lambda clock: booted + (gettime(clock) - booted) * rate
+    original_time, original_monotonic, rate = time.time, time.monotonic, 1 + drift / 1000.0
+    wall_start, monotonic_start = original_time(), original_monotonic()
+    time.time = lambda: wall_start + (original_time() - wall_start) * rate + offset / 1000.0
+    time.monotonic = lambda: monotonic_start + (original_monotonic() - monotonic_start) * rate
+    boot_start, original_clock_gettime = time.clock_gettime(time.CLOCK_BOOTTIME), time.clock_gettime
+    time.clock_gettime = lambda clock: boot_start + (original_clock_gettime(clock) - boot_start) * rate
 
 
-def tell(fd: int) -> None:
+def report_events(fd: int) -> None:
     """What the program notes with an `event` goes to that descriptor too, a JSON object a line."""
     import caperdeck.lifecycle.logs as logs
 
-    start, steady = logs.start_logging, time.monotonic
+    start, original_monotonic = logs.start_logging, time.monotonic
 
     def write(message: Any) -> None:
-        event = message.record["extra"]["event"] | {"mono": steady() * 1000.0}
+        event = message.record["extra"]["event"] | {"mono": original_monotonic() * 1000.0}
         os.write(fd, json.dumps(event).encode() + b"\n")
 
     def start_logging(level: str) -> Any:
@@ -46,14 +46,14 @@
     logs.start_logging = start_logging
 
 
-def sleep() -> None:
+def suspend_self() -> None:
     from loguru import logger
 
     logger.bind(event={"ev": "instance", "state": "asleep"}).debug("stops itself")
     os.kill(os.getpid(), signal.SIGSTOP)
 
 
-def stop_signal(work: str, after: bool) -> int:
+def suspend_signal(work: str, after: bool) -> int:
     """That an instance stops itself between its last look at the lease and its next act of that work, or of
     any if none is named; or after the act is written and before its answer.
     """
@@ -62,49 +62,51 @@
     return signal.SIGRTMIN + 1 + 2 * ("", *WORKS).index(work) + after
 
 
-def stop_at_act() -> None:
+def install_suspend_at_act() -> None:
     """Minds these signals; SIGRTMIN takes back what was asked."""
     from caperdeck.owner.config import WORKS
     from caperdeck.owner.node_links import NodeLinks
 
-    act, wanted = NodeLinks.send, []
+    original_send, pending_orders = NodeLinks.send, []
 
     def send(links: NodeLinks, node: str, line: bytes, then: Any) -> None:
-        asked = [after for work, after in wanted if line.startswith(f"act {work}".encode())]
-        if asked:
-            wanted.clear()
-        if asked == [False]:
-            sleep()
+        matching_orders = [after for work, after in pending_orders if line.startswith(f"act {work}".encode())]
+        if matching_orders:
+            pending_orders.clear()
+        if matching_orders == [False]:
+            suspend_self()
             # the node has ended a connection that was idle for so long; the act has to reach it all the same
             links.close(node)
-        act(links, node, line, then)
-        if asked == [True]:
+        original_send(links, node, line, then)
+        if matching_orders == [True]:
             # the line goes out once the connection has come up
-            links.reactor.callLater(0.01, sleep)
+            links.reactor.callLater(0.01, suspend_self)
 
     NodeLinks.send = send
     for work in ("", *WORKS):
         for after in (False, True):
-            number = stop_signal(work, after)
-            signal.signal(number, lambda *_, row=(work, after): wanted.__setitem__(slice(None), [row]))
+            number = suspend_signal(work, after)
+            signal.signal(
+                number, lambda *_, row=(work, after): pending_orders.__setitem__(slice(None), [row])
+            )
     # Danger: one that has no act to make keeps the order, and stops for good at the first act of a later
     # lease.
-    signal.signal(signal.SIGRTMIN, lambda *_: wanted.clear())
+    signal.signal(signal.SIGRTMIN, lambda *_: pending_orders.clear())
 
 
 def main() -> int:
     end_with_parent()
-    tell(int(os.environ["LAB_EVENTS"]))
-    follow(os.environ["LAB_WALL_CLOCK"])
-    fail_now_and_then(os.environ["LAB_ERROR_RATE"], int(os.environ["LAB_SEED"]))
+    report_events(int(os.environ["LAB_EVENTS"]))
+    follow_stepped_clock(os.environ["LAB_WALL_CLOCK"])
+    inject_call_errors(os.environ["LAB_ERROR_RATE"], int(os.environ["LAB_SEED"]))
     folder = os.environ.get("TMPDIR", "")
     if folder:
-        fail_writes_now_and_then(os.environ["LAB_DISK_RATE"], folder, int(os.environ["LAB_SEED"]))
+        inject_write_errors(os.environ["LAB_DISK_RATE"], folder, int(os.environ["LAB_SEED"]))
     offset, drift = float(os.environ["LAB_OFFSET"]), float(os.environ["LAB_DRIFT"])
     if offset or drift:
-        skew(offset, drift)
+        skew_clocks(offset, drift)
     if sys.argv[1] == "owner":
-        stop_at_act()
+        install_suspend_at_act()
     from caperdeck.__main__ import main as serve
 
     return serve(sys.argv[1:])
--- a/caperdeck/lab/operator.py
+++ b/caperdeck/lab/operator.py
@@ -40,12 +40,14 @@
         """`wait` is the longest wait of a client, in seconds."""
         self.nodes, self.node_names = nodes, node_names
         self.kill_after = min(wait, LONGEST_WAIT) + KILL_AFTER
-        self.admins: dict[str, tuple[str, int]] = {}  # the second address of the process that is called
+        self.admin_addresses: dict[
+            str, tuple[str, int]
+        ] = {}  # the second address of the process that is called
         self.wanted: dict[str, bool] = {}  # by host: out, or back
         self.upgrading: set[str] = set()
         self.tasks: list[asyncio.Task] = []
 
-    def take_out(self, host: str, out: bool) -> None:
+    def exclude_host(self, host: str, out: bool) -> None:
         """Calls every node until it says yes, or the operator wants the contrary."""
         self.wanted[host] = out
         for node in self.node_names:
@@ -64,7 +66,7 @@
             self.nodes.history.emit("ban", who=node, to=host, out=False)
         verb = b"exclude" if out else b"include"
         while self.wanted[host] is out:
-            answer = await call(self.admins[node], verb + b" " + host.encode())
+            answer = await call(self.admin_addresses[node], verb + b" " + host.encode())
             if answer.startswith(YES):
                 if out and self.wanted[host]:
                     self.nodes.history.emit("ban", who=node, to=host, out=True)
@@ -84,7 +86,7 @@
                 if second.returncode is not None and old.returncode is None:
                     self.nodes.launcher.processes[node] = old
                 return
-            self.admins[node] = admin
+            self.admin_addresses[node] = admin
             if old.returncode is None:
                 old.send_signal(signal.SIGTERM)
             asyncio.get_running_loop().call_later(self.kill_after, kill, old)
--- a/caperdeck/lab/oracle.py
+++ b/caperdeck/lab/oracle.py
@@ -15,7 +15,7 @@
 from .scenario import Scenario
 
 
-SAME_TURN = 20.0  # milliseconds in which the relay may see two sockets of one node in the wrong order
+REORDER_WINDOW_MS = 20.0  # milliseconds in which the relay may see two sockets of one node in the wrong order
 LEFT_GRACE = 100.0 + 50.0  # milliseconds, the second part for the rig's own way
 
 
@@ -40,8 +40,8 @@
 class Check:
     """One rule over one history."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        self.scenario, self.together = scenario, together
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        self.scenario, self.reorder_window_ms = scenario, reorder_window_ms
         self.breaches: list[Breach] = []
 
     def feed(self, e: Event) -> None:
@@ -64,8 +64,8 @@
     time; nothing excuses two answers.
     """
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.asked: dict[str, Event] = {}
         self.answered: dict[str, Event] = {}
         self.down: dict[str, list[list[float]]] = {n: [] for n in scenario.node_names()}  # from, until
@@ -129,8 +129,8 @@
 class Effects(Check):
     """No effect twice, and never two dials out for one session."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.out: dict[str, Event] = {}
         self.doubt: dict[str, tuple[Event, Event]] = {}  # a dial beside another that had not ended yet
         self.ran: dict[str, str] = {}
@@ -147,7 +147,7 @@
             dial, other = self.doubt[e["id"]]
             if other["to"] == e["to"]:
                 del self.doubt[e["id"]]
-                if e["t"] - dial["t"] > self.together or not self.together:
+                if e["t"] - dial["t"] > self.reorder_window_ms or not self.reorder_window_ms:
                     self._two(dial, other)
                 return
         if (dial := self.out.get(e["id"])) is not None and dial["to"] == e["to"]:
@@ -174,8 +174,8 @@
 class Departures(Check):
     """Nothing is sent to a host later than a moment after its client has left."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.left: dict[str, float] = {}
 
     def on_left(self, e: Event) -> None:
@@ -189,8 +189,8 @@
 class Stops(Check):
     """A node that was told to end has answered everybody by its end, or by the earliest SIGKILL."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.waiting: dict[str, dict[str, Event]] = {}  # by node, who has no answer
         self.stopping: set[str] = set()
 
@@ -219,8 +219,8 @@
 class Drains(Check):
     """Nothing new to a host later than the grace after the node was told that it drains or is gone."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.changes: list[tuple[int, str, str, float]] = []  # version, host, state, when
         self.revisions: dict[str, list[tuple[float, int]]] = {n: [] for n in scenario.node_names()}
         self.born: dict[str, float] = {}
@@ -256,8 +256,8 @@
 class Bans(Check):
     """Nothing new to a host from a node's yes to take it out until the call back, whoever serves there."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.out: dict[tuple[str, str], float] = {}  # by node and host, when the node said yes
 
     def on_ban(self, e: Event) -> None:
@@ -278,8 +278,8 @@
     Recounted from what the hosts were sent, not from what they say of themselves.
     """
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.hosts: dict[str, dict[str, Any]] = {}
 
     def on_host(self, e: Event) -> None:
@@ -331,8 +331,8 @@
 class Standing(Check):
     """What stood before the run comes up, unless something befell its node, its host or the way there."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.waits: dict[str, Event] = {}  # by session, the first line that names a host
 
     def on_ask(self, e: Event) -> None:
@@ -382,14 +382,15 @@
 ]  # fmt: skip
 
 
-def judge(
-    scenario: Scenario, events: Iterable[Event], checks: Iterable[type[Check]] = (), together: float = 0.0,
+def find_breaches(
+    scenario: Scenario, events: Iterable[Event], checks: Iterable[type[Check]] = (),
+    reorder_window_ms: float = 0.0,
 ) -> list[Breach]:  # fmt: skip
     """All breaches of a history that is in the order of time; further checks may be handed in.
 
     Events of one node so many milliseconds apart may have been seen in the wrong order.
     """
-    made, t = [make(scenario, together) for make in (*CHECKS, *checks)], 0.0
+    made, t = [make(scenario, reorder_window_ms) for make in (*CHECKS, *checks)], 0.0
     for e in events:
         t = e["t"]
         for check in made:
--- a/caperdeck/lab/owned_work.py
+++ b/caperdeck/lab/owned_work.py
@@ -15,15 +15,15 @@
 
 from .history import Event
 from .oracle import Check
-from .scenario import HOLDER, LEADER, Scenario, decode
+from .scenario import HOLDER_PREFIX, LEADER, Scenario, decode
 from .seeded_random import SeededRandom
 
 ROUNDED = 1e-6
 
 
 class Owned(Check):
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.highest: dict[tuple[str, str], int] = {}  # by target, work
         self.grants: dict[int, tuple[str, str]] = {}  # by token: work, holder
         self.epochs: dict[int, int] = {}  # how many live, by epoch
@@ -78,8 +78,8 @@
 class OneOwner(Check):
     """Two that say they hold one work at one time: not while clocks keep to their drift."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.suspended: set[str] = set()
         self.holds: dict[str, str] = {}
         self.skewed = any(f.do == "clock" for f in scenario.fault)
@@ -113,14 +113,18 @@
     waiting: dict[str, tuple[float, tuple[str, ...]]] = {}
     out: dict[str, list[float]] = {}
     for e in events:
-        named = e["ev"] == "fault" and (e["name"] == LEADER or e["name"].startswith(HOLDER))
+        named = e["ev"] == "fault" and (e["name"] == LEADER or e["name"].startswith(HOLDER_PREFIX))
         if named and e["on"] and e["of"]:
             began, old = waiting.get(e["name"], (e["t"], ()))
             waiting[e["name"]] = began, (*old, e["of"][0])
         for role in list(waiting):
             began, old = waiting[role]
             led = role == LEADER and e["ev"] == "leader" and e["leader"] == e["who"] and e["who"] not in old
-            held = role.startswith(HOLDER) and e["ev"] == "held" and e["work"] == role[len(HOLDER) :]
+            held = (
+                role.startswith(HOLDER_PREFIX)
+                and e["ev"] == "held"
+                and e["work"] == role[len(HOLDER_PREFIX) :]
+            )
             if (led or held) and e["t"] >= began:
                 out.setdefault(role, []).append(e["t"] - began)
                 del waiting[role]
@@ -141,7 +145,7 @@
     draw, at, faults = SeededRandom(seed), 3.5, []
     for i in range(rounds):
         do, role = ROUNDS[i % len(ROUNDS)].split()
-        of = LEADER if role == LEADER else HOLDER + (HOSTS if draw.chance() < 0.5 else CENSUS)
+        of = LEADER if role == LEADER else HOLDER_PREFIX + (HOSTS if draw.chance() < 0.5 else CENSUS)
         row = {"do": do, "of": of, "name": of, "at": round(at + draw.chance() / 3, 2), "for": LASTS}
         if do in ("cut", "silence"):
             row["to"] = "n*" if do == "silence" else "o*"
--- a/caperdeck/lab/plan_reader.py
+++ b/caperdeck/lab/plan_reader.py
@@ -11,8 +11,8 @@
 
 LONGEST_LINE = 16 << 20  # bytes
 
-Write = Callable[[bytes], None]  # to standard output
-TakeOrder = Callable[[bytes], None]
+OutputWriter = Callable[[bytes], None]  # to standard output
+OrderHandler = Callable[[bytes], None]
 
 
 class PlanReader(LineOnlyReceiver):
@@ -21,15 +21,17 @@
     delimiter = b"\n"
     MAX_LENGTH = LONGEST_LINE
 
-    def __init__(self, plan_type: type, begin: Callable[[Any, Write], TakeOrder]) -> None:
+    def __init__(self, plan_type: type, begin: Callable[[Any, OutputWriter], OrderHandler]) -> None:
         self.plan_type, self.begin = plan_type, begin
-        self.take_order: TakeOrder | None = None
+        self.handle_order: OrderHandler | None = None
 
     def lineReceived(self, line: bytes) -> None:
-        if self.take_order is None:
-            self.take_order = self.begin(msgspec.json.decode(line, type=self.plan_type), self.transport.write)
+        if self.handle_order is None:
+            self.handle_order = self.begin(
+                msgspec.json.decode(line, type=self.plan_type), self.transport.write
+            )
         else:
-            self.take_order(line)
+            self.handle_order(line)
 
     def connectionLost(self, reason: Any) -> None:
         os._exit(0)
--- a/caperdeck/lab/propagation/command.py
+++ b/caperdeck/lab/propagation/command.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from caperdeck.lab.cli import number, say
+from caperdeck.lab.cli import parse_whole_number, print_line
 from caperdeck.lab.scale.command import check_place
 from caperdeck.lab.scenario import ScenarioError
 
@@ -21,9 +21,9 @@
 
 def in_force(arguments: dict[str, Any]) -> int:
     check_place("--json", arguments["--json"])
-    result = conclude(InForceRun(settings_of(arguments), say, FAULTS).play())
+    result = conclude(InForceRun(settings_of(arguments), print_line, FAULTS).play())
     for line in lines(result):
-        say(line)
+        print_line(line)
     if arguments["--json"]:
         with open(arguments["--json"], "wb") as file:
             file.write(msgspec.json.encode(result) + b"\n")
@@ -34,7 +34,7 @@
     """Raises ScenarioError."""
 
     def given(name: str, least: int, most: int, default: int) -> int:
-        return number(arguments[f"--{name}"], name, least, most, default)
+        return parse_whole_number(arguments[f"--{name}"], name, least, most, default)
 
     nodes = given("nodes", 1, MOST_NODES, 100)
     faults = faults_of(arguments["--faults"])
--- a/caperdeck/lab/propagation/instances.py
+++ b/caperdeck/lab/propagation/instances.py
@@ -53,7 +53,7 @@
     def __init__(self, count: int, folder: Path) -> None:
         self.places = instance_places(count)
         self.folder, self.ports = folder, Ports()
-        self.addresses = [f"127.0.0.1:{self.ports.take(PORT_KIND)}" for _ in range(count)]
+        self.addresses = [f"127.0.0.1:{self.ports.reserve(PORT_KIND)}" for _ in range(count)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.owners: dict[str, OwnerEndpoints] = {}  # what operators know, by their region
 
--- a/caperdeck/lab/propagation/nodes.py
+++ b/caperdeck/lab/propagation/nodes.py
@@ -19,7 +19,7 @@
 from caperdeck.distribution.node import DiskThread
 from caperdeck.distribution.subscriber import HeldVersion, State
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
+from caperdeck.lab.plan_reader import PlanReader, OrderHandler, OutputWriter
 from caperdeck.lab.scale.heartbeat import BEAT, Beats
 from caperdeck.lab.scale.stub_nodes import collect_from_now_on
 from caperdeck.lab.scale.traffic import Traffic, count_traffic
@@ -142,7 +142,7 @@
     end_with_parent()
     traffic = count_traffic()
 
-    def begin(plan: Plan, write: Write) -> TakeOrder:
+    def begin(plan: Plan, write: OutputWriter) -> OrderHandler:
         NodesProcess(plan, traffic, write).start()
         return ignore_order
 
--- a/caperdeck/lab/propagation/relay.py
+++ b/caperdeck/lab/propagation/relay.py
@@ -17,7 +17,7 @@
 from caperdeck.distribution.publisher_selection import Place
 from caperdeck.lab.links import Links
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
+from caperdeck.lab.plan_reader import PlanReader, OrderHandler, OutputWriter
 from caperdeck.lab.relay import Relay
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scale.processes import ChildProcess
@@ -55,12 +55,14 @@
 
 
 class RegionRelay:
-    def __init__(self, plan: RelayPlan, write: Write) -> None:
+    def __init__(self, plan: RelayPlan, write: OutputWriter) -> None:
         self.write = write
         self.relay = Relay(reactor, Links(0, lambda a, b: NO_DELAY), lambda *_, **__: None)
         self.across: dict[str, str] = {}
         for place, address in plan.instances:
-            host, port = self.relay.way(other_region(place.region), place.name, parse_address(address))
+            host, port = self.relay.add_stream_route(
+                other_region(place.region), place.name, parse_address(address)
+            )
             self.across[place.name] = f"{host}:{port}"
         self._answer(Across(self.across))
 
@@ -72,9 +74,9 @@
         self.write(msgspec.json.encode(answer) + LINE)
 
     def _carry_out(self, order: Order) -> None:
-        for region, instance in self.relay.ways:
+        for region, instance in self.relay.stream_routes:
             for a, b in ((region, instance), (instance, region)):
-                self.relay.trouble(a, b, {"cut": int(order.cut)})
+                self.relay.set_trouble(a, b, {"cut": int(order.cut)})
 
 
 class RelayChild(ChildProcess):
@@ -102,7 +104,7 @@
 def main() -> int:
     end_with_parent()
 
-    def begin(plan: RelayPlan, write: Write) -> TakeOrder:
+    def begin(plan: RelayPlan, write: OutputWriter) -> OrderHandler:
         return RegionRelay(plan, write).take
 
     stdio.StandardIO(PlanReader(RelayPlan, begin))
--- a/caperdeck/lab/raft_simulation.py
+++ b/caperdeck/lab/raft_simulation.py
@@ -88,7 +88,7 @@
             lambda role, term, _: self.world.became(self.me, role, term, raft.log),
             lambda index, entry, _: self.world.applied(self.me, index, entry), COMPACT_AT,
         )  # fmt: skip
-        self.up, self.suspended, self.inbox = True, False, []
+        self.up, self.suspended, self.deferred_calls = True, False, []
         self.tick(self.life)
 
     def die(self) -> None:
@@ -97,7 +97,7 @@
 
     def tick(self, life: int) -> None:
         if life == self.life:
-            self.act(self._tick, life)
+            self.call_when_running(self._tick, life)
 
     def _tick(self, life: int) -> None:
         self.driver.tick()
@@ -115,7 +115,7 @@
         if self.world.dies_at_write():
             self.world.die(self.me)
         else:
-            self.act(done)
+            self.call_when_running(done)
 
 
 class World(Events):
@@ -150,7 +150,7 @@
 
     def arrive(self, b: int, message: Any) -> None:
         if b < len(self.instances) and self.instances[b].up:
-            self.instances[b].act(self.instances[b].driver.receive, message)
+            self.instances[b].call_when_running(self.instances[b].driver.receive, message)
 
     def dies_at_write(self) -> bool:
         return self.draw.random() < self.die_rate
@@ -165,7 +165,7 @@
             self.instances[i].start()
 
     def suspend(self, i: int, span: float) -> None:
-        if self.instances[i].runs:
+        if self.instances[i].is_running:
             self.instances[i].suspend()
             self.at(span, self.instances[i].resume)
 
@@ -202,7 +202,7 @@
                         raise BrokenError(f"log matching: {a} and {b} differ at {index} before {same}")
 
     def leader(self) -> Instance | None:
-        led = [i for i in self.instances if i.runs and i.raft.role is Role.LEADER]
+        led = [i for i in self.instances if i.is_running and i.raft.role is Role.LEADER]
         return max(led, key=lambda i: i.raft.term, default=None)
 
 
@@ -228,7 +228,7 @@
         draw = self.world.draw
         self.world.at(draw.uniform(60, 200), self.attempt, op, serial)
         to = draw.choice(self.world.instances)
-        if not to.runs:
+        if not to.is_running:
             return
         if op["read"]:
             to.driver.read(lambda line: self.answered(op, None if line is None else list(line.values)))
--- a/caperdeck/lab/real.py
+++ b/caperdeck/lab/real.py
@@ -15,14 +15,14 @@
 
 from .fleet import CLIENTS_FROM, LEAVES, Fleet
 from .history import Event
-from .launch import stop_signal
+from .launch import suspend_signal
 from .launcher import Launcher
 from .operator import OLD, Operator
 from .ports import Ports
 from .probes import accepts, answers_ping
 from .process_files import write_instance_file, write_node_file, write_owners_file, write_sharing_file
-from .rig_process import START, RigProcess, VoidError
-from .scenario import BY_OPERATOR, MOST_PROCESSES, Scenario, ScenarioError
+from .rig_process import START_TIMEOUT_S, RigProcess, VoidError
+from .scenario import BY_OPERATOR, MAX_REAL_NODES, Scenario, ScenarioError
 from .setup import node_config
 from .system_errors import ErrorRate
 from .wall_clock import WallClock
@@ -39,7 +39,7 @@
 POLL = 0.02  # seconds between two tries to reach a process that starts
 
 
-def plain(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return "{}:{}".format(*address)
 
 
@@ -48,10 +48,10 @@
         self, scenario: Scenario, seed: int | None = None, watch: Callable[[Event], None] | None = None,
         logs: str | None = None,
     ) -> None:  # fmt: skip
-        if scenario.nodes > MOST_PROCESSES:
-            raise ScenarioError(f"nodes: {scenario.nodes} is over {MOST_PROCESSES}, the most real processes")
+        if scenario.nodes > MAX_REAL_NODES:
+            raise ScenarioError(f"nodes: {scenario.nodes} is over {MAX_REAL_NODES}, the most real processes")
         self.origin = time.monotonic() * 1000.0
-        self.boot = time.time() * 1000.0
+        self.origin_unix_ms = time.time() * 1000.0
         super().__init__(scenario, seed, watch)
         self.logs = logs
         self.wall_clocks: dict[str, WallClock] = {}
@@ -63,11 +63,11 @@
         self.starting: list[asyncio.Task] = []
         self.launching: set[str] = set()  # names whose process has yet to appear
         self.workers: dict[str, RigProcess] = {}
-        self.late = 0.0
-        self.per_s = 0.0
+        self.max_late_ms = 0.0
+        self.relay_rate_per_s = 0.0
         self.headroom_known: asyncio.Future | None = None
-        self.taken = Ports()
-        self.failed: BaseException | None = None
+        self.ports = Ports()
+        self.failure: BaseException | None = None
 
     def now(self) -> float:
         return self._run_time(time.monotonic() * 1000.0)
@@ -75,17 +75,17 @@
     def _run_time(self, monotonic: float) -> float:
         return monotonic - self.origin
 
-    def came(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """What a worker saw."""
         kind = event["ev"]
         if kind == "late":
-            self.late = max(self.late, event["ms"])
+            self.max_late_ms = max(self.max_late_ms, event["ms"])
         elif kind == "headroom":
-            self.per_s = event["per_s"]
+            self.relay_rate_per_s = event["per_s"]
             if self.headroom_known is not None and not self.headroom_known.done():
                 self.headroom_known.set_result(None)
         elif kind == "born":
-            self.workers["agents"].tell("list", name=event["to"], state="cold", boot=event["at"])
+            self.workers["agents"].send_command("list", name=event["to"], state="cold", boot=event["at"])
         else:
             self.history.take(event)
 
@@ -98,7 +98,7 @@
         try:
             do(*args)
         except Exception as error:
-            self.failed = self.failed or error
+            self.failure = self.failure or error
 
     def alive(self, node: str) -> bool:
         return self.launcher.alive(node)
@@ -107,38 +107,43 @@
         if self.alive(node) or node in self.launching:
             return
         self.launching.add(node)
-        start = self._start if node[0] == "n" else self._start_owner
+        start = self._start_node if node[0] == "n" else self._start_instance
         self.starting.append(asyncio.ensure_future(start(node)))
 
-    async def _start_owner(self, name: str) -> None:
+    async def _start_instance(self, name: str) -> None:
         life = self.lives[name] = self.lives.get(name, 0) + 1
         path = write_instance_file(
-            Path(self.folder), name, self.listen[name], self.seen_owners[name], self.seen_admins[name]
+            Path(self.folder),
+            name,
+            self.listen_addresses[name],
+            self.instance_addresses[name],
+            self.admin_addresses_by_instance[name],
         )
         process = await self._launch(name, ["owner", "serve", f"--config={path}"])
         if await self._until_up(name, process, accepts):
-            self.life(name, "up", life=life)
+            self.emit_life(name, "up", life=life)
 
-    async def _start(self, node: str) -> None:
+    async def _start_node(self, node: str) -> None:
         life = self.lives[node] = self.lives.get(node, 0) + 1
         process = await self._launch_node(node, life)
         if await self._until_up(node, process, answers_ping):
-            self.life(node, "up", life=life)
-            self.front("ready", node)
+            self.emit_life(node, "up", life=life)
+            self.update_front_end("ready", node)
 
     async def launch_second(self, node: str) -> tuple[tuple[str, int], Process]:
         """Starts a process beside the one that serves; its second address, and the process."""
         life = self.lives[node] = self.lives[node] + 1
         admin = self._take_port(socket.SOCK_STREAM)
-        self.admins[node] = plain(admin)
+        self.admin_addresses[node] = format_address(admin)
         self.processes[node + OLD] = self.processes[node]
         return admin, await self._launch_node(node, life)
 
     async def _launch_node(self, node: str, life: int) -> Process:
         config = node_config(
-            self.scenario, node, self.listen[node], self.agents[node], life, self.seed, self.seen_peers[node],
-            self.everyone[node], plain(self.peers[node]), self.extra_settings(node),
-            admin=self.admins.get(node),
+            self.scenario, node, self.listen_addresses[node], self.discovery_addresses[node], life, self.seed,
+            self.peer_addresses_by_node[node], self.broadcast_addresses[node],
+            format_address(self.peers[node]), self.extra_settings(node),
+            admin=self.admin_addresses.get(node),
         )  # fmt: skip
         # a process reads its file a while after it was started, when a second one may have been as well
         path = write_node_file(Path(self.folder), f"{node}-{life}", config)
@@ -160,7 +165,7 @@
             "LAB_DISK_RATE": str(self.disk_rates[name].path),
         }  # fmt: skip
         try:
-            skew = self.skews.get(name, (0.0, 0.0))
+            skew = self.clock_skews.get(name, (0.0, 0.0))
             return await self.launcher.start(name, words, self.log_of(name), skew, environment)
         finally:
             self.launching.discard(name)
@@ -169,10 +174,10 @@
         self, name: str, process: Process, answers: Callable[[str, int], Awaitable[bool]],
     ) -> bool:  # fmt: skip
         """Whether it answers in time; then it is reached through the relay from now on."""
-        until = time.monotonic() + START
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until and process.returncode is None:
             if await answers(*self.addresses[name]):
-                self.workers["relay"].tell("down", name=name, down=False)
+                self.workers["relay"].send_command("down", name=name, down=False)
                 return True
             await asyncio.sleep(POLL)
         self.launcher.report_crash(name, process, self.log_of(name))
@@ -188,7 +193,7 @@
     def _owners_flag(self, node: str) -> list[str]:
         if not self.scenario.owners:
             return []
-        return [f"--owners={write_owners_file(Path(self.folder), node, self.seen_owners[node])}"]
+        return [f"--owners={write_owners_file(Path(self.folder), node, self.instance_addresses[node])}"]
 
     def _sharing_flag(self) -> list[str]:
         uses = self.scenario.uses()
@@ -202,8 +207,8 @@
             if code > 0:
                 self.history.emit("crash", who=name.removesuffix(OLD), code=code, text="ended by itself")
             return
-        self.workers["relay"].tell("down", name=name, down=True)
-        self.gone(name, "exit" if code == 0 else "killed")
+        self.workers["relay"].send_command("down", name=name, down=True)
+        self.process_ended(name, "exit" if code == 0 else "killed")
         if code > 0:
             self.history.emit("crash", who=name, code=code, text="ended by itself")
 
@@ -215,33 +220,33 @@
         for wait, number in SIGNALS_AFTER_TERM if self.scenario.signals_in_series else ():
             self.later(wait, self.launcher.signal, node, number)
         if self.launcher.signal(node, signal.SIGTERM):
-            self.life(node, "stopping")
+            self.emit_life(node, "stopping")
             if node[0] == "n":
-                self.later(LEAVES, self.front, "leaves", node)
+                self.later(LEAVES, self.update_front_end, "leaves", node)
 
-    def stop(self, node: str) -> None:
+    def suspend(self, node: str) -> None:
         if self.launcher.signal(node, signal.SIGSTOP):
-            self.life(node, "asleep")
+            self.emit_life(node, "asleep")
 
-    def stop_at_act(self, owner: str, work: str, after: bool) -> None:
-        self.launcher.signal(owner, stop_signal(work, after))
+    def suspend_at_act(self, owner: str, work: str, after: bool) -> None:
+        self.launcher.signal(owner, suspend_signal(work, after))
 
-    def wake(self, node: str) -> None:
+    def resume(self, node: str) -> None:
         if self.alive(node):
-            self.life(node, "awake")
+            self.emit_life(node, "awake")
             if node[0] == "o":
                 self.launcher.signal(node, signal.SIGRTMIN)
             # a process that was stopped may have a successor beside it by now
             for name in (node, node + OLD):
                 self.launcher.signal(name, signal.SIGCONT)
 
-    def step(self, node: str, offset: float) -> None:
+    def step_wall_clock(self, node: str, offset: float) -> None:
         self.wall_clocks[node].step_to(offset / 1000.0)
 
-    def fail_calls(self, node: str, rate: float) -> None:
+    def set_call_error_rate(self, node: str, rate: float) -> None:
         self.error_rates[node].set(rate)
 
-    def fail_disk(self, node: str, rate: float) -> None:
+    def set_disk_error_rate(self, node: str, rate: float) -> None:
         self.disk_rates[node].set(rate)
 
     def reload(self, node: str) -> None:
@@ -250,39 +255,39 @@
     def upgrade(self, node: str) -> None:
         self.operator.upgrade(node)
 
-    def take_out(self, host: str, out: bool) -> None:
-        self.operator.take_out(host, out)
+    def exclude_host(self, host: str, out: bool) -> None:
+        self.operator.exclude_host(host, out)
 
-    def crowd(self, node: str, clients: int) -> None:
-        self.workers["clients"].tell("crowd", node=node, number_of=clients)
+    def set_idle_connections(self, node: str, clients: int) -> None:
+        self.workers["clients"].send_command("crowd", node=node, number_of=clients)
 
-    def front(self, what: str, node: str) -> None:
-        self.workers["clients"].tell("front", what=what, node=node)
+    def update_front_end(self, what: str, node: str) -> None:
+        self.workers["clients"].send_command("front", what=what, node=node)
 
     def reset(self, a: str, b: str) -> None:
-        self.workers["relay"].tell("reset", a=a, b=b)
+        self.workers["relay"].send_command("reset", a=a, b=b)
 
     def hold(self, a: str, b: str, on: bool) -> None:
-        self.workers["relay"].tell("hold", a=a, b=b, on=on)
+        self.workers["relay"].send_command("hold", a=a, b=b, on=on)
 
-    def changed(self, a: str, b: str) -> None:
+    def link_changed(self, a: str, b: str) -> None:
         trouble = self.links.trouble(a, b)
         values = {key: getattr(trouble, key) for key in ("loss", "double", "reorder", "delay", "cut")}
-        self.workers["relay"].tell("trouble", a=a, b=b, values=values)
+        self.workers["relay"].send_command("trouble", a=a, b=b, values=values)
 
-    def host_do(self, name: str, what: str, amount: float = 0.0) -> None:
+    def control_host(self, name: str, what: str, amount: float = 0.0) -> None:
         if what == "stop":
-            self.workers["relay"].tell("down", name=name, down=True)
+            self.workers["relay"].send_command("down", name=name, down=True)
         elif what == "start":
-            self.workers["relay"].tell("down", name=name, down=False)
-        self.workers["hosts"].tell("host", name=name, what=what, amount=amount)
+            self.workers["relay"].send_command("down", name=name, down=False)
+        self.workers["hosts"].send_command("host", name=name, what=what, amount=amount)
 
-    def listing(self, name: str, state: str) -> None:
+    def change_listing(self, name: str, state: str) -> None:
         if state != "cold":  # that one follows once the host has said when it was born
-            self.workers["agents"].tell("list", name=name, state=state, boot=None)
+            self.workers["agents"].send_command("list", name=name, state=state, boot=None)
 
-    def hush(self, node: str, silent: bool) -> None:
-        self.workers["agents"].tell("hush", node=node, silent=silent)
+    def set_discovery_silent(self, node: str, silent: bool) -> None:
+        self.workers["agents"].send_command("hush", node=node, silent=silent)
 
     # ---- the run
 
@@ -295,12 +300,12 @@
         with tempfile.TemporaryDirectory(prefix="caperdeck-lab-") as self.folder:
             try:
                 await self._open()
-                await self._play()
+                await self._run_scenario()
             finally:
                 self.over = True
                 await self._close()
-        if self.failed is not None:
-            raise self.failed
+        if self.failure is not None:
+            raise self.failure
         return self.history.sorted()
 
     async def _start_workers(self) -> None:
@@ -311,19 +316,19 @@
     async def _measure_relay(self) -> None:
         """Raises VoidError where the relay carries too little for the scenario."""
         self.headroom_known = asyncio.get_running_loop().create_future()
-        await self.workers["relay"].ask("headroom")
-        await asyncio.wait_for(self.headroom_known, START)
-        if self.per_s < HEADROOM * self.scenario.clients.rate:
-            carries = f"the relay carries {self.per_s:.0f} connections a second"
+        await self.workers["relay"].request("headroom")
+        await asyncio.wait_for(self.headroom_known, START_TIMEOUT_S)
+        if self.relay_rate_per_s < HEADROOM * self.scenario.clients.rate:
+            carries = f"the relay carries {self.relay_rate_per_s:.0f} connections a second"
             raise VoidError(f"{carries}, {self.scenario.clients.rate:g} are asked")
 
     def _take_port(self, kind: int) -> tuple[str, int]:
-        return LOOPBACK, self.taken.take(kind)
+        return LOOPBACK, self.ports.reserve(kind)
 
     async def _open(self) -> None:
         s, nodes, hosts = self.scenario, self.scenario.node_names(), self.scenario.host_names()
         await self._start_workers()
-        ends = await self.workers["hosts"].ask("open")
+        ends = await self.workers["hosts"].request("open")
         self.addresses, self.peers = {}, {}
         for n in nodes:
             self.addresses[n] = self._take_port(socket.SOCK_STREAM)
@@ -332,61 +337,61 @@
         for o in owners:
             self.addresses[o] = self._take_port(socket.SOCK_STREAM)
         if owners or any(fault.do in BY_OPERATOR for fault in s.fault):
-            second = self.operator.admins = {n: self._take_port(socket.SOCK_STREAM) for n in nodes}
-        self.listen = {n: plain(address) for n, address in self.addresses.items()}
-        self.admins = {n: plain(address) for n, address in second.items()}
+            second = self.operator.admin_addresses = {n: self._take_port(socket.SOCK_STREAM) for n in nodes}
+        self.listen_addresses = {n: format_address(address) for n, address in self.addresses.items()}
+        self.admin_addresses = {n: format_address(address) for n, address in second.items()}
         # agents tell the relay's addresses of hosts, and lie behind the relay themselves
         ways = [[n, h, ends[h]] for n in nodes for h in hosts]
         ways += [["clients", n, self.addresses[n]] for n in nodes]
         ways += [[a, o, self.addresses[o]] for a in owners + nodes for o in owners if a != o]
         ways += [[o, n, second[n]] for o in owners for n in nodes]
-        opened = await self.workers["relay"].ask("open", ways=ways, peers=self.peers)
+        opened = await self.workers["relay"].request("open", ways=ways, peers=self.peers)
         at = {(a, b): address for a, b, address in opened["streams"]}
-        places = {n: {h: plain(at[n, h]) for h in hosts} for n in nodes}
-        self.seen_owners = {
-            a: {o[1:]: self.listen[o] if a == o else plain(at[a, o]) for o in owners}
+        places = {n: {h: format_address(at[n, h]) for h in hosts} for n in nodes}
+        self.instance_addresses = {
+            a: {o[1:]: self.listen_addresses[o] if a == o else format_address(at[a, o]) for o in owners}
             for a in owners + nodes
         }  # fmt: skip
-        self.seen_admins = {o: {n: plain(at[o, n]) for n in nodes} for o in owners}
-        agents = await self.workers["agents"].ask("open", places=places)
-        more = await self.workers["relay"].ask("more", ways=[[n, f"d{n[1:]}", agents[n]] for n in nodes])
-        self.agents = {a: plain(address) for a, _, address in more}
-        wires = {(a, b): plain(address) for a, b, address in opened["wires"]}
-        self.seen_peers = {
-            n: [plain(self.peers[p]) if p == n else wires[n, p] for p in nodes] for n in nodes
+        self.admin_addresses_by_instance = {o: {n: format_address(at[o, n]) for n in nodes} for o in owners}
+        agents = await self.workers["agents"].request("open", places=places)
+        more = await self.workers["relay"].request("more", ways=[[n, f"d{n[1:]}", agents[n]] for n in nodes])
+        self.discovery_addresses = {a: format_address(address) for a, _, address in more}
+        wires = {(a, b): format_address(address) for a, b, address in opened["wires"]}
+        self.peer_addresses_by_node = {
+            n: [format_address(self.peers[p]) if p == n else wires[n, p] for p in nodes] for n in nodes
         }  # fmt: skip
-        self.everyone = {n: wires[n, "*"] for n in nodes}
-        await self.workers["clients"].ask("open", addresses={n: at["clients", n] for n in nodes})
+        self.broadcast_addresses = {n: wires[n, "*"] for n in nodes}
+        await self.workers["clients"].request("open", addresses={n: at["clients", n] for n in nodes})
         await self._measure_relay()
 
-    async def _play(self) -> None:
-        self.skew_from_the_start()
-        owners = [self._start_owner(o) for o in self.scenario.owner_names()]
-        await asyncio.gather(*(self._start(n) for n in self.scenario.node_names()), *owners)
+    async def _run_scenario(self) -> None:
+        self.apply_initial_clock_skews()
+        owners = [self._start_instance(o) for o in self.scenario.owner_names()]
+        await asyncio.gather(*(self._start_node(n) for n in self.scenario.node_names()), *owners)
         if any(e["ev"] == "crash" for e in self.history.events):
             return
-        await self._zero()
+        await self._reset_time_origin()
         self.timeline.start()
         await asyncio.sleep(CLIENTS_FROM)
-        await self.workers["clients"].ask("start")
+        await self.workers["clients"].request("start")
         seconds = self.scenario.seconds - CLIENTS_FROM
         await self._wait(seconds)
-        await self.workers["clients"].ask("stop")
-        await self._wait(self.length - self.scenario.seconds)
+        await self.workers["clients"].request("stop")
+        await self._wait(self.duration_s - self.scenario.seconds)
 
-    async def _zero(self) -> None:
+    async def _reset_time_origin(self) -> None:
         """The run's time begins once all nodes are ready, however long the machine took over that."""
         origin = time.monotonic() * 1000.0
-        shift, self.boot = origin - self.origin, time.time() * 1000.0
+        shift, self.origin_unix_ms = origin - self.origin, time.time() * 1000.0
         for worker in self.workers.values():
-            await worker.ask("zero", origin=origin, boot=self.boot)
+            await worker.request("zero", origin=origin, boot=self.origin_unix_ms)
         for event in self.history.events:
             event["t"] = round(event["t"] - shift, 3)
-        self.origin, self.late = origin, 0.0
+        self.origin, self.max_late_ms = origin, 0.0
 
     async def _wait(self, seconds: float) -> None:
         until = time.monotonic() + seconds
-        while time.monotonic() < until and self.failed is None:
+        while time.monotonic() < until and self.failure is None:
             await asyncio.sleep(min(0.05, max(until - time.monotonic(), 0.0)))
 
     async def _close(self) -> None:
@@ -399,12 +404,12 @@
                     process.kill()
         for process in everyone:
             await process.wait()
-        self.taken.close()
+        self.ports.close()
         tasks = self.starting + self.launcher.tasks + self.operator.tasks
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, *(p.reader for p in self.workers.values()), return_exceptions=True)
         for worker in self.workers.values():
-            for future in worker.waiting.values():
+            for future in worker.pending.values():
                 if future.done():
                     future.exception()
--- a/caperdeck/lab/relay.py
+++ b/caperdeck/lab/relay.py
@@ -20,37 +20,37 @@
 
 FIN, RST = object(), object()
 BACKLOG = 512
-FILL = 8  # knocks that fill a queue of none
+QUEUE_FILLERS = 8  # knocks that fill a queue of none
 Address = tuple[str, int]
 
 
 @implementer(IHalfCloseableProtocol)
-class Side(Protocol):
+class ConnectionEnd(Protocol):
     """One of the two connections that a relayed one is made of."""
 
-    def __init__(self, joint: Joint, near: bool) -> None:
-        self.joint, self.near = joint, near
-        self.over = False
+    def __init__(self, connection: RelayedConnection, near: bool) -> None:
+        self.connection, self.near = connection, near
+        self.closed = False
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.joint.came_up(self)
+        self.connection.end_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        self.joint.read(self, data)
+        self.connection.read(self, data)
 
     def readConnectionLost(self) -> None:
-        self.joint.read(self, FIN)
+        self.connection.read(self, FIN)
 
     def writeConnectionLost(self) -> None:
         pass
 
     def connectionLost(self, reason: Any) -> None:
-        self.over = True
-        self.joint.read(self, FIN if reason.check(ConnectionDone) else RST)
+        self.closed = True
+        self.connection.read(self, FIN if reason.check(ConnectionDone) else RST)
 
-    def put(self, item: Any) -> None:
-        if self.over or self.transport is None:
+    def deliver(self, item: Any) -> None:
+        if self.closed or self.transport is None:
             return
         if item is FIN:
             self.transport.loseWriteConnection()
@@ -60,107 +60,109 @@
             self.transport.write(item)
 
 
-class Joint(ClientFactory):
+class RelayedConnection(ClientFactory):
     """One relayed connection."""
 
     noisy = False
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
-        relay = way.relay
-        a, b, reactor = way.a, way.b, relay.reactor
-        self.near, self.far = Side(self, True), Side(self, False)
+    def __init__(self, route: StreamRoute) -> None:
+        self.route = route
+        relay = route.relay
+        a, b, reactor = route.a, route.b, relay.reactor
+        self.near, self.far = ConnectionEnd(self, True), ConnectionEnd(self, False)
         kind = {"h": "host", "d": "list"}.get(b[0]) if a[0] == "n" else None
-        self.edge = Edge(kind, a, b, relay.emit) if kind else None
-        self.forth = Pipe(relay.links, reactor.seconds, reactor.callLater, a, b, self.deliver_far)
-        self.back = Pipe(relay.links, reactor.seconds, reactor.callLater, b, a, self.deliver_near)
-        self.early: list[Any] = []
-        self.shut: set[bool] = set()  # the sides that have ended, by nearness
-
-    def came_up(self, side: Side) -> None:
-        if side is self.near:
-            self.way.joints[self] = None
-            if self.way.held is None:
-                self.knock()
+        self.monitor = Edge(kind, a, b, relay.emit) if kind else None
+        self.to_far = Pipe(relay.links, reactor.seconds, reactor.callLater, a, b, self.deliver_far)
+        self.to_near = Pipe(relay.links, reactor.seconds, reactor.callLater, b, a, self.deliver_near)
+        self.undelivered: list[Any] = []
+        self.ended_ends: set[bool] = set()  # the sides that have ended, by nearness
+
+    def end_connected(self, end: ConnectionEnd) -> None:
+        if end is self.near:
+            self.route.connections[self] = None
+            if self.route.held_connections is None:
+                self.open_far_end()
             else:
-                self.way.held.append(self)
+                self.route.held_connections.append(self)
         else:
-            self.let_through()
+            self.release_undelivered()
 
-    def let_through(self) -> None:
-        early, self.early = self.early, []
-        for item in early:
-            self.far.put(item)
+    def release_undelivered(self) -> None:
+        undelivered, self.undelivered = self.undelivered, []
+        for item in undelivered:
+            self.far.deliver(item)
 
-    def knock(self) -> None:
+    def open_far_end(self) -> None:
         """Goes on to the far end, or lets through what was held back on a connection that stands."""
         if self.far.transport is not None:
-            self.let_through()
+            self.release_undelivered()
             return
-        self.way.relay.reactor.connectTCP(*self.way.target, self, 2.0)
+        self.route.relay.reactor.connectTCP(*self.route.target, self, 2.0)
 
-    def buildProtocol(self, addr: Any) -> Side:
+    def buildProtocol(self, addr: Any) -> ConnectionEnd:
         return self.far
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.far.over = True
-        self.near.put(RST)
+        self.far.closed = True
+        self.near.deliver(RST)
 
-    def read(self, side: Side, item: Any) -> None:
-        if side.near in self.shut:
+    def read(self, end: ConnectionEnd, item: Any) -> None:
+        if end.near in self.ended_ends:
             return
         if item is FIN or item is RST:
-            self.shut.add(side.near)
-            if side.near and self.edge is not None:
-                self.edge.ended("node")
-            if len(self.shut) == 2:
-                self.way.joints.pop(self, None)
-        elif side.near and self.edge is not None:
-            self.edge.wrote(item)
-        (self.forth if side.near else self.back).put(item)
+            self.ended_ends.add(end.near)
+            if end.near and self.monitor is not None:
+                self.monitor.ended("node")
+            if len(self.ended_ends) == 2:
+                self.route.connections.pop(self, None)
+        elif end.near and self.monitor is not None:
+            self.monitor.wrote(item)
+        (self.to_far if end.near else self.to_near).put(item)
 
     def deliver_far(self, item: Any) -> None:
-        if (self.far.transport is None or self.way.held is not None) and not self.far.over:
-            self.early.append(item)
-            if self.far.transport is not None and self not in self.way.held:
-                self.way.held.append(self)
-            if self.way.held is not None and isinstance(item, bytes):
-                self._say_withheld(item)
+        if (self.far.transport is None or self.route.held_connections is not None) and not self.far.closed:
+            self.undelivered.append(item)
+            if self.far.transport is not None and self not in self.route.held_connections:
+                self.route.held_connections.append(self)
+            if self.route.held_connections is not None and isinstance(item, bytes):
+                self._emit_withheld(item)
         else:
-            self.far.put(item)
+            self.far.deliver(item)
 
-    def _say_withheld(self, data: bytes) -> None:
+    def _emit_withheld(self, data: bytes) -> None:
         """An act on owned work, which is one piece, lies here."""
         words = data.split(b" ", 3)
         if words[0] == b"act" and len(words) == 4:
             work, token = words[1].decode(), int(words[2])
-            self.way.relay.emit("withheld", who=self.way.a, to=self.way.b, work=work, token=token)
+            self.route.relay.emit("withheld", who=self.route.a, to=self.route.b, work=work, token=token)
 
     def deliver_near(self, item: Any) -> None:
-        if self.edge is not None:
+        if self.monitor is not None:
             if isinstance(item, bytes):
-                self.edge.arrived(item)
+                self.monitor.arrived(item)
             else:
-                self.edge.ended("far")
-        self.near.put(item)
+                self.monitor.ended("far")
+        self.near.deliver(item)
 
     def reset(self) -> None:
-        if self.edge is not None:
-            self.edge.ended("far")
-        for side in (self.near, self.far):
-            if side.transport is not None and not side.over:
-                side.transport.abortConnection()
+        if self.monitor is not None:
+            self.monitor.ended("far")
+        for end in (self.near, self.far):
+            if end.transport is not None and not end.closed:
+                end.transport.abortConnection()
 
 
-class Way(ServerFactory):
+class StreamRoute(ServerFactory):
     """The listening side of one link."""
 
     noisy = False
 
     def __init__(self, relay: Relay, a: str, b: str, target: Address) -> None:
         self.relay, self.a, self.b, self.target = relay, a, b, target
-        self.joints: dict[Joint, None] = {}
-        self.held: list[Joint] | None = None  # while connections get no further than here, those that came
+        self.connections: dict[RelayedConnection, None] = {}
+        self.held_connections: list[RelayedConnection] | None = (
+            None  # while connections get no further than here, those that came
+        )
         self.port: Any = None
         self.fillers: list[socket.socket] = []
         self.address: Address = ("127.0.0.1", 0)
@@ -174,19 +176,19 @@
         self.address = (place.host, place.port)
         return self.address
 
-    def buildProtocol(self, addr: Any) -> Side:
-        return Joint(self).near
+    def buildProtocol(self, addr: Any) -> ConnectionEnd:
+        return RelayedConnection(self).near
 
     def hold(self, on: bool) -> None:
-        held, self.held = self.held, [] if on else None
-        for joint in held or ():
-            joint.knock()
+        held_connections, self.held_connections = self.held_connections, [] if on else None
+        for connection in held_connections or ():
+            connection.open_far_end()
 
-    def mind(self) -> None:
+    def apply_troubles(self) -> None:
         """What the link's troubles mean for those that knock."""
         silent = not self.relay.links.reachable(self.a, self.b)
         if self.down and self.port is not None:
-            self._loosen()
+            self._reopen_queue()
             self.closing = self.port.stopListening()
             self.port = None
         elif not self.down and self.port is None:
@@ -196,19 +198,19 @@
             else:
                 self.listen()
         if self.port is not None and silent != self.silent:
-            (self._fill if silent else self._loosen)()
+            (self._fill_queue if silent else self._reopen_queue)()
         self.silent = silent
 
-    def _fill(self) -> None:
+    def _fill_queue(self) -> None:
         self.port.stopReading()
         self.port.socket.listen(0)
-        for _ in range(FILL):
+        for _ in range(QUEUE_FILLERS):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.address)
             self.fillers.append(sock)
 
-    def _loosen(self) -> None:
+    def _reopen_queue(self) -> None:
         if self.fillers:
             for sock in self.fillers:
                 sock.close()
@@ -217,7 +219,7 @@
             self.port.startReading()
 
 
-class Wire(DatagramProtocol):
+class DatagramRoute(DatagramProtocol):
     """The relay's socket for datagrams from one node to another, or to all."""
 
     def __init__(self, relay: Relay, a: str, b: str) -> None:
@@ -230,41 +232,41 @@
 class Relay:
     def __init__(self, reactor: Any, links: Links, emit: Callable[..., None]) -> None:
         self.reactor, self.links, self.emit = reactor, links, emit
-        self.ways: dict[tuple[str, str], Way] = {}
-        self.wires: dict[tuple[str, str], Any] = {}
+        self.stream_routes: dict[tuple[str, str], StreamRoute] = {}
+        self.datagram_routes: dict[tuple[str, str], Any] = {}
         self.peers: dict[str, Address] = {}
-        self.taken = Ports()
+        self.ports = Ports()
 
-    def way(self, a: str, b: str, target: Address) -> Address:
-        way = self.ways[a, b] = Way(self, a, b, target)
-        way.address = ("127.0.0.1", self.taken.take(socket.SOCK_STREAM))
-        return way.listen()
+    def add_stream_route(self, a: str, b: str, target: Address) -> Address:
+        route = self.stream_routes[a, b] = StreamRoute(self, a, b, target)
+        route.address = ("127.0.0.1", self.ports.reserve(socket.SOCK_STREAM))
+        return route.listen()
 
-    def wire(self, a: str, b: str) -> Address:
+    def add_datagram_route(self, a: str, b: str) -> Address:
         """Where node a sends its datagrams for b, or for `*`, all."""
-        port = self.wires[a, b] = self.reactor.listenUDP(0, Wire(self, a, b), "127.0.0.1")
+        port = self.datagram_routes[a, b] = self.reactor.listenUDP(0, DatagramRoute(self, a, b), "127.0.0.1")
         place = port.getHost()
         return place.host, place.port
 
     def datagram(self, a: str, b: str, data: bytes) -> None:
         for to in (n for n in self.peers if n != a) if b == "*" else (b,):
-            late = self.links.datagram(a, to)
+            delays_ms = self.links.datagram(a, to)
             self.emit("datagram", who=a, to=to, size=len(data), ok=len(data) <= 256)
-            for wait in late:
+            for wait in delays_ms:
                 self.reactor.callLater(wait / 1000.0, self._send, a, to, data)
 
     def _send(self, a: str, to: str, data: bytes) -> None:
         # it comes from the address under which the receiver knows the sender
-        self.wires[to, a].write(data, self.peers[to])
+        self.datagram_routes[to, a].write(data, self.peers[to])
 
-    def down(self, name: str, down: bool) -> None:
+    def set_down(self, name: str, down: bool) -> None:
         """A process died or is there again: knocks at it are refused, or come through."""
-        for (_, b), way in self.ways.items():
+        for (_, b), route in self.stream_routes.items():
             if b == name:
-                way.down = down
-                way.mind()
+                route.down = down
+                route.apply_troubles()
 
-    def trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
+    def set_trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
         trouble = self.links.trouble(a, b)
         cut = values.pop("cut")
         for key, value in values.items():
@@ -272,14 +274,16 @@
         while trouble.cut != cut:
             self.links.cut(a, b, trouble.cut < cut)
         for pair in ((a, b), (b, a)):
-            if pair in self.ways:
-                self.ways[pair].mind()
+            if pair in self.stream_routes:
+                self.stream_routes[pair].apply_troubles()
 
     def hold(self, a: str, b: str, on: bool) -> None:
-        if (a, b) in self.ways:
-            self.ways[a, b].hold(on)
+        if (a, b) in self.stream_routes:
+            self.stream_routes[a, b].hold(on)
 
     def reset(self, a: str, b: str) -> None:
         for pair in ((a, b), (b, a)):
-            for joint in list(self.ways[pair].joints) if pair in self.ways else ():
-                joint.reset()
+            for connection in (
+                list(self.stream_routes[pair].connections) if pair in self.stream_routes else ()
+            ):
+                connection.reset()
--- a/caperdeck/lab/rig_process.py
+++ b/caperdeck/lab/rig_process.py
@@ -16,7 +16,7 @@
 from .scenario import Scenario, dump
 
 ROOT = Path(__file__).resolve().parents[2]
-START = 20.0  # seconds in which a worker has to open, and a node to answer PING, on a busy machine
+START_TIMEOUT_S = 20.0  # seconds in which a worker has to open, and a node to answer PING, on a busy machine
 LONGEST_LINE = 16 << 20  # bytes
 
 
@@ -30,9 +30,9 @@
     scenario: Scenario
     seed: int
     origin: float  # of the run's times: CLOCK_MONOTONIC, milliseconds
-    boot: float  # the same moment in Unix milliseconds
+    origin_unix_ms: float  # the same moment in Unix milliseconds
 
-    def came(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """A worker has seen something."""
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self, fleet: Run, role: str) -> None:
         self.fleet, self.role = fleet, role
-        self.asked, self.waiting = 0, {}
+        self.last_command, self.pending = 0, {}
         self.process: Any = None
 
     async def start(self) -> None:
@@ -51,7 +51,8 @@
         )  # fmt: skip
         fleet = self.fleet
         self._write({
-            "scenario": dump(fleet.scenario), "seed": fleet.seed, "origin": fleet.origin, "boot": fleet.boot,
+            "scenario": dump(fleet.scenario), "seed": fleet.seed, "origin": fleet.origin,
+            "boot": fleet.origin_unix_ms,
         })  # fmt: skip
         self.reader = asyncio.ensure_future(self._read())
 
@@ -60,25 +61,25 @@
             raise VoidError(f"the rig's {self.role} ended")
         self.process.stdin.write(msgspec.json.encode(value) + b"\n")
 
-    def tell(self, do: str, **values: Any) -> asyncio.Future:
-        self.asked += 1
-        self._write({"do": do, "number": self.asked, **values})
-        answer = self.waiting[self.asked] = asyncio.get_running_loop().create_future()
+    def send_command(self, do: str, **values: Any) -> asyncio.Future:
+        self.last_command += 1
+        self._write({"do": do, "number": self.last_command, **values})
+        answer = self.pending[self.last_command] = asyncio.get_running_loop().create_future()
         return answer
 
-    async def ask(self, do: str, **values: Any) -> Any:
-        return await asyncio.wait_for(self.tell(do, **values), START)
+    async def request(self, do: str, **values: Any) -> Any:
+        return await asyncio.wait_for(self.send_command(do, **values), START_TIMEOUT_S)
 
     async def _read(self) -> None:
         decode = msgspec.json.Decoder(dict).decode
         while line := await self.process.stdout.readline():
             event = decode(line)
             if event["ev"] == "done":
-                future = self.waiting.pop(event["number"])
+                future = self.pending.pop(event["number"])
                 if not future.done():
                     future.set_result(event["answer"])
             else:
-                self.fleet.came(event)
-        for future in self.waiting.values():
+                self.fleet.handle_event(event)
+        for future in self.pending.values():
             if not future.done():
                 future.set_exception(VoidError(f"the rig's {self.role} ended"))
--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -5,7 +5,7 @@
 import os
 from typing import Any
 
-from caperdeck.lab.cli import number, say
+from caperdeck.lab.cli import parse_whole_number, print_line
 from caperdeck.lab.scenario import ScenarioError
 
 from .progress import Progress
@@ -25,7 +25,7 @@
 def scale(arguments: dict[str, Any]) -> int:
     def given(name: str, most: int) -> int | None:
         text = arguments[f"--{name}"]
-        return None if text is None else number(text, name, 1, most, 0)
+        return None if text is None else parse_whole_number(text, name, 1, most, 0)
 
     scenario = load(
         arguments["SCENARIO"][0], given("nodes", MOST_PEERS), given("processes", MOST_HOLLOW_PROCESSES),
@@ -40,7 +40,7 @@
         progress.end()
     result = conclude(scenario, measured)
     for line in lines(result):
-        say(line)
+        print_line(line)
     if arguments["--json"]:
         write(arguments["--json"], result)
     if arguments["--out"]:
--- a/caperdeck/lab/scale/real_nodes.py
+++ b/caperdeck/lab/scale/real_nodes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from caperdeck.lab.history import Event
-from caperdeck.lab.real import RealFleet, plain
+from caperdeck.lab.real import RealFleet, format_address
 
 from .instances import Agreement, told_nodes
 from .places import Places
@@ -38,47 +38,47 @@
         nodes, hosts = self.scenario.node_names(), self.scenario.host_names()
         owners = self.scenario.owner_names()
         await self._start_workers()
-        ends = await self.workers["hosts"].ask("open")
+        ends = await self.workers["hosts"].request("open")
         self._take_ports(nodes, owners)
         ways = [[n, h, ends[h]] for n in nodes for h in hosts]
         ways += [["clients", n, self.addresses[n]] for n in nodes]
-        opened = await self.workers["relay"].ask("open", ways=ways, peers={})
+        opened = await self.workers["relay"].request("open", ways=ways, peers={})
         at = {(a, b): address for a, b, address in opened["streams"]}
-        places = {n: {h: plain(at[n, h]) for h in hosts} for n in nodes}
-        agents = await self.workers["agents"].ask("open", places=places)
-        more = await self.workers["relay"].ask("more", ways=[[n, f"d{n[1:]}", agents[n]] for n in nodes])
-        self.agents = {a: plain(address) for a, _, address in more}
+        places = {n: {h: format_address(at[n, h]) for h in hosts} for n in nodes}
+        agents = await self.workers["agents"].request("open", places=places)
+        more = await self.workers["relay"].request("more", ways=[[n, f"d{n[1:]}", agents[n]] for n in nodes])
+        self.discovery_addresses = {a: format_address(address) for a, _, address in more}
         self._tell_addresses(nodes, owners)
-        await self.workers["clients"].ask("open", addresses={n: at["clients", n] for n in nodes})
+        await self.workers["clients"].request("open", addresses={n: at["clients", n] for n in nodes})
         await self._measure_relay()
 
     def _take_ports(self, nodes: list[str], owners: list[str]) -> None:
         self.addresses = {name: self._take_port(socket.SOCK_STREAM) for name in nodes + owners}
         self.peers = {n: self._take_port(socket.SOCK_DGRAM) for n in nodes}
-        self.listen = {name: plain(address) for name, address in self.addresses.items()}
-        self.admins = {n: plain(self._take_port(socket.SOCK_STREAM)) for n in nodes}
+        self.listen_addresses = {name: format_address(address) for name, address in self.addresses.items()}
+        self.admin_addresses = {n: format_address(self._take_port(socket.SOCK_STREAM)) for n in nodes}
 
     def _tell_addresses(self, nodes: list[str], owners: list[str]) -> None:
         hollow = self.hollow_addresses
-        self.everybody = [plain(self.peers[n]) for n in nodes] + [hollow[i] for i in sorted(hollow)]
-        self.seen_peers = dict.fromkeys(nodes, self.everybody)
-        self.everyone = dict.fromkeys(nodes, "")
-        instances = {o[1:]: self.listen[o] for o in owners}
-        self.seen_owners = dict.fromkeys(owners + nodes, instances)
-        second = self.admins | {f"n{i}": hollow[i] for i in sorted(hollow)}
-        self.seen_admins = dict.fromkeys(owners, told_nodes(second))
+        self.everybody = [format_address(self.peers[n]) for n in nodes] + [hollow[i] for i in sorted(hollow)]
+        self.peer_addresses_by_node = dict.fromkeys(nodes, self.everybody)
+        self.broadcast_addresses = dict.fromkeys(nodes, "")
+        instances = {o[1:]: self.listen_addresses[o] for o in owners}
+        self.instance_addresses = dict.fromkeys(owners + nodes, instances)
+        second = self.admin_addresses | {f"n{i}": hollow[i] for i in sorted(hollow)}
+        self.admin_addresses_by_instance = dict.fromkeys(owners, told_nodes(second))
 
     async def start_all(self) -> None:
         """Instances and real nodes; one that does not come up is found by `missing`."""
-        owners = [self._start_owner(o) for o in self.scenario.owner_names()]
-        await asyncio.gather(*(self._start(n) for n in self.scenario.node_names()), *owners)
+        owners = [self._start_instance(o) for o in self.scenario.owner_names()]
+        await asyncio.gather(*(self._start_node(n) for n in self.scenario.node_names()), *owners)
 
     async def start_clients(self) -> None:
-        await self._zero()
-        await self.workers["clients"].ask("start")
+        await self._reset_time_origin()
+        await self.workers["clients"].request("start")
 
     async def stop_clients(self) -> None:
-        await self.workers["clients"].ask("stop")
+        await self.workers["clients"].request("stop")
 
     def kill(self, name: str) -> None:
         self.killed[name] = self.killed.get(name, 0) + 1
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from caperdeck.lab.oracle import SAME_TURN, judge
+from caperdeck.lab.oracle import REORDER_WINDOW_MS, find_breaches
 from caperdeck.lab.owned_work import CHECKS
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import dump
@@ -66,13 +66,13 @@
                 raise VoidError("a part of the rig did not answer in its time") from None
             except asyncio.CancelledError:
                 # by what runs beside the steps, which has left its reason
-                if self.real.failed is None:
+                if self.real.failure is None:
                     raise
             finally:
                 self.real.over = True
                 await self._close()
-        if self.real.failed is not None:
-            raise self.real.failed
+        if self.real.failure is not None:
+            raise self.real.failure
         self._conclude()
         return self.measured
 
@@ -106,7 +106,7 @@
                     await asyncio.sleep(seconds)
             except Exception as error:
                 # Danger: an interrupt is raised wherever the process is just then, here too.
-                self.real.failed = self.real.failed or error
+                self.real.failure = self.real.failure or error
                 self.steps.cancel()
 
         self.tasks.append(asyncio.ensure_future(again()))
@@ -172,7 +172,7 @@
         numbers = self.scenario.racks()[i]
         self.lives[i] += 1
         addresses = [self.real.hollow_addresses[n] for n in numbers]
-        instances = [self.real.listen[o] for o in self.real.scenario.owner_names()]
+        instances = [self.real.listen_addresses[o] for o in self.real.scenario.owner_names()]
         return Plan(
             numbers, addresses, self.real.everybody, instances, CLUSTER, self.places.lists(),
             self.scenario.sharing, dump(self.real.scenario), self.scenario.seed, self.lives[i],
@@ -230,7 +230,7 @@
         real.agreement.forget(name)
         fault.dead_s = await self._until(lambda: real.agreement.agreed, bound)
         await real.processes[name].wait()
-        await real._start_owner(name)
+        await real._start_instance(name)
         fault.back_s = self.now() - fault.at
 
     async def _kill_rack(self) -> None:
@@ -259,7 +259,7 @@
         real.kill(name)
         await real.processes[name].wait()
         fault.dead_s = self.now() - fault.at
-        start = asyncio.ensure_future(real._start(name))
+        start = asyncio.ensure_future(real._start_node(name))
         done, _ = await asyncio.wait([start], timeout=bound)
         if done and real.answers(name):
             fault.back_s = self.now() - fault.at
@@ -273,7 +273,7 @@
         m.seconds = self.now()
         m.missing = self.real.missing() + [r.name for r in self.racks if r.wanted and not r.alive]
         m.late = {r.name: r.last.late for r in self.racks if r.last is not None}
-        m.late |= {"run": self.beats.late, "rig": Late(worst_ms=self.real.late)}
+        m.late |= {"run": self.beats.late, "rig": Late(worst_ms=self.real.max_late_ms)}
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -288,7 +288,7 @@
         m.tries = sum(e["ev"] == "ask" for e in events)
         m.answers = dict(Counter(e["what"] for e in events if e["ev"] == "answer"))
         m.served = m.answers.get("up", 0)
-        m.breaches = [b.line() for b in judge(self.real.scenario, events, CHECKS, SAME_TURN)]
+        m.breaches = [b.line() for b in find_breaches(self.real.scenario, events, CHECKS, REORDER_WINDOW_MS)]
 
 
 def _tail(path: Path) -> str:
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import field
 
-from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
+from caperdeck.lab.scenario import MAX_INSTANCES, MAX_REAL_NODES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lifecycle.sharing import MOST_PEERS
@@ -165,8 +165,8 @@
     for where, value, least, most in (
         ("machines", s.machines, 1, MOST_PEERS),
         ("processes_a_machine", s.processes_a_machine, 1, 64),
-        ("instances", s.instances, 1, MOST_OWNERS),
-        ("real.nodes", s.real.nodes, 1, MOST_PROCESSES),
+        ("instances", s.instances, 1, MAX_INSTANCES),
+        ("real.nodes", s.real.nodes, 1, MAX_REAL_NODES),
         ("hollow.processes", s.hollow.processes, 1, MOST_HOLLOW_PROCESSES),
         ("hollow.nodes", s.hollow_nodes, s.hollow.processes, MOST_PEERS - s.real.nodes),
         ("limits.processes", s.limits.processes, 1, 10_000),
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -18,7 +18,7 @@
 from twisted.internet import stdio
 
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
+from caperdeck.lab.plan_reader import PlanReader, OrderHandler, OutputWriter
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
 from caperdeck.gossip.sharing import SharingFeatures
@@ -188,7 +188,7 @@
     end_with_parent()
     traffic = count_traffic()
 
-    def begin(plan: Plan, write: Write) -> TakeOrder:
+    def begin(plan: Plan, write: OutputWriter) -> OrderHandler:
         process = HollowProcess(plan, traffic, write)
         process.start()
         return lambda line: process.order(msgspec.json.decode(line, type=Order))
--- a/caperdeck/lab/scenario.py
+++ b/caperdeck/lab/scenario.py
@@ -14,9 +14,10 @@
 
 MOST_NODES, MOST_HOSTS, MOST_SECONDS, MOST_RATE, MOST_FAULTS = 400, 200, 300.0, 5000.0, 200
 MOST_ALIASES, MOST_STANDING = 10_000, 2000
-MOST_PROCESSES = 12  # nodes as real processes
-MOST_OWNERS = 7
-LEADER, HOLDER = "leader", "holder:"  # for a fault: whoever leads the instances, or holds a work, just then
+MAX_REAL_NODES = 12  # nodes as real processes
+MAX_INSTANCES = 7
+# Roles that a fault may name instead of endpoints: the instance that leads, or holds a work, at that moment.
+LEADER, HOLDER_PREFIX = "leader", "holder:"
 
 
 class ScenarioError(Exception):
@@ -241,7 +242,7 @@
     for where, value, most in (
         ("nodes", s.nodes, MOST_NODES), ("hosts.count", s.hosts.count, MOST_HOSTS),
         ("seconds", s.seconds, MOST_SECONDS), ("clients.rate", s.clients.rate, MOST_RATE),
-        ("fault", len(s.fault), MOST_FAULTS), ("owners", s.owners, MOST_OWNERS),
+        ("fault", len(s.fault), MOST_FAULTS), ("owners", s.owners, MAX_INSTANCES),
         ("hosts.aliases", s.hosts.aliases, MOST_ALIASES),
         ("clients.standing", s.clients.standing, MOST_STANDING),
     ):  # fmt: skip
@@ -272,7 +273,7 @@
     if f.do == "cut-zone":
         if f.of not in s.zones:
             yield "of", f"no zone {f.of!r}"
-    elif s.owners and (f.of == LEADER or f.of.startswith(HOLDER)):
+    elif s.owners and (f.of == LEADER or f.of.startswith(HOLDER_PREFIX)):
         endpoints = set(s.owner_names())
     elif not endpoints:
         yield "of", f"nothing is named {f.of!r}"
--- a/caperdeck/lab/search.py
+++ b/caperdeck/lab/search.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.errors import NoSuchExample
 
-from .oracle import Breach, judge
+from .oracle import Breach, find_breaches
 from .scenario import Fault, Scenario, dump
 from .virtual import VirtualFleet
 
@@ -46,7 +46,7 @@
 
 def broken(scenario: Scenario, faults: list[Fault], seed: int) -> list[Breach]:
     played = msgspec.structs.replace(scenario, fault=faults, seed=seed)
-    return judge(played, VirtualFleet(played).run())
+    return find_breaches(played, VirtualFleet(played).run())
 
 
 def smaller(faults: list[Fault]) -> Iterator[list[Fault]]:
@@ -101,7 +101,7 @@
         return None
     faults, seed = shrink(scenario, [*scenario.fault, *added], seed, tell)
     small = msgspec.structs.replace(scenario, fault=faults, seed=seed)
-    return small, judge(small, VirtualFleet(small).run())
+    return small, find_breaches(small, VirtualFleet(small).run())
 
 
 def text(scenario: Scenario) -> str:
--- a/caperdeck/lab/simulated/connector.py
+++ b/caperdeck/lab/simulated/connector.py
@@ -46,11 +46,11 @@
         far, here = world.listening.get(self.address), self.place.name
         back = world.links.delay(name, here) / 1000.0
         if far is None:
-            world.clock.soon(back, self.place.act, self.fail, ConnectionRefusedError())
+            world.clock.soon(back, self.place.call_when_running, self.fail, ConnectionRefusedError())
             return
         near, end = Transport.pair(self.place, far.place, self.address)
-        far.place.act(far.accept, end)
-        world.clock.soon(back, self.place.act, self._up, near)
+        far.place.call_when_running(far.accept, end)
+        world.clock.soon(back, self.place.call_when_running, self._up, near)
 
     def _up(self, near: Transport) -> None:
         if self.state != "connecting" or near.lost:
--- a/caperdeck/lab/simulated/socket.py
+++ b/caperdeck/lab/simulated/socket.py
@@ -42,4 +42,4 @@
     def _arrive(self, to: Address, data: bytes) -> None:
         far = self.place.world.datagrams.get(to)
         if far is not None:
-            far.place.act(far.protocol.datagramReceived, data, self.address)
+            far.place.call_when_running(far.protocol.datagramReceived, data, self.address)
--- a/caperdeck/lab/simulated/transport.py
+++ b/caperdeck/lab/simulated/transport.py
@@ -134,7 +134,7 @@
             peer.edge.ended("far")
         elif peer.edge is not None:
             peer.edge.arrived(item)
-        peer.place.act(peer._read, item)
+        peer.place.call_when_running(peer._read, item)
         if self.lost and not self.pipe.queue:
             self.pipe.close()
 
--- a/caperdeck/lab/slopes/bench.py
+++ b/caperdeck/lab/slopes/bench.py
@@ -139,7 +139,7 @@
 
     def __init__(self, bench: Bench, control: Path | None = None) -> None:
         self.bench, self.control = bench, control
-        self.port = bench.ports.take(socket.SOCK_STREAM)
+        self.port = bench.ports.reserve(socket.SOCK_STREAM)
 
     def __enter__(self) -> NodeProcess:
         folder = Path(self.bench.folder.name)
--- a/caperdeck/lab/slopes/instances.py
+++ b/caperdeck/lab/slopes/instances.py
@@ -81,7 +81,7 @@
         self, count: int, folder: Path, nodes: dict[str, Address] | None = None, cluster: str = CLUSTER,
     ) -> None:  # fmt: skip
         self.folder, self.ports, self.cluster = folder, Ports(), cluster
-        self.addresses = [Address(LOOPBACK, self.ports.take(socket.SOCK_STREAM)) for _ in range(count)]
+        self.addresses = [Address(LOOPBACK, self.ports.reserve(socket.SOCK_STREAM)) for _ in range(count)]
         self.nodes = nodes or {}
         self.processes: list[Process] = []
 
--- a/caperdeck/lab/slopes/owned_work.py
+++ b/caperdeck/lab/slopes/owned_work.py
@@ -89,7 +89,7 @@
     ports = Ports()
     process = None
     try:
-        control, *numbers = [ports.take(socket.SOCK_STREAM) for _ in range(count + 1)]
+        control, *numbers = [ports.reserve(socket.SOCK_STREAM) for _ in range(count + 1)]
         process = Process(TARGETS, str(control), *map(str, numbers), log=folder / "targets.log")
         made = Targets(process, Address(LOOPBACK, control), [Address(LOOPBACK, n) for n in numbers])
         made.wait_for(lambda: made.call("figures") is not None, "the nodes do not answer")
--- a/caperdeck/lab/soak.py
+++ b/caperdeck/lab/soak.py
@@ -19,7 +19,7 @@
 from caperdeck.ops.admin_server import RESERVED
 
 from .history import Event
-from .oracle import SAME_TURN, Breach, judge
+from .oracle import REORDER_WINDOW_MS, Breach, find_breaches
 from .real import RealFleet
 from .rig_process import VoidError
 from .scenario import Clients, Fault, Hosts, Net, Scenario, check
@@ -164,9 +164,9 @@
         except VoidError as error:
             reason = str(error)
             continue
-        breaches = judge(made, events, (), SAME_TURN)
-        if breaches and fleet.late > made.rules.slack:
-            reason = f"a part of the rig ran {fleet.late:.0f} ms late"
+        breaches = find_breaches(made, events, (), REORDER_WINDOW_MS)
+        if breaches and fleet.max_late_ms > made.rules.slack:
+            reason = f"a part of the rig ran {fleet.max_late_ms:.0f} ms late"
             continue
         if folder is not None:
             (folder / "scenario.toml").write_text(text(made))
--- a/caperdeck/lab/suspension.py
+++ b/caperdeck/lab/suspension.py
@@ -11,18 +11,18 @@
 
     def __init__(self) -> None:
         self.up, self.suspended = True, False
-        self.inbox: list[tuple[Callable, tuple]] = []
+        self.deferred_calls: list[tuple[Callable, tuple]] = []
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.up and not self.suspended
 
-    def act(self, do: Callable, *args: Any) -> None:
+    def call_when_running(self, do: Callable, *args: Any) -> None:
         """What comes for the process: done now, once it is resumed, or never."""
         if not self.up:
             return
         if self.suspended:
-            self.inbox.append((do, args))
+            self.deferred_calls.append((do, args))
         else:
             do(*args)
 
@@ -31,6 +31,6 @@
 
     def resume(self) -> None:
         self.suspended = False
-        inbox, self.inbox = self.inbox, []
-        for do, args in inbox:
-            self.act(do, *args)
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for do, args in deferred_calls:
+            self.call_when_running(do, *args)
--- a/caperdeck/lab/system_errors.py
+++ b/caperdeck/lab/system_errors.py
@@ -36,7 +36,7 @@
             file.write(RATE.pack(rate))
 
 
-def fail_now_and_then(path: str, seed: int) -> None:
+def inject_call_errors(path: str, seed: int) -> None:
     """Puts the failing calls in the place of the library's."""
     with open(path, "rb") as file:
         shared = mmap.mmap(file.fileno(), RATE.size, access=mmap.ACCESS_READ)
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -62,7 +62,7 @@
         self.decides, self.settings = decides, settings
         self.services: dict[str, Copy] = {}
         self.places: dict[str, Place] = {}
-        self.took = 0.0  # seconds of real time
+        self.wall_seconds = 0.0  # seconds of real time
         self._build()
 
     def now(self) -> float:
@@ -98,7 +98,7 @@
             return
         life = self.lives[node] = self.lives.get(node, 0) + 1
         i, place = int(node[1:]), Place(self.world, node)
-        offset, drift = self.skews.get(node, (0.0, 0.0))
+        offset, drift = self.clock_skews.get(node, (0.0, 0.0))
         place.rate, place.offset = 1 + drift / 1000.0, offset / 1000.0
         raw = node_config(
             self.scenario, node, f"{self._ip(2, i)}:9000", f"{self._ip(3, i)}:8500", life, self.seed,
@@ -114,11 +114,11 @@
             subsets=self.scenario.subsets,
         )  # fmt: skip
         copy.handler.balancer = Balancer(config.settings, copy.clock(), self.decides)
-        place.exited = lambda: self.gone(node, "exit")
+        place.exited = lambda: self.process_ended(node, "exit")
         self.places[node], self.services[node] = place, copy
         copy.start()
         self.history.emit("life", who=node, state="up", life=life)
-        self.later(READY, self.ready, node, life)
+        self.later(READY, self.node_ready, node, life)
 
     # ---- what a fault asks for
 
@@ -131,25 +131,25 @@
     def kill(self, node: str) -> None:
         if self.alive(node):
             self.places[node].die()
-            self.gone(node, "killed")
+            self.process_ended(node, "killed")
 
     def terminate(self, node: str) -> None:
         if self.alive(node):
             self.history.emit("life", who=node, state="stopping")
             self.places[node].callLater(0, self.services[node].stop)
-            self.later(LEAVES, self.front, "leaves", node)
+            self.later(LEAVES, self.update_front_end, "leaves", node)
 
-    def stop(self, node: str) -> None:
+    def suspend(self, node: str) -> None:
         if self.alive(node) and not self.places[node].suspended:
             self.places[node].suspend()
             self.history.emit("life", who=node, state="asleep")
 
-    def wake(self, node: str) -> None:
+    def resume(self, node: str) -> None:
         if self.alive(node) and self.places[node].suspended:
             self.history.emit("life", who=node, state="awake")
             self.places[node].resume()
 
-    def front(self, what: str, node: str) -> None:
+    def update_front_end(self, what: str, node: str) -> None:
         self.clients.node(what, node)
 
     def reset(self, a: str, b: str) -> None:
@@ -159,14 +159,14 @@
                     end.peer.reset("far")
                     end.reset("far")
 
-    def host_do(self, name: str, what: str, amount: float = 0.0) -> None:
+    def control_host(self, name: str, what: str, amount: float = 0.0) -> None:
         self.hosts[name].do(what, amount)
 
-    def listing(self, name: str, state: str) -> None:
+    def change_listing(self, name: str, state: str) -> None:
         self.discovery.change(name, state, EPOCH + self.hosts[name].host.born if state == "cold" else None)
 
-    def hush(self, node: str, silent: bool) -> None:
-        self.discovery.agents[node].hush(silent)
+    def set_discovery_silent(self, node: str, silent: bool) -> None:
+        self.discovery.agents[node].set_silent(silent)
 
     # ---- the run
 
@@ -175,15 +175,15 @@
         logger.remove()
         gc.disable()  # what a run makes lives to its end
         began = time.perf_counter()
-        self.skew_from_the_start()
+        self.apply_initial_clock_skews()
         for node in self.scenario.node_names():
             self.later(0.02 * self.links.chance(), self.start, node)
         self.timeline.start()
         self.later(CLIENTS_FROM, self.clients.start)
         self.later(self.scenario.seconds, self.clients.stop)
         try:
-            self.world.clock.run(self.length)
+            self.world.clock.run(self.duration_s)
         finally:
             gc.enable()
-        self.took = time.perf_counter() - began
+        self.wall_seconds = time.perf_counter() - began
         return self.history.sorted()
--- a/caperdeck/lab/wall_clock.py
+++ b/caperdeck/lab/wall_clock.py
@@ -30,7 +30,7 @@
             file.write(data)
 
 
-def follow(path: str) -> None:
+def follow_stepped_clock(path: str) -> None:
     """Puts the stepped clock in the place of `time.time`, before the program is loaded."""
     with open(path, "rb") as file:
         offset = mmap.mmap(file.fileno(), OFFSET.size, access=mmap.ACCESS_READ)
--- a/caperdeck/lab/worker.py
+++ b/caperdeck/lab/worker.py
@@ -99,7 +99,7 @@
         self.discovery.change(name, state, boot)
 
     def do_hush(self, node: str, silent: bool) -> None:
-        self.discovery.agents[node].hush(silent)
+        self.discovery.agents[node].set_silent(silent)
 
 
 class ClientsWorker(Worker):
@@ -124,19 +124,19 @@
     def do_open(self, ways: list, peers: dict[str, list]) -> dict[str, Any]:
         self.relay = Relay(reactor, Links(self.seed, self.scenario.delay), self.emit)
         self.relay.peers = {n: (host, port) for n, (host, port) in peers.items()}
-        streams = [[a, b, self.relay.way(a, b, (host, port))] for a, b, (host, port) in ways]
+        streams = [[a, b, self.relay.add_stream_route(a, b, (host, port))] for a, b, (host, port) in ways]
         nodes = list(peers)
-        wires = [[a, b, self.relay.wire(a, b)] for a in nodes for b in [*nodes, "*"] if a != b]
+        wires = [[a, b, self.relay.add_datagram_route(a, b)] for a in nodes for b in [*nodes, "*"] if a != b]
         return {"streams": streams, "wires": wires}
 
     def do_more(self, ways: list) -> list:
-        return [[a, b, self.relay.way(a, b, (host, port))] for a, b, (host, port) in ways]
+        return [[a, b, self.relay.add_stream_route(a, b, (host, port))] for a, b, (host, port) in ways]
 
     def do_down(self, name: str, down: bool) -> None:
-        self.relay.down(name, down)
+        self.relay.set_down(name, down)
 
     def do_trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
-        self.relay.trouble(a, b, values)
+        self.relay.set_trouble(a, b, values)
 
     def do_hold(self, a: str, b: str, on: bool) -> None:
         self.relay.hold(a, b, on)
@@ -150,14 +150,14 @@
         echo.noisy, echo.protocol = False, _Echo
         port = reactor.listenTCP(0, echo, 512, "127.0.0.1")
         place = port.getHost()
-        way = self.relay.way("clients", "echo", (place.host, place.port))
+        way = self.relay.add_stream_route("clients", "echo", (place.host, place.port))
         began, left = time.perf_counter(), [TRIES]
 
         def one() -> None:
             left[0] -= 1
             if not left[0]:
                 port.stopListening()
-                self.relay.ways.pop(("clients", "echo")).port.stopListening()
+                self.relay.stream_routes.pop(("clients", "echo")).port.stopListening()
                 # the measuring side's own work is in it, so the relay bears more than this
                 self.emit("headroom", per_s=round(TRIES / (time.perf_counter() - began), 1))
                 self.due = 0.0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -32,7 +32,8 @@
 HOUR_S = 3600.0
 CLIENT_WAIT_S = 1.2
 SLACK_S = 0.05
-RUN = "import sys; from caperdeck.lab.wall_clock import follow; follow(sys.argv[1])\n" \
+RUN = "import sys; from caperdeck.lab.wall_clock import follow_stepped_clock; " \
+      "follow_stepped_clock(sys.argv[1])\n" \
       "from caperdeck.__main__ import main; sys.exit(main(['serve']))"  # fmt: skip
 
 
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -234,10 +234,10 @@
     relay = Relay(reactor, links(), lambda *a, **v: None)
     relay.peers = {n: ("127.0.0.1", 9000 + i) for i, n in enumerate(("n0", "n1", "n2"))}
     for a, b in (("n0", to), ("n1", "n0"), ("n2", "n0")):
-        relay.wire(a, b)
+        relay.add_datagram_route(a, b)
     relay.datagram("n0", to, b"hello")
     reactor.advance(1.0)
-    sent = {n: relay.wires[n, "n0"].sent for n in ("n1", "n2")}
+    sent = {n: relay.datagram_routes[n, "n0"].sent for n in ("n1", "n2")}
     assert sent == {n: [(b"hello", relay.peers[n])] * (n in reached) for n in sent}
 
 
@@ -254,10 +254,10 @@
     def dataReceived(self, data): self.transport.write(data)
 port = reactor.listenTCP(0, Factory.forProtocol(Echo), 50, "127.0.0.1").getHost().port
 relay = Relay(reactor, Links(1, lambda a, b: (0.0, 1.0)), lambda *a, **v: None)
-way = relay.way("n0", "h0", ("127.0.0.1", port))
+route = relay.add_stream_route("n0", "h0", ("127.0.0.1", port))
 def knock(wait=10.0):
     try:
-        with socket.create_connection(way, wait) as sock:
+        with socket.create_connection(route, wait) as sock:
             sock.sendall(b"x")
             return sock.recv(1).decode()
     except OSError as error:
@@ -267,10 +267,10 @@
     reactor.callFromThread(lambda: (do(*args), done.set()))
     done.wait()
     time.sleep(0.1)
-def cut(on): relay.trouble("h0", "n0", {"cut": int(on)})
+def cut(on): relay.set_trouble("h0", "n0", {"cut": int(on)})
 def play():
     said = [knock()]
-    for do, arg in ((cut, True), (cut, False), (lambda d: relay.down("h0", d), True), (lambda d: relay.down("h0", d), False)):
+    for do, arg in ((cut, True), (cut, False), (lambda d: relay.set_down("h0", d), True), (lambda d: relay.set_down("h0", d), False)):
         in_reactor(do, arg)
         said.append(knock(0.3 if (do, arg) == (cut, True) else 10.0))
     print(*said, flush=True)
@@ -290,10 +290,10 @@
 def test_a_port_that_is_dealt_out_is_kept_for_its_owner(monkeypatch):
     """Two rigs at once drew the same port, and a node of one was taken for ready by the other's PONG."""
     one, other = Ports(), Ports()
-    port = one.take(socket.SOCK_STREAM)
+    port = one.reserve(socket.SOCK_STREAM)
     draws = iter([port, port, port + 1])
     monkeypatch.setattr("caperdeck.lab.ports.random.randrange", lambda *_: next(draws, port + 2))
-    assert other.take(socket.SOCK_DGRAM) > port
+    assert other.reserve(socket.SOCK_DGRAM) > port
     for _ in range(2):  # also once its owner has come back
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from caperdeck.lab.oracle import Check, judge
+from caperdeck.lab.oracle import Check, find_breaches
 from caperdeck.lab.scenario import decode
 
 SCENARIO = decode({"name": "t", "seconds": 60, "nodes": 2, "hosts": {"count": 2}})
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("rule, text, events", BROKEN)
 def test_a_history_that_breaks_one_rule_is_named(rule, text, events):
-    breaches = judge(SCENARIO, events)
+    breaches = find_breaches(SCENARIO, events)
     assert breaches and {b.rule for b in breaches} == {rule}
     assert text in breaches[0].line() and breaches[0].t > 0 or rule == "sessions"
 
@@ -84,15 +84,15 @@
 
 @pytest.mark.parametrize("events", SOUND)
 def test_a_sound_history_is_not(events):
-    assert judge(SCENARIO, events) == []
+    assert find_breaches(SCENARIO, events) == []
 
 
 @pytest.mark.parametrize("state", ["killed", "asleep", "exit"])
 def test_a_node_that_was_not_there_is_excused_from_being_in_time_and_from_nothing_else(state):
     gone = ev(500, "life", who="n0", state=state)
-    assert judge(SCENARIO, [ask(), gone, LATER]) == []
-    assert judge(SCENARIO, [ask(600), ev(500, "life", who="n1", state=state), LATER])
-    assert judge(SCENARIO, [ask(), gone, answer(700), answer(800), LATER])
+    assert find_breaches(SCENARIO, [ask(), gone, LATER]) == []
+    assert find_breaches(SCENARIO, [ask(600), ev(500, "life", who="n1", state=state), LATER])
+    assert find_breaches(SCENARIO, [ask(), gone, answer(700), answer(800), LATER])
 
 
 def test_a_node_is_excused_until_the_last_of_what_keeps_it_has_gone():
@@ -100,23 +100,23 @@
     cut = [
         ev(t, "fault", number=1, on=on, of=["clients"], far=["n0"]) for t, on in ((200, True), (900, False))
     ]  # fmt: skip
-    assert judge(SCENARIO, [asleep[0], *cut, ask(1000), asleep[1], LATER]) == []
+    assert find_breaches(SCENARIO, [asleep[0], *cut, ask(1000), asleep[1], LATER]) == []
 
 
 def test_a_node_back_again_owes_what_it_is_asked_then():
     back = [ev(500, "life", who="n0", state="asleep"), ev(900, "life", who="n0", state="awake")]
-    assert judge(SCENARIO, [*back, ask(1000), LATER])
+    assert find_breaches(SCENARIO, [*back, ask(1000), LATER])
 
 
 def test_two_sockets_read_in_one_turn_are_no_two_dials():
     events = [ask(), dial(10), dial(300, "h1"), undial(304), answer(400), LATER]
-    assert judge(SCENARIO, events, together=20.0) == [] and judge(SCENARIO, events)
+    assert find_breaches(SCENARIO, events, reorder_window_ms=20.0) == [] and find_breaches(SCENARIO, events)
 
 
 def test_once_only_sessions_run_once():
     once = decode({"name": "t", "seconds": 60, "clients": {"effect": "at_most_once"}})
     ran = [ev(t, "ran", to=h, id="a") for t, h in ((1, "h0"), (2, "h1"))]
-    assert "ran twice" in judge(once, ran)[0].text and judge(SCENARIO, ran) == []
+    assert "ran twice" in find_breaches(once, ran)[0].text and find_breaches(SCENARIO, ran) == []
 
 
 def test_later_packages_put_their_own_checks_beside_these():
@@ -129,4 +129,4 @@
             self.owner = e["who"]
 
     events = [ev(1, "owns", who="n0"), ev(2, "owns", who="n1")]
-    assert judge(SCENARIO, events, [OneOwner])[0].line() == "owner: beside n0 at 2 ms node=n1"
+    assert find_breaches(SCENARIO, events, [OneOwner])[0].line() == "owner: beside n0 at 2 ms node=n1"
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -452,12 +452,12 @@
         real.processes[name] = Alive()
         real.life(name, "up")
     assert real.missing() == []
-    real.life("n1", "killed")
+    real.emit_life("n1", "killed")
     assert real.missing() == ["n1"] and not real.answers("n1")
     real.killed["n1"] = 1
     assert real.missing() == ["n1"]
-    real.life("n1", "up")
+    real.emit_life("n1", "up")
     assert real.missing() == [] and real.answers("n1")
-    real.life("o0", "killed")
-    real.life("o0", "up")
+    real.emit_life("o0", "killed")
+    real.emit_life("o0", "up")
     assert real.missing() == ["o0"]
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -5,7 +5,7 @@
 from test_lab_virtual import FORTY, broken, scenario
 
 from caperdeck.core.decide import Node
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import ScenarioError, decode
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.gossip.sharing import Sharing, SharingFeatures
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("uses", [[], ALL])
 def test_the_rules_hold_for_forty_nodes_that_share_under_faults(seed, uses):
     made = decode(FORTY | {"sharing": uses})
-    assert [b.line() for b in judge(made, VirtualFleet(made, seed).run())] == []
+    assert [b.line() for b in find_breaches(made, VirtualFleet(made, seed).run())] == []
 
 
 def test_cold_hosts_get_no_less_than_by_equal_shares():
--- a/tests/test_lab_soak.py
+++ b/tests/test_lab_soak.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import Clients, Scenario
 from caperdeck.lab.soak import LEAST_AFTER, SECONDS, line, scenario_of, soak
 
@@ -118,7 +118,7 @@
     ([*stood(0, answered=False), event(500, "life", state="killed"), event(5000, "wanted")], False),
 ])  # fmt: skip
 def test_what_stood_before_the_run_and_does_not_come_up_is_a_breach(events, found):
-    breaches = judge(SCENARIO, sorted(events, key=lambda e: e["t"]))
+    breaches = find_breaches(SCENARIO, sorted(events, key=lambda e: e["t"]))
     assert any(b.rule == "standing" for b in breaches) is found
 
 
@@ -133,7 +133,7 @@
 def test_a_request_that_is_sent_after_its_client_had_left_is_a_breach(sent_at, found):
     events = [event(500, "ask", id="a", wait=1200.0), event(1000, "left", id="a"),
               event(sent_at, "dial", id="a", to="h0")]  # fmt: skip
-    breaches = judge(SCENARIO, sorted(events, key=lambda e: e["t"]))
+    breaches = find_breaches(SCENARIO, sorted(events, key=lambda e: e["t"]))
     assert any("after its client had left" in b.text for b in breaches) is found
 
 
@@ -143,5 +143,5 @@
     events = [event(500, "ask", id="a", wait=3000.0), event(600, "life", state="stopping")]
     events += [event(700, "answer", id="a", what="busy")] * answered
     events.append(event(2500, "life", state=end))
-    breaches = judge(SCENARIO, events)
+    breaches = find_breaches(SCENARIO, events)
     assert any("held without an answer" in b.text for b in breaches) is found
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -9,9 +9,9 @@
 from caperdeck.core.decide import Node
 from caperdeck.lab import compare, report, search
 from caperdeck.lab.baselines import POLICIES
-from caperdeck.lab.cli import conclude
+from caperdeck.lab.cli import report_outcome
 from caperdeck.lab.figures import figures
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import decode, load
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.state.hosts import Hosts
@@ -26,7 +26,7 @@
 
 
 def broken(made, seed=None):
-    return {b.rule for b in judge(made, VirtualFleet(made, seed).run())}
+    return {b.rule for b in find_breaches(made, VirtualFleet(made, seed).run())}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -34,7 +34,7 @@
 def test_the_rules_hold(name, seed):
     made = scenario(name)
     events = VirtualFleet(made, seed).run()
-    assert [b.line() for b in judge(made, events)] == []
+    assert [b.line() for b in find_breaches(made, events)] == []
     assert figures(events)["served"] > 0.7
 
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_rules_hold_for_forty_nodes_under_faults_that_overlap(seed):
     made = decode(FORTY)
-    assert [b.line() for b in judge(made, VirtualFleet(made, seed).run())] == []
+    assert [b.line() for b in find_breaches(made, VirtualFleet(made, seed).run())] == []
 
 
 # ---- planted faults: each says which scenario catches it
@@ -156,7 +156,7 @@
     path = tmp_path / "found.toml"
     path.write_text(search.text(small))
     again = load(str(path))
-    assert judge(again, VirtualFleet(again).run()) == breaches
+    assert find_breaches(again, VirtualFleet(again).run()) == breaches
 
 
 # ---- figures, comparison, the page
@@ -166,7 +166,7 @@
     made = scenario("killed")
     for policy in POLICIES.values():
         events = VirtualFleet(made, 1, policy).run()
-        assert judge(made, events) == [] and figures(events)["served"] > 0.7
+        assert find_breaches(made, events) == [] and figures(events)["served"] > 0.7
 
 
 def test_a_difference_is_shown_only_where_its_interval_leaves_0_out():
@@ -185,14 +185,14 @@
     text = report.page(events, [])
     assert "<svg" in text and "all rules held" in text and "http-equiv" not in text
     assert "src=" not in text and "<script" not in text
-    assert conclude(made, events, True) == 0 and "all rules held" in capsys.readouterr().out
+    assert report_outcome(made, events, True) == 0 and "all rules held" in capsys.readouterr().out
     twice = [*events, events[-1] | {"ev": "extra", "id": "x", "what": "up"}]
-    assert conclude(made, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
-    assert conclude(made, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
+    assert report_outcome(made, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
+    assert report_outcome(made, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("span", [0.3, 1.1, 5.1, 20.0])
 def test_the_rules_hold_whatever_the_length_of_a_sleep(span):
     made = scenario("asleep", seconds=span + 10.0)
     made.fault[0].span = span
-    assert [b.line() for b in judge(made, VirtualFleet(made).run())] == []
+    assert [b.line() for b in find_breaches(made, VirtualFleet(made).run())] == []
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -18,12 +18,12 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from caperdeck.lab.cli import verdict
+from caperdeck.lab.cli import check_history
 from caperdeck.lab.owned_work import CHECKS, again, took
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.real import RealFleet
 from caperdeck.lab.rig_process import VoidError
-from caperdeck.lab.scenario import HOLDER, LEADER, ScenarioError, load
+from caperdeck.lab.scenario import HOLDER_PREFIX, LEADER, ScenarioError, load
 from caperdeck.lifecycle.config import ConfigError
 from caperdeck.lifecycle.owners import Owned
 from caperdeck.lifecycle.owners import load as load_for_node
@@ -438,7 +438,7 @@
             events = fleet.run()
         except VoidError:
             continue
-        if not (found := verdict(scenario, events, False)) or fleet.late <= scenario.rules.slack:
+        if not (found := check_history(scenario, events, False)) or fleet.max_late_ms <= scenario.rules.slack:
             return events, found
     raise AssertionError("void three times: the machine was too slow to say anything")
 
@@ -496,7 +496,7 @@
         assert sum(e["ev"] == "answer" and e["what"] == "up" for e in events) > 300
         times = took(events)
         leads += times[LEADER]
-        owns += [x for role, rows in times.items() if role.startswith(HOLDER) for x in rows]
+        owns += [x for role, rows in times.items() if role.startswith(HOLDER_PREFIX) for x in rows]
         # each work went on: what was told at the end is what the last owner stands at
         last = {e["work"]: e for e in events if e["ev"] == "acted"}
         assert last["census"]["epoch"] == max(e["epoch"] for e in events if e["ev"] == "acted")
@@ -559,4 +559,4 @@
 def test_a_history_that_breaks_what_must_hold_is_named(more, rule):
     scenario = again(1, 3, 1)
     events = [e | {"t": 1.0 + i} for i, e in enumerate(SOUND + more)]
-    assert {b.rule for b in judge(scenario, events, CHECKS)} == ({rule} if rule else set())
+    assert {b.rule for b in find_breaches(scenario, events, CHECKS)} == ({rule} if rule else set())
