--- a/caperdeck/gossip/shared_decisions.py
+++ b/caperdeck/gossip/shared_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions under names that all nodes share: hosts by their marks instead of the node's own indices."""
+"""Translates between this node's host indices and the stable ids of hosts that all nodes share."""
 
 from __future__ import annotations
 
@@ -6,92 +6,105 @@
 from collections.abc import Callable
 
 from caperdeck.core.facade import Event, HostOverloaded
-from caperdeck.core.quotas import HEADROOM_BUDGET
 from caperdeck.core.fleet_state import FleetState
+from caperdeck.core.quotas import HEADROOM_BUDGET
 
 from .judgements import FAILING_SHARE_LIMIT, HostCondition
-from .sharing import DIALS_STARTED, DIALS_ENDED, SHARED_ROOM_BUDGET, LocalObservations, SharingFeatures
+from .sharing import DIALS_ENDED, DIALS_STARTED, SHARED_HEADROOM_BUDGET, LocalObservations, SharingFeatures
 
 
-def cold_host_budget(mark: int, born: float) -> int:
-    """The budget of what is sent to one start of a host."""
-    return max(zlib.crc32(int(born).to_bytes(8, "big", signed=True), mark), DIALS_ENDED + 1)
+def cold_host_budget(stable_id: int, started_at: float) -> int:
+    """Returns the id of the budget for sessions to one start of a host."""
+    return max(zlib.crc32(int(started_at).to_bytes(8, "big", signed=True), stable_id), DIALS_ENDED + 1)
 
 
 class SharedIdDecisions:
+    """Implements `Decisions` on the fleet state of this node."""
+
     def __init__(
-        self, shares: FleetState, features: SharingFeatures, report: Callable[[Event], None]
+        self, fleet_state: FleetState, features: SharingFeatures, report: Callable[[Event], None]
     ) -> None:
-        self.shares, self.features, self.report = shares, features, report
-        self.index: dict[int, int] = {}  # by mark
-        self.marks: list[int] = []  # by which the index was made
-
-    def _host(self, mark: int) -> int | None:
-        """The host's index; None for a host that this node's own list has not named."""
-        marks = self.shares.node.stable_id
-        if marks != self.marks:
-            self.marks = list(marks)
-            # Danger: two hosts with one mark would be taken for one; neither is spoken of.
-            twice = {m for i, m in enumerate(marks) if marks.index(m) != i}
-            self.index = {m: i for i, m in enumerate(marks) if m not in twice}
-        return self.index.get(mark)
-
-    def _budget(self, mark: int) -> int | None:
-        if mark == SHARED_ROOM_BUDGET:
+        self.fleet_state, self.features, self.report = fleet_state, features, report
+        self.index: dict[int, int] = {}  # by stable id
+        self.indexed_ids: list[int] = []  # the ids that the index was built from
+
+    def _host(self, stable_id: int) -> int | None:
+        """Returns the host's index, or None for a host that is not on this node's list."""
+        stable_ids = self.fleet_state.node.stable_id
+        if stable_ids != self.indexed_ids:
+            self.indexed_ids = list(stable_ids)
+            # Two hosts with the same id could not be distinguished, so neither is shared.
+            duplicates = {m for i, m in enumerate(stable_ids) if stable_ids.index(m) != i}
+            self.index = {m: i for i, m in enumerate(stable_ids) if m not in duplicates}
+        return self.index.get(stable_id)
+
+    def _budget(self, shared_budget: int) -> int | None:
+        if shared_budget == SHARED_HEADROOM_BUDGET:
             return HEADROOM_BUDGET
-        h = self._host(mark)
-        return None if h is None else h + 1
+        host = self._host(shared_budget)
+        return None if host is None else host + 1
 
     def observations(self, now: float) -> LocalObservations:
-        node, uses, mark = self.shares.node, self.features, self.shares.node.stable_id
-        words = self.shares.host_observations(now) if uses.lost else []
+        node, features, stable_id = self.fleet_state.node, self.features, self.fleet_state.node.stable_id
+        host_observations = self.fleet_state.host_observations(now) if features.lost else []
         return LocalObservations(
-            self.counts() if uses.weight else [],
-            [(mark[h], x, at) for h, x, at in self.shares.load_reports(now)] if uses.prior else [],
+            self.counters() if features.weight else [],
+            [(stable_id[host], load, at) for host, load, at in self.fleet_state.load_reports(now)]
+            if features.prior
+            else [],
             [
-                (mark[w.host], HostCondition.HEALTHY if w.reachable else HostCondition.LOST, w.observed_at)
-                for w in words
+                (
+                    stable_id[observation.host],
+                    HostCondition.HEALTHY if observation.reachable else HostCondition.LOST,
+                    observation.observed_at,
+                )
+                for observation in host_observations
             ],
-            uses.lost and self.shares.sees_most_failing(FAILING_SHARE_LIMIT),
+            features.lost and self.fleet_state.sees_most_failing(FAILING_SHARE_LIMIT),
             len(node.running),
         )
 
     def wanted_quota(self, now: float) -> list[tuple[int, float]]:
-        mark = self.shares.node.stable_id
+        stable_id = self.fleet_state.node.stable_id
         return [
-            (SHARED_ROOM_BUDGET if budget == HEADROOM_BUDGET else mark[budget - 1], x)
-            for budget, x in self.shares.wanted_quota(now)
+            (SHARED_HEADROOM_BUDGET if budget == HEADROOM_BUDGET else stable_id[budget - 1], amount)
+            for budget, amount in self.fleet_state.wanted_quota(now)
         ]
 
-    def counts(self) -> list[tuple[int, int]]:
-        s, mark = self.shares, self.shares.node.stable_id
-        # a host that starts anew is counted anew: all nodes have the same mark and start for it
-        cold = [(cold_host_budget(mark[h], born), count) for h, born, count in s.cold_host_dials()]
-        return [(DIALS_STARTED, s.dials_started()), (DIALS_ENDED, s.dials_ended()), *cold]
+    def counters(self) -> list[tuple[int, int]]:
+        state, stable_id = self.fleet_state, self.fleet_state.node.stable_id
+        # counted per start of a host, which all nodes know by the same stable id and start time
+        cold = [
+            (cold_host_budget(stable_id[host], started_at), count)
+            for host, started_at, count in state.cold_host_dials()
+        ]
+        return [(DIALS_STARTED, state.dials_started()), (DIALS_ENDED, state.dials_ended()), *cold]
 
-    def lend(self, now: float, budget: int, most: float) -> float:
-        own = self._budget(budget)
-        return 0.0 if own is None else self.shares.lend(now, own, most)
+    def lend(self, now: float, budget: int, limit: float) -> float:
+        local_budget = self._budget(budget)
+        return 0.0 if local_budget is None else self.fleet_state.lend(now, local_budget, limit)
 
     def borrow(self, now: float, budget: int, amount: float, until: float) -> None:
-        if (own := self._budget(budget)) is not None:
-            self.shares.borrow(now, own, amount, until)
+        if (local_budget := self._budget(budget)) is not None:
+            self.fleet_state.borrow(now, local_budget, amount, until)
 
-    def take_peer_load(self, now: float, host: int, figure: float, seen: float) -> None:
-        if (h := self._host(host)) is not None:
-            self.shares.take_peer_load(now, h, figure, seen)
+    def take_peer_load(self, now: float, host: int, load_ratio: float, observed_at: float) -> None:
+        if (index := self._host(host)) is not None:
+            self.fleet_state.take_peer_load(now, index, load_ratio, observed_at)
 
     def take_unreachable_report(self, now: float, host: int, until: float) -> None:
-        if (h := self._host(host)) is not None:
-            self.shares.take_unreachable_report(now, h, until)
+        if (index := self._host(host)) is not None:
+            self.fleet_state.take_unreachable_report(now, index, until)
 
     def overloaded_hosts(self, now: float, since: float) -> list[tuple[int, float, float]]:
-        mark = self.shares.node.stable_id
-        return [(mark[h], x, at) for h, x, at in self.shares.overloaded_hosts(now, since)]
+        stable_id = self.fleet_state.node.stable_id
+        return [
+            (stable_id[host], load, at) for host, load, at in self.fleet_state.overloaded_hosts(now, since)
+        ]
 
-    def relieve_overloaded_host(self, now: float, host: int, figure: float) -> None:
-        if (h := self._host(host)) is not None:
-            self.report(HostOverloaded(h, figure))
+    def relieve_overloaded_host(self, now: float, host: int, load_ratio: float) -> None:
+        if (index := self._host(host)) is not None:
+            self.report(HostOverloaded(index, load_ratio))
 
-    def set_sender_count(self, alike: float | None) -> None:
-        self.shares.set_sender_count(alike)
+    def set_sender_count(self, senders: float | None) -> None:
+        self.fleet_state.set_sender_count(senders)
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -55,7 +55,7 @@
     tick, part = Sharing.tick, Node.warm_host_share
 
     def tick_and_count(self, now):
-        self.decisions.shares.node.living = 1 + len(self.swim.alive())
+        self.decisions.fleet_state.node.living = 1 + len(self.swim.alive())
         return tick(self, now)
 
     def divided(self, h):
