--- a/caperdeck/lab/clients.py
+++ b/caperdeck/lab/clients.py
@@ -33,15 +33,15 @@
     MAX_LENGTH = 4096
 
     def __init__(
-        self, clients: Clients, number: int, attempt: int, load: float, leaves_at: float,
+        self, clients: Clients, number: int, attempt: int, load: float, ends_at: float,
         resumes_at_host: str = "",
     ) -> None:  # fmt: skip
-        self.clients, self.number, self.attempt, self.load, self.leaves_at = (
+        self.clients, self.number, self.attempt, self.load, self.ends_at = (
             clients,
             number,
             attempt,
             load,
-            leaves_at,
+            ends_at,
         )
         self.resumes_at_host = resumes_at_host
         self.id, self.node = clients.next_session_id(), ""
@@ -148,13 +148,13 @@
         if self.is_finished:
             return
         now = self.clients.now()
-        if now >= self.leaves_at:
+        if now >= self.ends_at:
             self.leave("lived")
             return
         self.unanswered_lines_at.append(now)
         self.sendLine(b"say")
         self.timer = self.clients.reactor.callLater(
-            min(LINE_INTERVAL_MS, self.leaves_at - now + 1) / 1000.0, self.send_line
+            min(LINE_INTERVAL_MS, self.ends_at - now + 1) / 1000.0, self.send_line
         )
 
     def handle_line(self, word: bytes) -> None:
@@ -324,16 +324,16 @@
 
     def retry_refused(self, client: Client, backoff_ms: float) -> None:
         """Schedules a limited number of retries, after the back-off from the node or a random one."""
-        table, remaining_ms = self.scenario.clients, client.leaves_at - self.now()
+        table, remaining_ms = self.scenario.clients, client.ends_at - self.now()
         if client.attempt < table.retries and remaining_ms > 0 and not self.stopped:
             wait = backoff_ms or self.between((15.0, 120.0)) * 2**client.attempt
-            new_client = Client(self, client.number, client.attempt + 1, client.load, client.leaves_at)
+            new_client = Client(self, client.number, client.attempt + 1, client.load, client.ends_at)
             self.connect_later(wait, new_client)
 
     def reconnect(self, client: Client) -> None:
         """Schedules a new session for a client whose connection broke or was moved."""
-        if client.leaves_at > self.now() and not self.stopped:
-            new_client = Client(self, client.number, 0, client.load, client.leaves_at)
+        if client.ends_at > self.now() and not self.stopped:
+            new_client = Client(self, client.number, 0, client.load, client.ends_at)
             self.connect_later(self.between(self.scenario.clients.back), new_client)
 
     def connect_later(self, wait: float, client: Client) -> None:
--- a/caperdeck/lab/compare.py
+++ b/caperdeck/lab/compare.py
@@ -79,13 +79,13 @@
 def _run_in_checkout(path: str, seed: int, checkout: str) -> tuple[dict[str, float], int]:
     scenario = load(path)
     with tempfile.TemporaryDirectory(prefix="caperdeck-lab-") as folder:
-        out = os.path.join(folder, "history")
+        history_path = os.path.join(folder, "history")
         command = [sys.executable, "-B", "-m", "caperdeck", "lab", "fleet", os.path.abspath(path)]
         subprocess.run(
-            [*command, "--virtual", f"--seed={seed}", f"--json={out}"], cwd=checkout, check=False,
+            [*command, "--virtual", f"--seed={seed}", f"--json={history_path}"], cwd=checkout, check=False,
             timeout=CHECKOUT_RUN_TIMEOUT_S, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
         )  # fmt: skip
-        events = read_history(out)
+        events = read_history(history_path)
     return figures(events), len(find_breaches(scenario, events))
 
 
@@ -94,26 +94,26 @@
 
     Gives both means, the mean of b - a, its confidence interval, and whether the interval excludes 0.
     """
-    out = {}
+    result = {}
     for name in COMPARED_FIGURES:
-        left, right = [x[name] for x in a], [x[name] for x in b]
-        pair_differences = [y - x for x, y in zip(left, right, strict=True)]
+        a_values, b_values = [x[name] for x in a], [x[name] for x in b]
+        pair_differences = [y - x for x, y in zip(a_values, b_values, strict=True)]
         mean = sum(pair_differences) / len(pair_differences)
         if len(pair_differences) > 1 and max(pair_differences) - min(pair_differences) > 1e-12:
             interval = stats.ttest_1samp(pair_differences, 0.0).confidence_interval(CONFIDENCE_LEVEL)
             low, high = float(interval.low), float(interval.high)
         else:
             low = high = mean
-        out[name] = {
-            "a": sum(left) / len(left), "b": sum(right) / len(right), "difference": mean, "low": low,
-            "high": high, "shown": not low <= 0.0 <= high,
+        result[name] = {
+            "a": sum(a_values) / len(a_values), "b": sum(b_values) / len(b_values), "difference": mean,
+            "low": low, "high": high, "shown": not low <= 0.0 <= high,
         }  # fmt: skip
-    return out
+    return result
 
 
-def compare(path: str, first: str, second: str, pairs: int, seed: int) -> dict[str, Any]:
+def compare(path: str, base: str, against: str, pairs: int, seed: int) -> dict[str, Any]:
     """Runs a scenario with both variants over the same seeds, in parallel processes."""
-    variants = parse_variant(first), parse_variant(second)
+    variants = parse_variant(base), parse_variant(against)
     scenario = load(path)
     for variant in variants:
         scenario.sharing = variant.get("sharing")
@@ -124,7 +124,7 @@
         ]
         (a, b) = [[job.result() for job in row] for row in jobs]
     return {
-        "scenario": path, "a": first, "b": second, "pairs": pairs,
+        "scenario": path, "a": base, "b": against, "pairs": pairs,
         "breaches": [sum(n for _, n in a), sum(n for _, n in b)],
         "figures": differences([f for f, _ in a], [f for f, _ in b]),
     }  # fmt: skip
@@ -132,9 +132,13 @@
 
 def format_result(result: dict[str, Any]) -> list[str]:
     """The lines that are printed for the result of `compare`."""
-    out = [f"{result['scenario']}: {result['b']} against {result['a']}, {result['pairs']} pairs, simulated"]
-    for name, f in result["figures"].items():
-        verdict = f"[{f['low']:+.4f}, {f['high']:+.4f}]" if f["shown"] else "no difference shown"
-        out.append(f"  {name:11} {f['a']:9.4f} {f['b']:9.4f}  {f['difference']:+.4f}  {verdict}")
-    broken = " and ".join(str(n) for n in result["breaches"])
-    return [*out, f"  breaches: {broken}"]
+    lines = [f"{result['scenario']}: {result['b']} against {result['a']}, {result['pairs']} pairs, simulated"]
+    for name, figure in result["figures"].items():
+        interval = (
+            f"[{figure['low']:+.4f}, {figure['high']:+.4f}]" if figure["shown"] else "no difference shown"
+        )
+        lines.append(
+            f"  {name:11} {figure['a']:9.4f} {figure['b']:9.4f}  {figure['difference']:+.4f}  {interval}"
+        )
+    breaches = " and ".join(str(n) for n in result["breaches"])
+    return [*lines, f"  breaches: {breaches}"]
--- a/caperdeck/lab/demo.py
+++ b/caperdeck/lab/demo.py
@@ -31,37 +31,39 @@
         self.sessions: Counter[str] = Counter()
         self.recent: deque[str] = deque(maxlen=RECENT_LINES)
 
-    def __call__(self, e: Event) -> None:
-        kind = e["ev"]
+    def __call__(self, event: Event) -> None:
+        kind = event["ev"]
         if kind == "life":
-            self.state[e["who"]] = e["state"]
-            self.recent.append(f"{e['t'] / 1000:6.2f} s  node {e['who']} is {e['state']}")
+            self.state[event["who"]] = event["state"]
+            self.recent.append(f"{event['t'] / 1000:6.2f} s  node {event['who']} is {event['state']}")
         elif kind == "answer":
-            self.count[e["who"], e["what"]] += 1
+            self.count[event["who"], event["what"]] += 1
         elif kind == "dial":
-            self.count[e["who"], "dials"] += 1
+            self.count[event["who"], "dials"] += 1
         elif kind == "ran":
-            self.sessions[e["to"]] += 1
+            self.sessions[event["to"]] += 1
         elif kind == "gone":
-            self.sessions[e["to"]] -= 1
+            self.sessions[event["to"]] -= 1
         elif kind == "fault":
-            what = "sets in" if e["on"] else "is over"
-            self.recent.append(f"{e['t'] / 1000:6.2f} s  fault {e['do']} of {', '.join(e['of'])} {what}")
+            what = "sets in" if event["on"] else "is over"
+            self.recent.append(
+                f"{event['t'] / 1000:6.2f} s  fault {event['do']} of {', '.join(event['of'])} {what}"
+            )
 
     def draw(self) -> Group:
         nodes = Table(title="nodes")
         for name in ("node", "state", "accepted", "refused", "unanswered", "dials"):
             nodes.add_column(name)
-        for n in sorted(self.state):
-            counts, state = self.count, self.state[n]
+        for node in sorted(self.state):
+            counts, state = self.count, self.state[node]
             colour = "green" if state in ("up", "awake") else "red"
-            lost = counts[n, "none"] + counts[n, "closed"]
-            shown = (counts[n, "up"], counts[n, "busy"], lost, counts[n, "dials"])
-            nodes.add_row(n, Text(state, style=colour), *(str(x) for x in shown))
+            unanswered = counts[node, "none"] + counts[node, "closed"]
+            cells = (counts[node, "up"], counts[node, "busy"], unanswered, counts[node, "dials"])
+            nodes.add_row(node, Text(state, style=colour), *(str(x) for x in cells))
         hosts = Table(title="hosts")
-        for h in sorted(self.sessions):
-            hosts.add_column(h)
-        hosts.add_row(*(str(self.sessions[h]) for h in sorted(self.sessions)))
+        for host in sorted(self.sessions):
+            hosts.add_column(host)
+        hosts.add_row(*(str(self.sessions[host]) for host in sorted(self.sessions)))
         return Group(nodes, hosts, *(Text(line) for line in self.recent))
 
 
--- a/caperdeck/lab/discovery.py
+++ b/caperdeck/lab/discovery.py
@@ -35,12 +35,12 @@
 
     def encode_since(self, rev: int, addresses: dict[str, str]) -> bytes:
         """Encodes the rows changed after a revision, or all of them for 0, with the addresses of one node."""
-        whole = rev <= 0
+        is_complete = rev <= 0
         rows = [
             row | {"endpoint": addresses[uid]} for uid, row in self.rows.items()
-            if (row["state"] != "Gone" if whole else self.changed_at_rev[uid] > rev)
+            if (row["state"] != "Gone" if is_complete else self.changed_at_rev[uid] > rev)
         ]  # fmt: skip
-        return msgspec.json.encode({"rev": self.rev, "all": whole, "targets": rows})
+        return msgspec.json.encode({"rev": self.rev, "all": is_complete, "targets": rows})
 
 
 class AgentConnection(LineReceiver):
@@ -57,18 +57,18 @@
         if line:
             self.request = self.request or line
             return
-        words, self.request = self.request.split(b" "), b""
-        if len(words) < 2 or not words[1].startswith(b"/discovery/hosts"):
+        request_parts, self.request = self.request.split(b" "), b""
+        if len(request_parts) < 2 or not request_parts[1].startswith(b"/discovery/hosts"):
             self.transport.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return
         if self.agent.silent:
             return
         self.transport.write(HEADER)
         self.agent.watches[self] = None
-        text = words[1].partition(b"from=")[2]
-        self.rev = int(text) if text.isdigit() else 0
+        from_text = request_parts[1].partition(b"from=")[2]
+        self.rev = int(from_text) if from_text.isdigit() else 0
         self.send_changes()
-        if b"watch=1" not in words[1]:
+        if b"watch=1" not in request_parts[1]:
             self.send_chunk(b"")
             self.transport.loseConnection()
 
@@ -106,9 +106,9 @@
         return AgentConnection(self)
 
     def listen(self, interface: str, number: int = 0) -> tuple[str, int]:
-        place = self.reactor.listenTCP(number, self, 64, interface).getHost()
+        bound = self.reactor.listenTCP(number, self, 64, interface).getHost()
         self.reactor.callLater(KEEPALIVE_INTERVAL_S, self.send_keepalive)
-        return place.host, place.port
+        return bound.host, bound.port
 
     def encoded_since(self, rev: int) -> bytes:
         if rev not in self.encoded_by_rev:
@@ -120,14 +120,14 @@
         self.rev = self.roster.rev
         self.encoded_by_rev.clear()
         if not self.silent:
-            for line in list(self.watches):
-                line.send_changes()
+            for connection in list(self.watches):
+                connection.send_changes()
 
     def send_keepalive(self) -> None:
         self.reactor.callLater(KEEPALIVE_INTERVAL_S, self.send_keepalive)
         if not self.silent:
-            for line in list(self.watches):
-                line.send_keepalive()
+            for connection in list(self.watches):
+                connection.send_keepalive()
 
     def set_silent(self, silent: bool) -> None:
         self.silent = silent
--- a/caperdeck/lab/faults.py
+++ b/caperdeck/lab/faults.py
@@ -98,7 +98,9 @@
         if after.work and after.work != event.get("work"):
             return False
         who = event.get("who", "")
-        if after.of != "*" and not any(fnmatch.fnmatchcase(n, after.of) for n in (who, event.get("to", ""))):
+        if after.of != "*" and not any(
+            fnmatch.fnmatchcase(node, after.of) for node in (who, event.get("to", ""))
+        ):
             return False
         if not after.each or who not in self.seen_endpoints:
             self.seen_endpoints.add(who)
@@ -167,13 +169,13 @@
             zone = self.scenario.matching_endpoints(f"zone:{fault.of}")
             return [p for p in zone if p[0] in "nh"]
         if fault.of == LEADER or fault.of.startswith(HOLDER_PREFIX):
-            found = self.driver.endpoint_in_role(fault.of)
-            return [] if found is None else [found]
+            endpoint = self.driver.endpoint_in_role(fault.of)
+            return [] if endpoint is None else [endpoint]
         endpoints = self.scenario.matching_endpoints(fault.of)
         if fault.do in ("mass-kill", "mass-restart"):
             nodes = [p for p in endpoints if p[0] == "n"]
-            order = sorted(nodes, key=lambda n: self.driver.links.chance())
-            return sorted(order[: max(round(fault.amount * len(nodes)), 1)], key=nodes.index)
+            shuffled = sorted(nodes, key=lambda node: self.driver.links.chance())
+            return sorted(shuffled[: max(round(fault.amount * len(nodes)), 1)], key=nodes.index)
         return endpoints
 
     def _apply(self, fault: Fault, endpoints: list[str], on: bool) -> None:
@@ -185,19 +187,21 @@
         elif do == "cut-zone":
             inside, others = set(endpoints), self.scenario.node_names() + self.scenario.host_names()
             pairs = [(a, b) for a in endpoints for b in others if b not in inside]
-            self._cut(pairs + [(b, a) for a, b in pairs], on)
+            self._cut_links(pairs + [(b, a) for a, b in pairs], on)
         elif do == "discovery":
-            for n in (p for p in endpoints if p[0] in "nd"):
-                driver.set_discovery_silent(f"n{n[1:]}", on)
+            for node in (p for p in endpoints if p[0] in "nd"):
+                driver.set_discovery_silent(f"n{node[1:]}", on)
         elif do == "clock" and on:
-            for n in (p for p in endpoints if p[0] in "no"):
-                driver.set_clock_skew(n, fault.offset, fault.drift)
+            for node in (p for p in endpoints if p[0] in "no"):
+                driver.set_clock_skew(node, fault.offset, fault.drift)
         elif do in ("drain", "start", "ill") or (do == "kill" and endpoints and endpoints[0][0] == "h"):
-            for h in (p for p in endpoints if p[0] == "h"):
-                driver.apply_host_fault(h, do if on else ("well" if do == "ill" else "start"), fault.amount)
+            for host in (p for p in endpoints if p[0] == "h"):
+                driver.apply_host_fault(
+                    host, do if on else ("well" if do == "ill" else "start"), fault.amount
+                )
         elif do == "exclude":
-            for h in (p for p in endpoints if p[0] == "h"):
-                driver.exclude_host(h, on)
+            for host in (p for p in endpoints if p[0] == "h"):
+                driver.exclude_host(host, on)
         elif do == "rolling":
             if on:
                 self._restart_in_batches([p for p in endpoints if p[0] == "n"], max(fault.amount, 0.01))
@@ -206,89 +210,89 @@
 
     def _apply_to_nodes(self, fault: Fault, nodes: Iterable[str], on: bool) -> None:
         driver, do = self.driver, fault.do
-        for n in nodes:
+        for node in nodes:
             if do in ("kill", "mass-kill"):
                 if on:
-                    driver.kill(n)
+                    driver.kill(node)
                 if on and do == "mass-kill" and fault.span is None:
-                    driver.later(driver.links.between(RESTART_DELAY_MS) / 1000.0, driver.start, n)
+                    driver.later(driver.links.between(RESTART_DELAY_MS) / 1000.0, driver.start, node)
                 elif not on:
-                    driver.start(n)
+                    driver.start(node)
             elif do in ("restart", "mass-restart"):
                 if on:
-                    self.restart(n, lambda: None)
+                    self.restart(node, lambda: None)
             elif do == "stop":
-                (driver.suspend if on else driver.resume)(n)
+                (driver.suspend if on else driver.resume)(node)
             elif do in INSTANCE_FAULTS:
                 work = fault.of.removeprefix(HOLDER_PREFIX) if fault.of.startswith(HOLDER_PREFIX) else ""
-                driver.suspend_at_act(n, work, do == "stop-after-act") if on else driver.resume(n)
+                driver.suspend_at_act(node, work, do == "stop-after-act") if on else driver.resume(node)
             elif do == "step":
-                driver.step_wall_clock(n, fault.offset if on else 0.0)
+                driver.step_wall_clock(node, fault.offset if on else 0.0)
             elif do == "errors":
-                driver.set_call_error_rate(n, fault.amount if on else 0.0)
+                driver.set_call_error_rate(node, fault.amount if on else 0.0)
             elif do == "disk":
-                driver.set_disk_error_rate(n, fault.amount if on else 0.0)
+                driver.set_disk_error_rate(node, fault.amount if on else 0.0)
             elif do == "upgrade":
                 if on:
-                    driver.upgrade(n)
+                    driver.upgrade(node)
             elif do == "crowd":
-                driver.set_idle_connections(n, int(fault.amount) if on else 0)
+                driver.set_idle_connections(node, int(fault.amount) if on else 0)
             elif do == "reload":
                 if on:
-                    driver.reload(n)
+                    driver.reload(node)
             elif do == "slow":
-                self.slowed[n] = self.slowed.get(n, 0) + 1
+                self.slowed[node] = self.slowed.get(node, 0) + 1
                 if on:
-                    self._alternate(n, self.slowed[n], fault.amount, True)
+                    self._alternate_suspension(node, self.slowed[node], fault.amount, True)
                 else:
-                    driver.resume(n)
+                    driver.resume(node)
 
-    def _alternate(self, n: str, generation: int, amount: float, stop: bool) -> None:
+    def _alternate_suspension(self, node: str, generation: int, amount: float, stop: bool) -> None:
         """Suspends a process for a fraction of each period; a newer or ended fault stops the alternation."""
-        if self.slowed.get(n) == generation:
-            (self.driver.suspend if stop else self.driver.resume)(n)
+        if self.slowed.get(node) == generation:
+            (self.driver.suspend if stop else self.driver.resume)(node)
             self.driver.later(
                 SLOW_PERIOD_S * (amount if stop else 1 - amount),
-                self._alternate,
-                n,
+                self._alternate_suspension,
+                node,
                 generation,
                 amount,
                 not stop,
             )
 
-    def restart(self, n: str, then: Callable[[], None]) -> None:
+    def restart(self, node: str, on_done: Callable[[], None]) -> None:
         """Sends SIGTERM and starts a new process once the old one has exited or its time is over."""
-        if not self.driver.alive(n):
-            then()
+        if not self.driver.alive(node):
+            on_done()
             return
-        self.driver.terminate(n)
-        longest = min(self.scenario.clients.wait / 1000.0, MAX_DRAIN_WAIT_S)
-        self._await_exit(n, longest + KILL_DELAY_S, then)
-
-    def _await_exit(self, n: str, left: float, then: Callable[[], None]) -> None:
-        if not self.driver.alive(n) or left <= 0:
-            self.driver.kill(n)
-            self.driver.start(n)
-            then()
+        self.driver.terminate(node)
+        drain_wait_s = min(self.scenario.clients.wait / 1000.0, MAX_DRAIN_WAIT_S)
+        self._await_exit(node, drain_wait_s + KILL_DELAY_S, on_done)
+
+    def _await_exit(self, node: str, remaining_s: float, on_done: Callable[[], None]) -> None:
+        if not self.driver.alive(node) or remaining_s <= 0:
+            self.driver.kill(node)
+            self.driver.start(node)
+            on_done()
         else:
-            self.driver.later(0.05, self._await_exit, n, left - 0.05, then)
+            self.driver.later(0.05, self._await_exit, node, remaining_s - 0.05, on_done)
 
-    def _restart_in_batches(self, nodes: list[str], amount: float) -> None:
-        size = max(round(amount * len(nodes)), 1)
-        batch, rest = nodes[:size], nodes[size:]
-        left = [len(batch)]
+    def _restart_in_batches(self, nodes: list[str], fraction: float) -> None:
+        size = max(round(fraction * len(nodes)), 1)
+        batch, later_nodes = nodes[:size], nodes[size:]
+        remaining = [len(batch)]
 
         def node_restarted() -> None:
-            left[0] -= 1
-            if not left[0] and rest:
-                self._restart_in_batches(rest, amount * len(nodes) / len(rest))
+            remaining[0] -= 1
+            if not remaining[0] and later_nodes:
+                self._restart_in_batches(later_nodes, fraction * len(nodes) / len(later_nodes))
 
-        for n in batch:
-            self.restart(n, node_restarted)
+        for node in batch:
+            self.restart(node, node_restarted)
 
     # ---- links
 
-    def _cut(self, pairs: list[tuple[str, str]], on: bool) -> None:
+    def _cut_links(self, pairs: list[tuple[str, str]], on: bool) -> None:
         for a, b in pairs:
             self.driver.links.cut(a, b, on)
             self.driver.link_changed(a, b)
@@ -296,9 +300,9 @@
     def _apply_to_links(self, fault: Fault, pairs: list[tuple[str, str]], on: bool) -> None:
         pairs = [(a, b) for a, b in pairs if a != b]
         if fault.do == "cut":
-            self._cut(pairs, on)
+            self._cut_links(pairs, on)
         elif fault.do == "silence":
-            self._cut(pairs + [(b, a) for a, b in pairs], on)
+            self._cut_links(pairs + [(b, a) for a, b in pairs], on)
         elif fault.do == "reset":
             if on:
                 for a, b in pairs:
--- a/caperdeck/lab/hosts.py
+++ b/caperdeck/lab/hosts.py
@@ -232,10 +232,7 @@
 
     def drain(self) -> None:
         """Redirects the established sessions to other hosts, evenly spread over the drain."""
-        host, established = (
-            self.host,
-            [connection for connection in self.connections if connection.is_established],
-        )
+        host, established = self.host, [c for c in self.connections if c.is_established]
         host.draining = True
         host.emit_state("drain")
         span = host.settings.drain_span
--- a/caperdeck/lab/real.py
+++ b/caperdeck/lab/real.py
@@ -414,7 +414,7 @@
             await asyncio.sleep(min(0.05, max(deadline - time.monotonic(), 0.0)))
 
     async def _close(self) -> None:
-        """Kills all all_processes of the run, suspended ones too, and waits for them."""
+        """Kills all processes of the run, suspended ones too, and waits for them."""
         all_processes = [p.process for p in self.workers.values() if p.process is not None]
         all_processes += list(self.processes.values())
         for process in all_processes:
--- a/caperdeck/lab/relay.py
+++ b/caperdeck/lab/relay.py
@@ -171,8 +171,8 @@
 
     def listen(self) -> Address:
         self.port = self.relay.reactor.listenTCP(self.address[1], self, BACKLOG, self.address[0])
-        place = self.port.getHost()
-        self.address = (place.host, place.port)
+        bound = self.port.getHost()
+        self.address = (bound.host, bound.port)
         return self.address
 
     def buildProtocol(self, addr: Any) -> ConnectionEnd:
@@ -204,15 +204,15 @@
         self.port.stopReading()
         self.port.socket.listen(0)
         for _ in range(QUEUE_FILLERS):
-            sock = socket.socket()
-            sock.setblocking(False)
-            sock.connect_ex(self.address)
-            self.fillers.append(sock)
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self.address)
+            self.fillers.append(filler)
 
     def _reopen_queue(self) -> None:
         if self.fillers:
-            for sock in self.fillers:
-                sock.close()
+            for filler in self.fillers:
+                filler.close()
             self.fillers = []
             self.port.socket.listen(BACKLOG)
             self.port.startReading()
@@ -246,8 +246,8 @@
     def add_datagram_route(self, a: str, b: str) -> Address:
         """Opens the address to which node `a` sends its datagrams for `b`, or for all others (`*`)."""
         port = self.datagram_routes[a, b] = self.reactor.listenUDP(0, DatagramRoute(self, a, b), "127.0.0.1")
-        place = port.getHost()
-        return place.host, place.port
+        bound = port.getHost()
+        return bound.host, bound.port
 
     def datagram(self, a: str, b: str, data: bytes) -> None:
         for to in (n for n in self.peers if n != a) if b == "*" else (b,):
--- a/caperdeck/lab/search.py
+++ b/caperdeck/lab/search.py
@@ -68,12 +68,13 @@
     Removing a fault changes all later random numbers, so each smaller schedule is tried with several seeds.
     """
     while True:
-        for fewer in smaller_schedules(faults):
+        for candidate in smaller_schedules(faults):
             breaking_seed = next(
-                (s for s in range(seed, seed + SEEDS_PER_SCHEDULE) if breaches_of(scenario, fewer, s)), None
+                (s for s in range(seed, seed + SEEDS_PER_SCHEDULE) if breaches_of(scenario, candidate, s)),
+                None,
             )
             if breaking_seed is not None:
-                faults, seed = fewer, breaking_seed
+                faults, seed = candidate, breaking_seed
                 report(f"smaller: {len(faults)} faults, seed {seed}")
                 break
         else:
--- a/caperdeck/lab/setup.py
+++ b/caperdeck/lab/setup.py
@@ -17,22 +17,23 @@
     settings: dict[str, Any] | None = None, admin: str | None = None,
 ) -> dict[str, Any]:  # fmt: skip
     """The configuration of one node; its seed differs with each life."""
-    c, r, h = scenario.clients, scenario.rules, scenario.hosts
-    mark = zlib.crc32(f"{seed}/{name}/{life}".encode())
+    clients, rules, hosts = scenario.clients, scenario.rules, scenario.hosts
+    node_seed = zlib.crc32(f"{seed}/{name}/{life}".encode())
     limits = {
         "mostDials": 5, "mayProbe": True, "cancel": True, "retryAfter": True, "maxRetryAfter": 1.0,
         "dialTimeout": 0.25, "connIdle": 60.0, "peers": True,
     }  # fmt: skip
     invariants = {
-        "coldFrom": h.cold_from, "warmAfter": h.warm_after / 1000, "fallMultiple": r.fall_multiple,
-        "fall": r.fall / 1000, "drainGrace": r.drain_grace / 1000, "graceToAnswer": 0.02,
+        "coldFrom": hosts.cold_from, "warmAfter": hosts.warm_after / 1000,
+        "fallMultiple": rules.fall_multiple, "fall": rules.fall / 1000,
+        "drainGrace": rules.drain_grace / 1000, "graceToAnswer": 0.02,
     }  # fmt: skip
     listener = {
-        "name": "live", "effect": c.effect, "handshakeTarget": c.target / 1000, "hardLimit": c.wait / 1000,
-        "utility": UTILITY, "memorySpan": 5.0,
+        "name": "live", "effect": clients.effect, "handshakeTarget": clients.target / 1000,
+        "hardLimit": clients.wait / 1000, "utility": UTILITY, "memorySpan": 5.0,
     }  # fmt: skip
     return {
-        "name": name, "listen": listen, "discovery": discovery, "seed": f"{mark:016x}",
+        "name": name, "listen": listen, "discovery": discovery, "seed": f"{node_seed:016x}",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": scenario.sockets},
         "known": {"rev": 0, "all": True, "targets": []},
         **({"admin_addr": admin} if admin else {}),
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -71,24 +71,24 @@
     # ---- set-up
 
     def _build(self) -> None:
-        s, world, emit = self.scenario, self.world, self.history.emit
+        scenario, world, emit = self.scenario, self.world, self.history.emit
         hub = Place(world, "discovery")
-        self.discovery = Discovery(hub, lambda: self.links.between(s.net.list_late), emit)
+        self.discovery = Discovery(hub, lambda: self.links.between(scenario.net.list_late), emit)
         self.hosts: dict[str, HostServer] = {}
-        for i, name in enumerate(s.host_names()):
-            host = Host(s, name, self.seed * 1000 + i, emit)
+        for i, name in enumerate(scenario.host_names()):
+            host = Host(scenario, name, self.seed * 1000 + i, emit)
             port = self.hosts[name] = HostServer(Place(world, name), host, self.now)
             port.listen(f"127.1.0.{i + 1}", 9000)
-        self.discovery.list_hosts(s)
-        ends = {name: f"{port.address[0]}:{port.address[1]}" for name, port in self.hosts.items()}
-        for i, name in enumerate(s.node_names()):
-            agent = self.discovery.add(name, ends, Place(world, f"d{i}"))
+        self.discovery.list_hosts(scenario)
+        host_addresses = {name: f"{port.address[0]}:{port.address[1]}" for name, port in self.hosts.items()}
+        for i, name in enumerate(scenario.node_names()):
+            agent = self.discovery.add(name, host_addresses, Place(world, f"d{i}"))
             agent.listen(self._ip(3, i), 8500)
-        addresses = {n: (self._ip(2, i), 9000) for i, n in enumerate(s.node_names())}
-        self.peers = [f"{self._ip(4, i)}:7946" for i in range(s.nodes)]
-        for i in range(s.nodes):
-            world.everyone[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(s.nodes)]
-        self.clients = Clients(Place(world, "clients"), s, self.seed + 77, addresses, self.now, emit)
+        addresses = {n: (self._ip(2, i), 9000) for i, n in enumerate(scenario.node_names())}
+        self.peers = [f"{self._ip(4, i)}:7946" for i in range(scenario.nodes)]
+        for i in range(scenario.nodes):
+            world.everyone[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(scenario.nodes)]
+        self.clients = Clients(Place(world, "clients"), scenario, self.seed + 77, addresses, self.now, emit)
 
     def _ip(self, net: int, i: int) -> str:
         return f"127.{net}.{i // 250}.{i % 250 + 1}"
@@ -100,11 +100,11 @@
         i, place = int(node[1:]), Place(self.world, node)
         offset, drift = self.clock_skews.get(node, (0.0, 0.0))
         place.rate, place.offset = 1 + drift / 1000.0, offset / 1000.0
-        raw = node_config(
+        config_data = node_config(
             self.scenario, node, f"{self._ip(2, i)}:9000", f"{self._ip(3, i)}:8500", life, self.seed,
             self.peers, f"{self._ip(5, i)}:7946", self.peers[i], self.settings,
         )  # fmt: skip
-        config = decode_config(raw)
+        config = decode_config(config_data)
 
         def clock() -> float:
             return EPOCH_MS + place.seconds() * 1000.0
--- a/caperdeck/lab/worker.py
+++ b/caperdeck/lab/worker.py
@@ -40,7 +40,7 @@
     def __init__(self, setup: dict[str, Any], origin: float, boot: float) -> None:
         self.scenario: Scenario = decode(setup["scenario"])
         self.seed, self.origin, self.origin_unix_ms = setup["seed"], origin, boot
-        self.out: list[bytes] = []
+        self.unsent_events: list[bytes] = []
         self.encode = msgspec.json.Encoder().encode
         self.next_check_at = 0.0
 
@@ -48,13 +48,13 @@
         return time.monotonic() * 1000.0 - self.origin
 
     def emit(self, ev: str, **values: Any) -> None:
-        if not self.out:
+        if not self.unsent_events:
             reactor.callLater(0.005, self.flush)
-        self.out.append(self.encode({"t": round(self.now(), 3), "ev": ev, **values}) + b"\n")
+        self.unsent_events.append(self.encode({"t": round(self.now(), 3), "ev": ev, **values}) + b"\n")
 
     def flush(self) -> None:
-        out, self.out = self.out, []
-        self.transport.write(b"".join(out))
+        unsent_events, self.unsent_events = self.unsent_events, []
+        self.transport.write(b"".join(unsent_events))
 
     def check_lateness(self) -> None:
         now = self.now()
@@ -104,8 +104,8 @@
 
 class ClientsWorker(Worker):
     def do_open(self, addresses: dict[str, list]) -> None:
-        ends = {n: (host, port) for n, (host, port) in addresses.items()}
-        self.clients = Clients(reactor, self.scenario, self.seed + 77, ends, self.now, self.emit)
+        node_addresses = {n: (host, port) for n, (host, port) in addresses.items()}
+        self.clients = Clients(reactor, self.scenario, self.seed + 77, node_addresses, self.now, self.emit)
 
     def do_start(self) -> None:
         self.clients.start()
--- a/tests/test_lab_oracle.py
+++ b/tests/test_lab_oracle.py
@@ -1,4 +1,4 @@
-"""Histories made by hand, each breaking one rule, that the oracle must name; and sound ones."""
+"""The oracle on hand-made histories: it names the one rule that is broken, and accepts valid histories."""
 
 import pytest
 
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("rule, text, events", BROKEN)
-def test_a_history_that_breaks_one_rule_is_named(rule, text, events):
+def test_breach_of_one_rule_is_named(rule, text, events):
     breaches = find_breaches(SCENARIO, events)
     assert breaches and {b.rule for b in breaches} == {rule}
     assert text in breaches[0].line() and breaches[0].t > 0 or rule == "sessions"
@@ -83,19 +83,19 @@
 
 
 @pytest.mark.parametrize("events", SOUND)
-def test_a_sound_history_is_not(events):
+def test_valid_history_has_no_breach(events):
     assert find_breaches(SCENARIO, events) == []
 
 
 @pytest.mark.parametrize("state", ["killed", "asleep", "exit"])
-def test_a_node_that_was_not_there_is_excused_from_being_in_time_and_from_nothing_else(state):
+def test_dead_or_suspended_node_may_be_late_but_may_not_answer_twice(state):
     gone = ev(500, "life", who="n0", state=state)
     assert find_breaches(SCENARIO, [ask(), gone, LATER]) == []
     assert find_breaches(SCENARIO, [ask(600), ev(500, "life", who="n1", state=state), LATER])
     assert find_breaches(SCENARIO, [ask(), gone, answer(700), answer(800), LATER])
 
 
-def test_a_node_is_excused_until_the_last_of_what_keeps_it_has_gone():
+def test_overlapping_outages_of_a_node_end_with_the_last_one():
     asleep = [ev(100, "life", who="n0", state="asleep"), ev(5000, "life", who="n0", state="awake")]
     cut = [
         ev(t, "fault", number=1, on=on, of=["clients"], far=["n0"]) for t, on in ((200, True), (900, False))
@@ -103,23 +103,23 @@
     assert find_breaches(SCENARIO, [asleep[0], *cut, ask(1000), asleep[1], LATER]) == []
 
 
-def test_a_node_back_again_owes_what_it_is_asked_then():
+def test_resumed_node_must_answer_later_requests_in_time():
     back = [ev(500, "life", who="n0", state="asleep"), ev(900, "life", who="n0", state="awake")]
     assert find_breaches(SCENARIO, [*back, ask(1000), LATER])
 
 
-def test_two_sockets_read_in_one_turn_are_no_two_dials():
+def test_dials_reordered_within_the_window_do_not_count_as_overlapping():
     events = [ask(), dial(10), dial(300, "h1"), undial(304), answer(400), LATER]
     assert find_breaches(SCENARIO, events, reorder_window_ms=20.0) == [] and find_breaches(SCENARIO, events)
 
 
-def test_once_only_sessions_run_once():
+def test_once_only_session_that_runs_twice_is_a_breach():
     once = decode({"name": "t", "seconds": 60, "clients": {"effect": "at_most_once"}})
     ran = [ev(t, "ran", to=h, id="a") for t, h in ((1, "h0"), (2, "h1"))]
     assert "ran twice" in find_breaches(once, ran)[0].text and find_breaches(SCENARIO, ran) == []
 
 
-def test_later_packages_put_their_own_checks_beside_these():
+def test_further_checks_run_beside_the_standard_ones():
     class OneOwner(Check):
         owner = ""
 
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: bad input is refused before anything starts, with the field and the reason."""
+"""Scenario files: invalid input is refused before anything starts, with the field and the reason."""
 
 from pathlib import Path
 
@@ -51,14 +51,14 @@
 
 
 @pytest.mark.parametrize("changes, reason", BAD)
-def test_bad_input_is_refused_with_field_and_reason(changes, reason):
+def test_invalid_scenario_is_refused_with_field_and_reason(changes, reason):
     with pytest.raises(ScenarioError, match="^file.toml: ") as error:
         decode(GOOD | changes, "file.toml")
     assert reason in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("content", [b"name = ", b"\xff\xfe", b"name = 'x'\n"])
-def test_a_file_that_is_no_scenario_is_refused(tmp_path, content):
+def test_invalid_scenario_file_is_refused_with_its_path(tmp_path, content):
     path = tmp_path / "s.toml"
     path.write_bytes(content)
     with pytest.raises(ScenarioError, match=str(path)):
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_a_scenario_written_and_read_again_is_the_same(name, tmp_path):
+def test_scenario_survives_writing_and_reading(name, tmp_path):
     scenario = load(name)
     path = Path(tmp_path / "again.toml")
     path.write_text(scenario_toml(scenario))
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -1,4 +1,4 @@
-"""The fleet in virtual time: scenarios held, planted faults caught, searched for and made small."""
+"""The fleet in virtual time: the rules hold in all scenarios; planted faults are caught, found and shrunk."""
 
 from pathlib import Path
 
@@ -31,14 +31,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("name", [Path(s).stem for s in SCENARIOS])
-def test_the_rules_hold(name, seed):
+def test_rules_hold_in_every_scenario(name, seed):
     made = scenario(name)
     events = VirtualFleet(made, seed).run()
     assert [b.line() for b in find_breaches(made, events)] == []
     assert figures(events)["served"] > 0.7
 
 
-def test_the_same_seed_gives_the_same_history_and_another_does_not():
+def test_history_is_determined_by_the_seed():
     made = scenario("killed")
     first, again, other = (VirtualFleet(made, seed).run() for seed in (5, 5, 6))
     assert first == again != other
@@ -68,15 +68,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_rules_hold_for_forty_nodes_under_faults_that_overlap(seed):
+def test_rules_hold_for_forty_nodes_under_overlapping_faults(seed):
     made = decode(FORTY)
     assert [b.line() for b in find_breaches(made, VirtualFleet(made, seed).run())] == []
 
 
-# ---- planted faults: each says which scenario catches it
+# ---- planted faults, each with the scenario that catches it
 
 
-def say_twice(monkeypatch):
+def answer_twice(monkeypatch):
     join = SessionHandler._couple_flow_control
 
     def twice(self, client, conn):
@@ -89,29 +89,29 @@
 def forget_drains(monkeypatch):
     update = Hosts.update
 
-    def all_run(self, now, whole, rows, complain):
+    def all_ready(self, now, whole, rows, complain):
         return update(self, now, whole, [r | {"state": "Ready"} for r in rows], complain)
 
-    monkeypatch.setattr(Hosts, "update", all_run)
+    monkeypatch.setattr(Hosts, "update", all_ready)
 
 
-def never_notice_a_sleep(monkeypatch):
+def never_detect_suspension(monkeypatch):
     monkeypatch.setattr(backlog, "STALL_MS", float("inf"))
 
 
-def leave_dials_out(monkeypatch):
-    hang_up = SessionHandler._close_host_connection
+def leave_dials_open(monkeypatch):
+    close_connection = SessionHandler._close_host_connection
 
-    def forget(self, s, reset):
+    def close_unless_dialling(self, s, reset):
         if s.established_at or s.host_connection is None:
-            hang_up(self, s, reset)
+            close_connection(self, s, reset)
         else:
             s.host_connection.ended, s.host_connection = True, None
 
-    monkeypatch.setattr(SessionHandler, "_close_host_connection", forget)
+    monkeypatch.setattr(SessionHandler, "_close_host_connection", close_unless_dialling)
 
 
-def spend_whole_cold_budgets(monkeypatch):
+def ignore_slow_start_slots(monkeypatch):
     monkeypatch.setattr(Node, "_slot_is_open", lambda self, now, s, h: True)
     monkeypatch.setattr(Node, "_slot_available", lambda self, now, s, h: True)
 
@@ -125,25 +125,25 @@
     "clients": {"rate": 60.0, "life": [8.0, 9.0], "load": [100.0, 200.0]},
     "fault": [{"do": "start", "of": "h[0-2]", "at": 3.0}],
 }  # fmt: skip
-PLANTS = [
-    (say_twice, "calm", "sessions"),
+PLANTED_FAULTS = [
+    (answer_twice, "calm", "sessions"),
     (lose_sessions, "calm", "sessions"),
     (forget_drains, "asleep", "drains"),
-    (never_notice_a_sleep, "asleep", "drains"),
-    (leave_dials_out, "links", "effects"),
-    (spend_whole_cold_budgets, COLD, "cold"),
+    (never_detect_suspension, "asleep", "drains"),
+    (leave_dials_open, "links", "effects"),
+    (ignore_slow_start_slots, COLD, "cold"),
 ]
 
 
-@pytest.mark.parametrize("plant, caught_by, rule", PLANTS)
-def test_a_planted_fault_is_caught(plant, caught_by, rule, monkeypatch):
+@pytest.mark.parametrize("plant, caught_by, rule", PLANTED_FAULTS)
+def test_planted_fault_breaks_its_rule(plant, caught_by, rule, monkeypatch):
     made = scenario(caught_by) if isinstance(caught_by, str) else decode(caught_by)
     assert rule not in broken(made)
     plant(monkeypatch)
     assert rule in broken(made)
 
 
-def test_the_search_finds_a_planted_fault_and_makes_it_small(monkeypatch, tmp_path):
+def test_search_finds_and_shrinks_a_planted_fault(monkeypatch, tmp_path):
     made = decode({
         "name": "s", "seconds": 8, "nodes": 2, "hosts": {"count": 3, "drain_span": 5000.0},
         "clients": {"rate": 15.0, "life": [1.0, 3.0]},
@@ -162,14 +162,14 @@
 # ---- figures, comparison, the page
 
 
-def test_baselines_play_under_the_same_rules():
+def test_baseline_policies_keep_the_rules():
     made = scenario("killed")
     for policy in POLICIES.values():
         events = VirtualFleet(made, 1, policy).run()
         assert find_breaches(made, events) == [] and figures(events)["served"] > 0.7
 
 
-def test_a_difference_is_shown_only_where_its_interval_leaves_0_out():
+def test_difference_is_shown_only_if_its_interval_excludes_0():
     def runs(*values):
         return [dict.fromkeys(compare.COMPARED_FIGURES, v) for v in values]
 
@@ -179,7 +179,7 @@
     assert not compare.differences(runs(0.5, 0.6), runs(0.5, 0.6))["served"]["shown"]
 
 
-def test_the_page_holds_all_it_shows(capsys):
+def test_page_is_self_contained_and_outcomes_have_their_exit_codes(capsys):
     made = scenario("killed")
     events = VirtualFleet(made).run()
     text = report.page(events, [])
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("span", [0.3, 1.1, 5.1, 20.0])
-def test_the_rules_hold_whatever_the_length_of_a_sleep(span):
+def test_rules_hold_for_suspensions_of_any_length(span):
     made = scenario("asleep", seconds=span + 10.0)
     made.fault[0].span = span
     assert [b.line() for b in find_breaches(made, VirtualFleet(made).run())] == []
