--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -28,7 +28,7 @@
 from caperdeck.state.limits import Limits
 from caperdeck.state.sessions import ClientSide, HostSide, Prober, Session, Sessions
 from caperdeck.state.timers import cancel
-from caperdeck.coordination.subset import Place, Subsets
+from caperdeck.coordination.subset import RingHost, Subsets
 
 from .backlog import BacklogReader
 from .resumption import Resumption
@@ -458,13 +458,15 @@
             return
         sized = self.balancer.settings.sizes_are_nominal
         reason = self.subsets.update([
-            Place(e.host, e.stable_id, sized and e.size or 1.0, e.zone)
+            RingHost(e.host, e.stable_id, sized and e.size or 1.0, e.zone)
             for e, state in zip(self.hosts.entries, self.hosts.states, strict=True)
             if e is not None and state is HostState.RUNNING
         ])  # fmt: skip
         if reason is not None:
             logger.warning("subset reason=unusable {}", reason)
-        self.report_event(SubsetsChanged(self.subsets.narrowed(False), self.subsets.narrowed(True)))
+        self.report_event(
+            SubsetsChanged(self.subsets.restricted_hosts(False), self.subsets.restricted_hosts(True))
+        )
 
     def discovery_heard(self) -> None:
         """A line has come from discovery, possibly an empty one."""
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -38,7 +38,7 @@
 class SimulatedService(Service):
     """The service without signal handlers, and with a port of the simulated reactor."""
 
-    def mind_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         pass
 
     def listen(self, fd: int = -1) -> None:
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -21,30 +21,30 @@
 SCENARIOS = sorted(str(path) for path in FOLDER.glob("*.toml"))
 
 
-def scenario(name, **changes):
+def load_scenario(name, **changes):
     return msgspec.structs.replace(load(str(FOLDER / f"{name}.toml")), **changes)
 
 
-def broken(made, seed=None):
-    return {b.rule for b in find_breaches(made, VirtualFleet(made, seed).run())}
+def broken_rules(scenario, seed=None):
+    return {b.rule for b in find_breaches(scenario, VirtualFleet(scenario, seed).run())}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("name", [Path(s).stem for s in SCENARIOS])
 def test_rules_hold_in_every_scenario(name, seed):
-    made = scenario(name)
-    events = VirtualFleet(made, seed).run()
-    assert [b.line() for b in find_breaches(made, events)] == []
+    scenario = load_scenario(name)
+    events = VirtualFleet(scenario, seed).run()
+    assert [b.line() for b in find_breaches(scenario, events)] == []
     assert figures(events)["served"] > 0.7
 
 
 def test_history_is_determined_by_the_seed():
-    made = scenario("killed")
-    first, again, other = (VirtualFleet(made, seed).run() for seed in (5, 5, 6))
+    scenario = load_scenario("killed")
+    first, again, other = (VirtualFleet(scenario, seed).run() for seed in (5, 5, 6))
     assert first == again != other
 
 
-FORTY = {
+FORTY_NODES = {
     "name": "forty", "seconds": 10, "nodes": 40, "zones": ["a", "b"], "hosts": {"count": 16, "cores": 2},
     "clients": {"rate": 120.0, "life": [2.0, 8.0], "uneven": 3.0},
     "fault": [
@@ -69,8 +69,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_rules_hold_for_forty_nodes_under_overlapping_faults(seed):
-    made = decode(FORTY)
-    assert [b.line() for b in find_breaches(made, VirtualFleet(made, seed).run())] == []
+    scenario = decode(FORTY_NODES)
+    assert [b.line() for b in find_breaches(scenario, VirtualFleet(scenario, seed).run())] == []
 
 
 # ---- planted faults, each with the scenario that catches it
@@ -137,20 +137,20 @@
 
 @pytest.mark.parametrize("plant, caught_by, rule", PLANTED_FAULTS)
 def test_planted_fault_breaks_its_rule(plant, caught_by, rule, monkeypatch):
-    made = scenario(caught_by) if isinstance(caught_by, str) else decode(caught_by)
-    assert rule not in broken(made)
+    scenario = load_scenario(caught_by) if isinstance(caught_by, str) else decode(caught_by)
+    assert rule not in broken_rules(scenario)
     plant(monkeypatch)
-    assert rule in broken(made)
+    assert rule in broken_rules(scenario)
 
 
 def test_search_finds_and_shrinks_a_planted_fault(monkeypatch, tmp_path):
-    made = decode({
+    scenario = decode({
         "name": "s", "seconds": 8, "nodes": 2, "hosts": {"count": 3, "drain_span": 5000.0},
         "clients": {"rate": 15.0, "life": [1.0, 3.0]},
     })  # fmt: skip
-    assert search.search(made, 4, 1) is None
+    assert search.search(scenario, 4, 1) is None
     forget_drains(monkeypatch)
-    small, breaches = search.search(made, 60, 1)
+    small, breaches = search.search(scenario, 60, 1)
     assert len(small.fault) <= 2 and {"drain", "kill"} & {f.do for f in small.fault}
     assert breaches[0].rule == "drains"
     path = tmp_path / "found.toml"
@@ -163,10 +163,10 @@
 
 
 def test_baseline_policies_keep_the_rules():
-    made = scenario("killed")
+    scenario = load_scenario("killed")
     for policy in POLICIES.values():
-        events = VirtualFleet(made, 1, policy).run()
-        assert find_breaches(made, events) == [] and figures(events)["served"] > 0.7
+        events = VirtualFleet(scenario, 1, policy).run()
+        assert find_breaches(scenario, events) == [] and figures(events)["served"] > 0.7
 
 
 def test_difference_is_shown_only_if_its_interval_excludes_0():
@@ -180,19 +180,19 @@
 
 
 def test_page_is_self_contained_and_outcomes_have_their_exit_codes(capsys):
-    made = scenario("killed")
-    events = VirtualFleet(made).run()
+    scenario = load_scenario("killed")
+    events = VirtualFleet(scenario).run()
     text = report.page(events, [])
     assert "<svg" in text and "all rules held" in text and "http-equiv" not in text
     assert "src=" not in text and "<script" not in text
-    assert report_outcome(made, events, True) == 0 and "all rules held" in capsys.readouterr().out
+    assert report_outcome(scenario, events, True) == 0 and "all rules held" in capsys.readouterr().out
     twice = [*events, events[-1] | {"ev": "extra", "id": "x", "what": "up"}]
-    assert report_outcome(made, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
-    assert report_outcome(made, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
+    assert report_outcome(scenario, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
+    assert report_outcome(scenario, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("span", [0.3, 1.1, 5.1, 20.0])
 def test_rules_hold_for_suspensions_of_any_length(span):
-    made = scenario("asleep", seconds=span + 10.0)
-    made.fault[0].span = span
-    assert [b.line() for b in find_breaches(made, VirtualFleet(made).run())] == []
+    scenario = load_scenario("asleep", seconds=span + 10.0)
+    scenario.fault[0].span = span
+    assert [b.line() for b in find_breaches(scenario, VirtualFleet(scenario).run())] == []
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -443,8 +443,8 @@
     """A loopback node whose service is stopping, and the times at which it has ended."""
     loopback = loop()
     service = service_over(loopback.handler, tmp_path)
-    service.port, service.takes, service.ended = loopback.port, True, []
-    loopback.handler.set_accepting = service.accept
+    service.port, service.takes_clients, service.ended = loopback.port, True, []
+    loopback.handler.set_accepting = service.set_accepting
     loopback.reactor.stop = lambda: service.ended.append(loopback.reactor.now)
     service.stop()
     return loopback, service
@@ -489,7 +489,7 @@
     with loopback.reactor.unmonitored(loopback.port):
         clients = [loopback.client(open_line(n)) for n in range(5)]
         service.stopped_at -= 10_000
-        service.move_some()
+        service.redirect_some()
         serve_all(loopback, 0.1)
     loopback.reactor.removeReader(loopback.port)
     serve_all(loopback, 2.0)
@@ -502,7 +502,7 @@
     loopback.reactor.now += 0.6
     loopback.handler.last_turn_at = loopback.handler.read_clock()
     client.sendall(OPEN_LINE + b"\r\n")
-    service.move_some()
+    service.redirect_some()
     serve_all(loopback, 2.5)
     assert answers(client) == ([b"UP r1", b"MOVE"], "end") and service.ended
 
--- a/tests/test_sharing_node.py
+++ b/tests/test_sharing_node.py
@@ -28,7 +28,7 @@
 from caperdeck.gossip.shared_decisions import SharedIdDecisions
 from caperdeck.gossip.sharing import SHARED_HEADROOM_BUDGET, SharingFeatures, life_from
 from caperdeck.lifecycle.config import ConfigError, decode_config
-from caperdeck.lifecycle.sharing import PeersError, load_uses, make_port, parse_peers
+from caperdeck.lifecycle.sharing import PeersError, load_uses, create_peer_port, parse_peers
 from caperdeck.ops.show_peers import show_peers
 from caperdeck.state.addresses import Address
 from caperdeck.wire.peers import PeerPort
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("text, reason", [
     ("room = 1", "room is neither true nor false"),
     ("rooms = true", "unknown key rooms"),
-    ("room = ", "no TOML"),
+    ("room = ", "not valid TOML"),
     (None, "No such file"),
 ])  # fmt: skip
 def test_an_invalid_file_names_the_reason(text, reason, tmp_path):
@@ -60,8 +60,8 @@
 
 @pytest.mark.parametrize("peers, listen, me, reason", [
     (None, PEERS[0], 0, "no peers"),
-    (PEERS, PEERS[0], 3, "no number of a peer"),
-    (PEERS, PEERS[0], True, "no number of a peer"),
+    (PEERS, PEERS[0], 3, "not the number of a peer"),
+    (PEERS, PEERS[0], True, "not the number of a peer"),
     (PEERS, None, 0, "address"),
     ([*PEERS, "nowhere"], PEERS[0], 0, "nowhere"),
     ([PEERS[0], PEERS[0]], PEERS[0], 0, "twice"),
@@ -102,7 +102,10 @@
 def test_a_node_without_usable_peers_runs_alone(changes, line):
     d = make_handler()
     with captured_log() as lines:
-        assert make_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures()) is None
+        assert (
+            create_peer_port(d.reactor, d, decode_config(CONFIG | SHARED | changes), SharingFeatures())
+            is None
+        )
     assert line in lines[0]
 
 
@@ -125,7 +128,7 @@
 
 def make_test_port(uses=SharingFeatures()):  # noqa: B008
     d = make_handler()
-    port, _ = make_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
+    port, _ = create_peer_port(d.reactor, d, decode_config(CONFIG | SHARED), uses)
     port.transport, port.port = RecordingTransport(), object()
     return d, port
 
@@ -153,9 +156,9 @@
 def test_a_changed_list_of_peers_reopens_the_port(tmp_path):
     d = make_handler()
     service = service_over(d, tmp_path, **SHARED)
-    service.uses, service.takes = SharingFeatures(), True
+    service.uses, service.takes_clients = SharingFeatures(), True
     d.reactor.listenUDP = lambda *_, **__: StubSocket()
-    service.join()
+    service.join_peers()
     first = service.peers
     assert first.sharing.swim.members == 3
     longer = SHARED | {"peers": [*PEERS, "127.0.0.1:7004"]}
