--- a/caperdeck/lab/clients.py
+++ b/caperdeck/lab/clients.py
@@ -55,9 +55,9 @@
     def connectionMade(self) -> None:
         rest_range_ms = self.clients.scenario.clients.rest
         if rest_range_ms[1] and not self.resumes_at_host:
-            rest = self.clients.between(rest_range_ms)
-            self.requested_at += rest
-            self.timer = self.clients.reactor.callLater(rest / 1000.0, self.send_request)
+            request_delay_ms = self.clients.between(rest_range_ms)
+            self.requested_at += request_delay_ms
+            self.timer = self.clients.reactor.callLater(request_delay_ms / 1000.0, self.send_request)
         else:
             self.send_request()
 
@@ -108,8 +108,8 @@
         self.is_answered = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        took = round(self.clients.now() - self.requested_at, 1)
-        self.clients.emit("answer", who=self.node, id=self.id, what=what, ms=took)
+        answer_ms = round(self.clients.now() - self.requested_at, 1)
+        self.clients.emit("answer", who=self.node, id=self.id, what=what, ms=answer_ms)
 
     def lineReceived(self, line: bytes) -> None:
         word = line.split(b" ", 1)[0]
@@ -181,13 +181,13 @@
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         now = self.clients.now()
-        lived = now - self.established_at
+        lifetime_ms = now - self.established_at
         self.badly_served_ms += LINE_INTERVAL_MS * sum(
             now - at > PROMPT_ANSWER_MS for at in self.unanswered_lines_at
         )
         self.clients.emit(
-            "end", who=self.node, id=self.id, how=how, ms=round(lived, 1),
-            well=round(max(lived - self.badly_served_ms, 0.0), 1),
+            "end", who=self.node, id=self.id, how=how, ms=round(lifetime_ms, 1),
+            well=round(max(lifetime_ms - self.badly_served_ms, 0.0), 1),
         )  # fmt: skip
 
     def close(self) -> None:
@@ -249,9 +249,9 @@
 
     def resume_standing_clients(self) -> None:
         """Connects all clients that resume sessions from before the run, at the same instant."""
-        now, table, names = self.now(), self.scenario.clients, list(self.scenario.listed_names())
-        for _ in range(table.standing):
-            life, load = self.between(table.life) * 1000.0, self.between(table.load)
+        now, settings, names = self.now(), self.scenario.clients, list(self.scenario.listed_names())
+        for _ in range(settings.standing):
+            life, load = self.between(settings.life) * 1000.0, self.between(settings.load)
             self.client_count += 1
             host = names[int(self.chance() * len(names))]
             self.connect(Client(self, self.client_count, 0, load, now + life, host))
@@ -270,11 +270,11 @@
         return -math.log(max(1.0 - self.chance(), 1e-9)) * 1000.0 / self.scenario.clients.rate
 
     def add_client(self, at: float) -> None:
-        table = self.scenario.clients
-        life, load = self.between(table.life) * 1000.0, self.between(table.load)
+        settings = self.scenario.clients
+        life, load = self.between(settings.life) * 1000.0, self.between(settings.load)
         self.client_count += 1
-        rest = min(at + life, self.scenario.seconds * 1000.0) - at
-        self.emit("wanted", ms=round(rest, 1))
+        wanted_ms = min(at + life, self.scenario.seconds * 1000.0) - at
+        self.emit("wanted", ms=round(wanted_ms, 1))
         self.connect(Client(self, self.client_count, 0, load, at + life))
 
     def connect(self, client: Client) -> None:
@@ -324,8 +324,8 @@
 
     def retry_refused(self, client: Client, backoff_ms: float) -> None:
         """Schedules a limited number of retries, after the back-off from the node or a random one."""
-        table, remaining_ms = self.scenario.clients, client.ends_at - self.now()
-        if client.attempt < table.retries and remaining_ms > 0 and not self.stopped:
+        settings, remaining_ms = self.scenario.clients, client.ends_at - self.now()
+        if client.attempt < settings.retries and remaining_ms > 0 and not self.stopped:
             wait = backoff_ms or self.between((15.0, 120.0)) * 2**client.attempt
             new_client = Client(self, client.number, client.attempt + 1, client.load, client.ends_at)
             self.connect_later(wait, new_client)
--- a/caperdeck/lab/compare.py
+++ b/caperdeck/lab/compare.py
@@ -51,7 +51,7 @@
         except (OSError, msgspec.DecodeError) as error:
             raise ScenarioError(f"{rest}: {error}") from None
         if not isinstance(value, dict):
-            raise ScenarioError(f"{rest}: no JSON object")
+            raise ScenarioError(f"{rest}: expected a JSON object")
         return {"policy": "module", "settings": value}
     if text == "subsets":
         return {"policy": "module", "subsets": True}
@@ -61,7 +61,7 @@
         return {"checkout": rest}
     names = ", ".join(POLICIES)
     others = "settings:FILE, sharing:USE, subsets, checkout:DIR with the rig"
-    raise ScenarioError(f"{text}: none of {names}, {others}")
+    raise ScenarioError(f"{text}: unknown variant, expected one of {names}, {others}")
 
 
 def run_once(path: str, seed: int, variant: dict[str, Any]) -> tuple[dict[str, float], int]:
--- a/caperdeck/lab/demo.py
+++ b/caperdeck/lab/demo.py
@@ -16,6 +16,7 @@
 
 
 def demo_scenario() -> Scenario:
+    """The scenario of the demonstration."""
     return decode({
         "name": "demo", "seconds": 10, "nodes": 3, "hosts": {"count": 5}, "clients": {"rate": 25.0},
         "fault": [{"do": "kill", "of": "n1", "after": {"seen": "answer", "count": 80}, "for": 2.5}],
@@ -45,7 +46,7 @@
         elif kind == "gone":
             self.sessions[event["to"]] -= 1
         elif kind == "fault":
-            what = "sets in" if event["on"] else "is over"
+            what = "begins" if event["on"] else "ends"
             self.recent.append(
                 f"{event['t'] / 1000:6.2f} s  fault {event['do']} of {', '.join(event['of'])} {what}"
             )
@@ -68,5 +69,6 @@
 
 
 def live_view(console: Console) -> tuple[Live, LiveView]:
+    """A live display, and the view that it draws and that receives the events."""
     view = LiveView()
     return Live(console=console, refresh_per_second=8, get_renderable=view.draw), view
--- a/caperdeck/lab/faults.py
+++ b/caperdeck/lab/faults.py
@@ -90,10 +90,10 @@
         self.remaining = after.count
         self.seen_endpoints: set[str] = set()
 
-    def observe(self, event: Event, begun: set[str]) -> bool:
+    def observe(self, event: Event, begun_names: set[str]) -> bool:
         """Counts an event if it matches; returns whether all awaited events have been seen."""
         after = self.after
-        if after.seen != event["ev"] or (after.within and after.within not in begun):
+        if after.seen != event["ev"] or (after.within and after.within not in begun_names):
             return False
         if after.work and after.work != event.get("work"):
             return False
@@ -117,9 +117,9 @@
             i: EventCounter(f.after) for i, f in enumerate(scenario.fault) if f.after is not None
         }
         self.pending_ends: dict[int, list[EventCounter]] = {}  # by fault, what its end still waits for
-        self.begun: set[str] = set()
+        self.begun_names: set[str] = set()
         self.endpoints_of: dict[int, list[str]] = {}
-        self.slowed: dict[str, int] = {}
+        self.slow_generations: dict[str, int] = {}
 
     def start(self) -> None:
         for i, fault in enumerate(self.scenario.fault):
@@ -131,11 +131,11 @@
         if event["ev"] == "fault":
             return
         for i, counter in list(self.pending_starts.items()):
-            if counter.observe(event, self.begun):
+            if counter.observe(event, self.begun_names):
                 del self.pending_starts[i]
                 self.driver.later(self.scenario.fault[i].wait, self.begin_fault, i)
         for i, awaited_events in list(self.pending_ends.items()):
-            if awaited_events[0].observe(event, self.begun):
+            if awaited_events[0].observe(event, self.begun_names):
                 awaited_events.pop(0)
                 if not awaited_events:
                     del self.pending_ends[i]
@@ -145,7 +145,7 @@
 
     def begin_fault(self, i: int) -> None:
         fault = self.scenario.fault[i]
-        self.begun.add(fault.name)
+        self.begun_names.add(fault.name)
         endpoints = self.endpoints_of[i] = self._faulty_endpoints(fault)
         self._emit_fault(i, True, endpoints)
         self._apply(fault, endpoints, True)
@@ -241,15 +241,15 @@
                 if on:
                     driver.reload(node)
             elif do == "slow":
-                self.slowed[node] = self.slowed.get(node, 0) + 1
+                self.slow_generations[node] = self.slow_generations.get(node, 0) + 1
                 if on:
-                    self._alternate_suspension(node, self.slowed[node], fault.amount, True)
+                    self._alternate_suspension(node, self.slow_generations[node], fault.amount, True)
                 else:
                     driver.resume(node)
 
     def _alternate_suspension(self, node: str, generation: int, amount: float, stop: bool) -> None:
         """Suspends a process for a fraction of each period; a newer or ended fault stops the alternation."""
-        if self.slowed.get(node) == generation:
+        if self.slow_generations.get(node) == generation:
             (self.driver.suspend if stop else self.driver.resume)(node)
             self.driver.later(
                 SLOW_PERIOD_S * (amount if stop else 1 - amount),
--- a/caperdeck/lab/launch.py
+++ b/caperdeck/lab/launch.py
@@ -48,9 +48,10 @@
 
 
 def suspend_self() -> None:
+    """Stops this process with SIGSTOP, after recording that as an event."""
     from loguru import logger
 
-    logger.bind(event={"ev": "instance", "state": "asleep"}).debug("stops itself")
+    logger.bind(event={"ev": "instance", "state": "asleep"}).debug("suspending this process at an action")
     os.kill(os.getpid(), signal.SIGSTOP)
 
 
--- a/caperdeck/lab/propagation/relay.py
+++ b/caperdeck/lab/propagation/relay.py
@@ -76,7 +76,7 @@
     def _carry_out(self, order: Order) -> None:
         for region, instance in self.relay.stream_routes:
             for a, b in ((region, instance), (instance, region)):
-                self.relay.set_trouble(a, b, {"cut": int(order.cut)})
+                self.relay.set_link_faults(a, b, {"cut": int(order.cut)})
 
 
 class RelayChild(ChildProcess):
--- a/caperdeck/lab/real.py
+++ b/caperdeck/lab/real.py
@@ -52,7 +52,9 @@
         logs: str | None = None,
     ) -> None:  # fmt: skip
         if scenario.nodes > MAX_REAL_NODES:
-            raise ScenarioError(f"nodes: {scenario.nodes} is over {MAX_REAL_NODES}, the most real processes")
+            raise ScenarioError(
+                f"nodes: {scenario.nodes} is over {MAX_REAL_NODES}, the limit for real processes"
+            )
         self.origin = time.monotonic() * 1000.0
         self.origin_unix_ms = time.time() * 1000.0
         super().__init__(scenario, seed, watch)
@@ -325,7 +327,7 @@
         await asyncio.wait_for(self.headroom_known, START_TIMEOUT_S)
         if self.relay_rate_per_s < MIN_RELAY_HEADROOM * self.scenario.clients.rate:
             capacity = f"the relay carries {self.relay_rate_per_s:.0f} connections a second"
-            raise VoidError(f"{capacity}, {self.scenario.clients.rate:g} are asked")
+            raise VoidError(f"{capacity}, {self.scenario.clients.rate:g} are required")
 
     def _take_port(self, kind: int) -> tuple[str, int]:
         return LOOPBACK, self.ports.reserve(kind)
--- a/caperdeck/lab/relay.py
+++ b/caperdeck/lab/relay.py
@@ -69,7 +69,7 @@
     def __init__(self, route: StreamRoute) -> None:
         self.route = route
         relay = route.relay
-        a, b, reactor = route.a, route.b, relay.reactor
+        a, b, reactor = route.near_name, route.far_name, relay.reactor
         self.near, self.far = ConnectionEnd(self, True), ConnectionEnd(self, False)
         kind = {"h": "host", "d": "list"}.get(b[0]) if a[0] == "n" else None
         self.monitor = Edge(kind, a, b, relay.emit) if kind else None
@@ -135,7 +135,9 @@
         words = data.split(b" ", 3)
         if words[0] == b"act" and len(words) == 4:
             work, token = words[1].decode(), int(words[2])
-            self.route.relay.emit("withheld", who=self.route.a, to=self.route.b, work=work, token=token)
+            self.route.relay.emit(
+                "withheld", who=self.route.near_name, to=self.route.far_name, work=work, token=token
+            )
 
     def deliver_near(self, item: Any) -> None:
         if self.monitor is not None:
@@ -159,9 +161,10 @@
     noisy = False
 
     def __init__(self, relay: Relay, a: str, b: str, target: Address) -> None:
-        self.relay, self.a, self.b, self.target = relay, a, b, target
+        self.relay, self.near_name, self.far_name, self.target = relay, a, b, target
         self.connections: dict[RelayedConnection, None] = {}
-        self.held_connections: list[RelayedConnection] | None = None  # while the link is held
+        # Connections that wait while the link is held; None while it is not.
+        self.held_connections: list[RelayedConnection] | None = None
         self.port: Any = None
         self.fillers: list[socket.socket] = []
         self.address: Address = ("127.0.0.1", 0)
@@ -183,9 +186,9 @@
         for connection in held_connections or ():
             connection.open_far_end()
 
-    def apply_troubles(self) -> None:
+    def apply_link_faults(self) -> None:
         """Opens, closes or silences the listening socket according to the state of the link."""
-        silent = not self.relay.links.reachable(self.a, self.b)
+        silent = not self.relay.links.reachable(self.near_name, self.far_name)
         if self.down and self.port is not None:
             self._reopen_queue()
             self.closing = self.port.stopListening()
@@ -222,10 +225,10 @@
     """The relay's socket for datagrams from one node to another, or to all others."""
 
     def __init__(self, relay: Relay, a: str, b: str) -> None:
-        self.relay, self.a, self.b = relay, a, b
+        self.relay, self.near_name, self.far_name = relay, a, b
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        self.relay.datagram(self.a, self.b, data)
+        self.relay.datagram(self.near_name, self.far_name, data)
 
 
 class Relay:
@@ -239,6 +242,7 @@
         self.ports = Ports()
 
     def add_stream_route(self, a: str, b: str, target: Address) -> Address:
+        """Opens the address at which endpoint `a` reaches endpoint `b`, which listens at `target`."""
         route = self.stream_routes[a, b] = StreamRoute(self, a, b, target)
         route.address = ("127.0.0.1", self.ports.reserve(socket.SOCK_STREAM))
         return route.listen()
@@ -250,6 +254,7 @@
         return bound.host, bound.port
 
     def datagram(self, a: str, b: str, data: bytes) -> None:
+        """Forwards a datagram from `a` to `b`, or to all others (`*`), subject to the faults of the links."""
         for to in (n for n in self.peers if n != a) if b == "*" else (b,):
             delays_ms = self.links.datagram(a, to)
             self.emit("datagram", who=a, to=to, size=len(data), ok=len(data) <= 256)
@@ -265,9 +270,10 @@
         for (_, b), route in self.stream_routes.items():
             if b == name:
                 route.down = down
-                route.apply_troubles()
+                route.apply_link_faults()
 
-    def set_trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
+    def set_link_faults(self, a: str, b: str, values: dict[str, Any]) -> None:
+        """Sets the faults of the link from `a` to `b`; `values` are by the names of their fields."""
         trouble = self.links.trouble(a, b)
         cut = values.pop("cut")
         for key, value in values.items():
@@ -276,13 +282,15 @@
             self.links.cut(a, b, trouble.cut < cut)
         for pair in ((a, b), (b, a)):
             if pair in self.stream_routes:
-                self.stream_routes[pair].apply_troubles()
+                self.stream_routes[pair].apply_link_faults()
 
     def hold(self, a: str, b: str, on: bool) -> None:
+        """Holds back the data of a link, or delivers what was held."""
         if (a, b) in self.stream_routes:
             self.stream_routes[a, b].hold(on)
 
     def reset(self, a: str, b: str) -> None:
+        """Resets all connections between two endpoints."""
         for pair in ((a, b), (b, a)):
             for connection in (
                 list(self.stream_routes[pair].connections) if pair in self.stream_routes else ()
--- a/caperdeck/lab/rig_process.py
+++ b/caperdeck/lab/rig_process.py
@@ -58,7 +58,7 @@
 
     def _write(self, value: dict[str, Any]) -> None:
         if self.process.stdin.transport.is_closing():
-            raise VoidError(f"the rig's {self.role} ended")
+            raise VoidError(f"the worker process of the {self.role} has ended")
         self.process.stdin.write(msgspec.json.encode(value) + b"\n")
 
     def send_command(self, do: str, **values: Any) -> asyncio.Future:
@@ -84,4 +84,4 @@
                 self.fleet.handle_event(event)
         for future in self.pending.values():
             if not future.done():
-                future.set_exception(VoidError(f"the rig's {self.role} ended"))
+                future.set_exception(VoidError(f"the worker process of the {self.role} has ended"))
--- a/caperdeck/lab/search.py
+++ b/caperdeck/lab/search.py
@@ -46,6 +46,7 @@
 
 
 def breaches_of(scenario: Scenario, faults: list[Fault], seed: int) -> list[Breach]:
+    """Runs the scenario with other faults and returns the breaches."""
     variant = msgspec.structs.replace(scenario, fault=faults, seed=seed)
     return find_breaches(variant, VirtualFleet(variant).run())
 
@@ -89,10 +90,10 @@
 
     def breaks(faults: list[Fault]) -> bool:
         run_count[0] += 1
-        found = breaches_of(scenario, [*scenario.fault, *faults], seed)
-        if found:
-            report(f"run {run_count[0]}: {len(faults)} faults, {found[0].line()}")
-        return bool(found)
+        breaches = breaches_of(scenario, [*scenario.fault, *faults], seed)
+        if breaches:
+            report(f"run {run_count[0]}: {len(faults)} faults, {breaches[0].line()}")
+        return bool(breaches)
 
     limits = settings(
         max_examples=runs, database=None, deadline=None, phases=[Phase.generate],
@@ -100,10 +101,10 @@
     )  # fmt: skip
     schedule = st.lists(fault_strategy(scenario), min_size=1, max_size=MAX_GENERATED_FAULTS)
     try:
-        added = find(schedule, breaks, settings=limits, random=Random(seed))
+        generated = find(schedule, breaks, settings=limits, random=Random(seed))
     except NoSuchExample:
         return None
-    faults, seed = shrink(scenario, [*scenario.fault, *added], seed, report)
+    faults, seed = shrink(scenario, [*scenario.fault, *generated], seed, report)
     smallest = msgspec.structs.replace(scenario, fault=faults, seed=seed)
     return smallest, find_breaches(smallest, VirtualFleet(smallest).run())
 
--- a/caperdeck/lab/soak.py
+++ b/caperdeck/lab/soak.py
@@ -38,7 +38,8 @@
 )  # of the wall clock, forward or back
 CLIENT_WAITS_MS = (400.0, 800.0, 1200.0, 2000.0)
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
-CROWDED_SOCKETS = 160 + RESERVED_DESCRIPTORS  # of a node, for sessions and a crowd
+# Descriptor limit of a node whose sessions share it with a crowd; the admin address has its own descriptors.
+CROWDED_SOCKETS = 160 + RESERVED_DESCRIPTORS
 STANDING_CONNECTIONS = (0, 40)  # sessions from before the run
 LARGE_FLEET_ALIASES = 3200  # names on the list of a large fleet, all served by one simulated host
 LARGE_FLEET_FRACTION = 0.25  # of the seeds have a large fleet
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -77,10 +77,12 @@
         self.hosts: dict[str, HostServer] = {}
         for i, name in enumerate(scenario.host_names()):
             host = Host(scenario, name, self.seed * 1000 + i, emit)
-            port = self.hosts[name] = HostServer(Place(world, name), host, self.now)
-            port.listen(f"127.1.0.{i + 1}", 9000)
+            server = self.hosts[name] = HostServer(Place(world, name), host, self.now)
+            server.listen(f"127.1.0.{i + 1}", 9000)
         self.discovery.list_hosts(scenario)
-        host_addresses = {name: f"{port.address[0]}:{port.address[1]}" for name, port in self.hosts.items()}
+        host_addresses = {
+            name: f"{server.address[0]}:{server.address[1]}" for name, server in self.hosts.items()
+        }
         for i, name in enumerate(scenario.node_names()):
             agent = self.discovery.add(name, host_addresses, Place(world, f"d{i}"))
             agent.listen(self._ip(3, i), 8500)
--- a/caperdeck/lab/worker.py
+++ b/caperdeck/lab/worker.py
@@ -67,7 +67,7 @@
         """Sets the origin of the run's times."""
         self.origin, self.origin_unix_ms, self.next_check_at = origin, boot, 0.0
 
-    def ask(self, command: dict[str, Any]) -> Any:
+    def run_command(self, command: dict[str, Any]) -> Any:
         return getattr(self, f"do_{command.pop('do')}")(**command)
 
 
@@ -136,7 +136,7 @@
         self.relay.set_down(name, down)
 
     def do_trouble(self, a: str, b: str, values: dict[str, Any]) -> None:
-        self.relay.set_trouble(a, b, values)
+        self.relay.set_link_faults(a, b, values)
 
     def do_hold(self, a: str, b: str, on: bool) -> None:
         self.relay.hold(a, b, on)
@@ -209,7 +209,7 @@
             self.worker.check_lateness()
             return
         number = command.pop("number")
-        answer = self.worker.ask(command)
+        answer = self.worker.run_command(command)
         self.worker.emit("done", number=number, answer=answer)
 
     def connectionLost(self, reason: Any) -> None:
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -267,7 +267,7 @@
     reactor.callFromThread(lambda: (do(*args), done.set()))
     done.wait()
     time.sleep(0.1)
-def cut(on): relay.set_trouble("h0", "n0", {"cut": int(on)})
+def cut(on): relay.set_link_faults("h0", "n0", {"cut": int(on)})
 def play():
     said = [knock()]
     for do, arg in ((cut, True), (cut, False), (lambda d: relay.set_down("h0", d), True), (lambda d: relay.set_down("h0", d), False)):
