--- a/caperdeck/lab/cli.py
+++ b/caperdeck/lab/cli.py
@@ -176,13 +176,13 @@
 
 def slopes(arguments: dict[str, Any]) -> int:
     from .slopes.command import run
-    from .slopes.errors import InputError, MeasuringError
+    from .slopes.errors import InputError, MeasurementError
 
     try:
         run(arguments["--out"], arguments["--only"], arguments["--small"], print_line, arguments["--merge"])
     except InputError as error:
         return report_bad_input(error)
-    except MeasuringError as error:
+    except MeasurementError as error:
         return report_void(error)
     return EXIT_HELD
 
