--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from caperdeck.lab.oracle import SAME_TURN, judge
+from caperdeck.lab.oracle import REORDER_WINDOW_MS, find_breaches
 from caperdeck.lab.owned_work import CHECKS
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scenario import dump
@@ -58,7 +58,7 @@
         self.started_at = time.monotonic()
         self.addresses = LoopbackAddresses()
         self.real = RealNodeFleet(self.scenario, self.addresses, self.logs)
-        self.real.over = False
+        self.real.is_closing = False
         self.meter = ResourceMeter(self._roles_by_pid, self.started_at)
         with tempfile.TemporaryDirectory(prefix="caperdeck-scale-") as folder:
             self.folder = self.real.folder = folder
@@ -69,13 +69,13 @@
                 raise VoidError("a part of the test rig did not answer before its timeout") from None
             except asyncio.CancelledError:
                 # A background task that fails cancels the steps and stores its error in `failed`.
-                if self.real.failed is None:
+                if self.real.failure is None:
                     raise
             finally:
-                self.real.over = True
+                self.real.is_closing = True
                 await self._close()
-        if self.real.failed is not None:
-            raise self.real.failed
+        if self.real.failure is not None:
+            raise self.real.failure
         self._collect_results()
         return self.measured
 
@@ -111,7 +111,7 @@
             except Exception as error:
                 # The signal handler raises InterruptedRunError in whatever code is running, so it can arrive
                 # in this task: without this the steps would go on after an interrupt.
-                self.real.failed = self.real.failed or error
+                self.real.failure = self.real.failure or error
                 self.steps_task.cancel()
 
         self.tasks.append(asyncio.ensure_future(repeat()))
@@ -179,7 +179,7 @@
         numbers = self.scenario.racks()[index]
         self.start_counts[index] += 1
         addresses = [self.real.stub_addresses[number] for number in numbers]
-        instances = [self.real.listen[owner] for owner in self.real.scenario.owner_names()]
+        instances = [self.real.listen_addresses[owner] for owner in self.real.scenario.owner_names()]
         return Plan(
             numbers, addresses, self.real.everybody, instances, CLUSTER_NAME,
             self.addresses.discovery_address(), self.scenario.sharing, dump(self.real.scenario),
@@ -245,7 +245,7 @@
         real.ownership.remove(name)
         fault.dead_s = await self._wait_until(lambda: real.ownership.complete, bound)
         await real.processes[name].wait()
-        await real._start_owner(name)
+        await real._start_instance(name)
         fault.back_s = self.now() - fault.at
 
     async def _kill_rack(self) -> None:
@@ -284,7 +284,7 @@
         real.kill(name)
         await real.processes[name].wait()
         fault.dead_s = self.now() - fault.at
-        start = asyncio.ensure_future(real._start(name))
+        start = asyncio.ensure_future(real._start_node(name))
         done, _ = await asyncio.wait([start], timeout=bound)
         if done and real.is_up(name):
             fault.back_s = self.now() - fault.at
@@ -302,7 +302,7 @@
         measured.late = {
             rack.name: rack.last_sample.late for rack in self.racks if rack.last_sample is not None
         }
-        measured.late |= {"run": self.heartbeat.stats, "rig": LatenessStats(worst_ms=self.real.late)}
+        measured.late |= {"run": self.heartbeat.stats, "rig": LatenessStats(worst_ms=self.real.max_late_ms)}
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -317,7 +317,9 @@
         measured.tries = sum(event["ev"] == "ask" for event in events)
         measured.answers = dict(Counter(event["what"] for event in events if event["ev"] == "answer"))
         measured.served = measured.answers.get("up", 0)
-        measured.breaches = [breach.line() for breach in judge(self.real.scenario, events, CHECKS, SAME_TURN)]
+        measured.breaches = [
+            breach.line() for breach in find_breaches(self.real.scenario, events, CHECKS, REORDER_WINDOW_MS)
+        ]
 
 
 def _log_tail(path: Path) -> str:
--- a/caperdeck/lab/virtual.py
+++ b/caperdeck/lab/virtual.py
@@ -1,4 +1,4 @@
-"""The same fleet in virtual time: the program's own service over in-memory transports, on one clock."""
+"""Runs a scenario in virtual time: the program's own service over in-memory transports, on one clock."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 from .clients import Clients
 from .discovery import Discovery
-from .fleet import CLIENTS_FROM, LEAVES, READY, Fleet
+from .fleet import CLIENT_START_S, LEAVE_NOTICE_S, NODE_READY_DELAY_S, Fleet
 from .history import Event
-from .hosts import Host, HostPort
+from .hosts import Host, HostServer
 from .scenario import Scenario, ScenarioError
 from .setup import node_config
 from .simulated.reactor import Place
 from .simulated.world import World
 
-EPOCH = 1_800_000_000_000.0  # Unix milliseconds at which every run begins
+EPOCH_MS = 1_800_000_000_000.0  # Unix time at which every run begins
 
 
 class _NoLog:
-    """A node's log lines are dropped: the history has what counts."""
+    """Drops the log of a node; the history has all that is checked."""
 
     def flush(self) -> None:
         pass
 
 
-class Copy(Service):
-    """The service as it is, but for signals and the port that only a real reactor has."""
+class SimulatedService(Service):
+    """The service without signal handlers, and with a port of the simulated reactor."""
 
     def install_signal_handlers(self) -> None:
         pass
@@ -48,10 +48,10 @@
 
 
 class VirtualFleet(Fleet):
-    """A whole fleet in this process. `decides` makes the decisions of each node."""
+    """A whole fleet in this process; `node_type` makes the decisions of each node."""
 
     def __init__(
-        self, scenario: Scenario, seed: int | None = None, decides: type[Node] = Node,
+        self, scenario: Scenario, seed: int | None = None, node_type: type[Node] = Node,
         settings: dict[str, Any] | None = None, watch: Callable[[Event], None] | None = None,
     ) -> None:  # fmt: skip
         if scenario.owners:
@@ -59,36 +59,38 @@
         self.world = World()
         super().__init__(scenario, seed, watch)
         self.world.links, self.world.emit = self.links, self.history.emit
-        self.decides, self.settings = decides, settings
-        self.services: dict[str, Copy] = {}
+        self.node_type, self.settings = node_type, settings
+        self.services: dict[str, SimulatedService] = {}
         self.places: dict[str, Place] = {}
-        self.took = 0.0  # seconds of real time
+        self.wall_seconds = 0.0  # real time that the run took
         self._build()
 
     def now(self) -> float:
         return self.world.clock.rightNow * 1000.0
 
-    # ---- the parts
+    # ---- set-up
 
     def _build(self) -> None:
-        s, world, emit = self.scenario, self.world, self.history.emit
+        scenario, world, emit = self.scenario, self.world, self.history.emit
         hub = Place(world, "discovery")
-        self.discovery = Discovery(hub, lambda: self.links.between(s.net.list_late), emit)
-        self.hosts: dict[str, HostPort] = {}
-        for i, name in enumerate(s.host_names()):
-            host = Host(s, name, self.seed * 1000 + i, emit)
-            port = self.hosts[name] = HostPort(Place(world, name), host, self.now)
-            port.listen(f"127.1.0.{i + 1}", 9000)
-        self.discovery.list_hosts(s)
-        ends = {name: f"{port.address[0]}:{port.address[1]}" for name, port in self.hosts.items()}
-        for i, name in enumerate(s.node_names()):
-            agent = self.discovery.add(name, ends, Place(world, f"d{i}"))
+        self.discovery = Discovery(hub, lambda: self.links.between(scenario.net.list_late), emit)
+        self.hosts: dict[str, HostServer] = {}
+        for i, name in enumerate(scenario.host_names()):
+            host = Host(scenario, name, self.seed * 1000 + i, emit)
+            server = self.hosts[name] = HostServer(Place(world, name), host, self.now)
+            server.listen(f"127.1.0.{i + 1}", 9000)
+        self.discovery.list_hosts(scenario)
+        host_addresses = {
+            name: f"{server.address[0]}:{server.address[1]}" for name, server in self.hosts.items()
+        }
+        for i, name in enumerate(scenario.node_names()):
+            agent = self.discovery.add(name, host_addresses, Place(world, f"d{i}"))
             agent.listen(self._ip(3, i), 8500)
-        addresses = {n: (self._ip(2, i), 9000) for i, n in enumerate(s.node_names())}
-        self.peers = [f"{self._ip(4, i)}:7946" for i in range(s.nodes)]
-        for i in range(s.nodes):
-            world.everyone[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(s.nodes)]
-        self.clients = Clients(Place(world, "clients"), s, self.seed + 77, addresses, self.now, emit)
+        addresses = {n: (self._ip(2, i), 9000) for i, n in enumerate(scenario.node_names())}
+        self.peers = [f"{self._ip(4, i)}:7946" for i in range(scenario.nodes)]
+        for i in range(scenario.nodes):
+            world.everyone[self._ip(5, i), 7946] = [(self._ip(4, j), 7946) for j in range(scenario.nodes)]
+        self.clients = Clients(Place(world, "clients"), scenario, self.seed + 77, addresses, self.now, emit)
 
     def _ip(self, net: int, i: int) -> str:
         return f"127.{net}.{i // 250}.{i % 250 + 1}"
@@ -98,29 +100,29 @@
             return
         life = self.lives[node] = self.lives.get(node, 0) + 1
         i, place = int(node[1:]), Place(self.world, node)
-        offset, drift = self.skews.get(node, (0.0, 0.0))
+        offset, drift = self.clock_skews.get(node, (0.0, 0.0))
         place.rate, place.offset = 1 + drift / 1000.0, offset / 1000.0
-        raw = node_config(
+        config_data = node_config(
             self.scenario, node, f"{self._ip(2, i)}:9000", f"{self._ip(3, i)}:8500", life, self.seed,
             self.peers, f"{self._ip(5, i)}:7946", self.peers[i], self.settings,
         )  # fmt: skip
-        config = decode_config(raw)
+        config = decode_config(config_data)
 
         def clock() -> float:
-            return EPOCH + place.seconds() * 1000.0
+            return EPOCH_MS + place.seconds() * 1000.0
 
-        copy = Copy(
-            place, config, _NoLog(), lambda: config, clock, clock, self.scenario.uses(),
+        service = SimulatedService(
+            place, config, _NoLog(), lambda: config, clock, clock, self.scenario.sharing_features(),
             subsets=self.scenario.subsets,
         )  # fmt: skip
-        copy.handler.balancer = Balancer(config.settings, copy.clock(), self.decides)
-        place.exited = lambda: self.gone(node, "exit")
-        self.places[node], self.services[node] = place, copy
-        copy.start()
+        service.handler.balancer = Balancer(config.settings, service.clock(), self.node_type)
+        place.exited = lambda: self.process_ended(node, "exit")
+        self.places[node], self.services[node] = place, service
+        service.start()
         self.history.emit("life", who=node, state="up", life=life)
-        self.later(READY, self.ready, node, life)
+        self.later(NODE_READY_DELAY_S, self.node_ready, node, life)
 
-    # ---- what a fault asks for
+    # ---- operations for faults
 
     def later(self, wait: float, do: Callable[..., None], *args: Any) -> Any:
         return self.world.clock.callLater(wait, do, *args)
@@ -131,26 +133,26 @@
     def kill(self, node: str) -> None:
         if self.alive(node):
             self.places[node].die()
-            self.gone(node, "killed")
+            self.process_ended(node, "killed")
 
     def terminate(self, node: str) -> None:
         if self.alive(node):
             self.history.emit("life", who=node, state="stopping")
             self.places[node].callLater(0, self.services[node].stop)
-            self.later(LEAVES, self.front, "leaves", node)
+            self.later(LEAVE_NOTICE_S, self.update_front_end, "leaves", node)
 
-    def stop(self, node: str) -> None:
+    def suspend(self, node: str) -> None:
         if self.alive(node) and not self.places[node].suspended:
             self.places[node].suspend()
             self.history.emit("life", who=node, state="asleep")
 
-    def wake(self, node: str) -> None:
+    def resume(self, node: str) -> None:
         if self.alive(node) and self.places[node].suspended:
             self.history.emit("life", who=node, state="awake")
             self.places[node].resume()
 
-    def front(self, what: str, node: str) -> None:
-        self.clients.node(what, node)
+    def update_front_end(self, what: str, node: str) -> None:
+        self.clients.update_node(what, node)
 
     def reset(self, a: str, b: str) -> None:
         for place in list(self.places.values()):
@@ -159,31 +161,33 @@
                     end.peer.reset("far")
                     end.reset("far")
 
-    def host_do(self, name: str, what: str, amount: float = 0.0) -> None:
-        self.hosts[name].do(what, amount)
+    def control_host(self, name: str, what: str, amount: float = 0.0) -> None:
+        self.hosts[name].apply_command(what, amount)
 
-    def listing(self, name: str, state: str) -> None:
-        self.discovery.change(name, state, EPOCH + self.hosts[name].host.born if state == "cold" else None)
+    def change_listing(self, name: str, state: str) -> None:
+        self.discovery.change(
+            name, state, EPOCH_MS + self.hosts[name].host.started_at if state == "cold" else None
+        )
 
-    def hush(self, node: str, silent: bool) -> None:
-        self.discovery.agents[node].hush(silent)
+    def set_discovery_silent(self, node: str, silent: bool) -> None:
+        self.discovery.agents[node].set_silent(silent)
 
     # ---- the run
 
     def run(self) -> list[Event]:
-        """Plays the scenario and a little longer; returns the history in the order of time."""
+        """Runs the scenario to the end of the last client's wait; returns the history ordered by time."""
         logger.remove()
-        gc.disable()  # what a run makes lives to its end
+        gc.disable()  # most objects of a run live to its end
         began = time.perf_counter()
-        self.skew_from_the_start()
+        self.apply_initial_clock_skews()
         for node in self.scenario.node_names():
             self.later(0.02 * self.links.chance(), self.start, node)
         self.timeline.start()
-        self.later(CLIENTS_FROM, self.clients.start)
+        self.later(CLIENT_START_S, self.clients.start)
         self.later(self.scenario.seconds, self.clients.stop)
         try:
-            self.world.clock.run(self.length)
+            self.world.clock.run(self.duration_s)
         finally:
             gc.enable()
-        self.took = time.perf_counter() - began
+        self.wall_seconds = time.perf_counter() - began
         return self.history.sorted()
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -2,10 +2,10 @@
 
 import msgspec
 import pytest
-from test_lab_virtual import FORTY, broken, scenario
+from test_lab_virtual import FORTY_NODES, broken_rules, load_scenario
 
 from caperdeck.core.decide import Node
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import ScenarioError, decode
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.gossip.sharing import Sharing, SharingFeatures
@@ -26,13 +26,13 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("uses", [[], ALL])
 def test_the_rules_hold_for_forty_nodes_that_share_under_faults(seed, uses):
-    made = decode(FORTY | {"sharing": uses})
-    assert [b.line() for b in judge(made, VirtualFleet(made, seed).run())] == []
+    made = decode(FORTY_NODES | {"sharing": uses})
+    assert [b.line() for b in find_breaches(made, VirtualFleet(made, seed).run())] == []
 
 
 def test_cold_hosts_get_no_less_than_by_equal_shares():
     """Half of the links between the nodes are dead or open one way, and loans are lost on their way."""
-    made = scenario("shared8")
+    made = load_scenario("shared8")
     alone = msgspec.structs.replace(made, sharing=None)
     seeds = range(1, 5)
     assert sum(sent_cold(made, s) for s in seeds) > 0.9 * sum(sent_cold(alone, s) for s in seeds)
@@ -51,7 +51,7 @@
 def test_a_fleet_that_divides_by_the_living_pushes_cold_hosts_over(monkeypatch):
     """Cut in forty parts, each node takes itself for the whole fleet."""
     made = decode(APART)
-    assert broken(made) == set()
+    assert broken_rules(made) == set()
     tick, part = Sharing.tick, Node.warm_host_share
 
     def tick_and_count(self, now):
@@ -63,7 +63,7 @@
 
     monkeypatch.setattr(Sharing, "tick", tick_and_count)
     monkeypatch.setattr(Node, "warm_host_share", divided)
-    assert "cold" in broken(made)
+    assert "cold" in broken_rules(made)
 
 
 def test_a_use_that_is_none_is_refused():
