--- a/caperdeck/lab/capacity/command.py
+++ b/caperdeck/lab/capacity/command.py
@@ -19,9 +19,9 @@
 
 
 def run(
-    slopes: str, target: str, json: str | None, page_path: str | None, say: Callable[[str], None]
+    slopes: str, target: str, json: str | None, page_path: str | None, print_line: Callable[[str], None]
 ) -> tuple[str, ...]:
-    """Prints the tables with `say`; returns the names of measurements that the record lacks.
+    """Prints the tables with `print_line`; returns the names of measurements that the record lacks.
 
     Raises CapacityError for files with invalid content and OSError for files that cannot be opened.
     """
@@ -36,5 +36,5 @@
         Path(json).write_bytes(msgspec.json.format(encoded, indent=1) + b"\n")
     if page_path:
         Path(page_path).write_text(page_text, encoding="utf-8")
-    say(text)
+    print_line(text)
     return report.missing
