--- a/caperdeck/lab/scale/real_nodes.py
+++ b/caperdeck/lab/scale/real_nodes.py
@@ -40,40 +40,49 @@
         nodes, hosts = self.scenario.node_names(), self.scenario.host_names()
         owners = self.scenario.owner_names()
         await self._start_workers()
-        ends = await self.workers["hosts"].request("open")
+        host_addresses = await self.workers["hosts"].request("open")
         self._take_ports(nodes, owners)
-        ways = [[n, h, ends[h]] for n in nodes for h in hosts]
-        ways += [["clients", n, self.addresses[n]] for n in nodes]
-        opened = await self.workers["relay"].request("open", ways=ways, peers={})
-        at = {(a, b): address for a, b, address in opened["streams"]}
-        places = {n: {h: format_address(at[n, h]) for h in hosts} for n in nodes}
-        agents = await self.workers["agents"].request("open", places=places)
-        more = await self.workers["relay"].request("more", ways=[[n, f"d{n[1:]}", agents[n]] for n in nodes])
-        self.discovery_addresses = {a: format_address(address) for a, _, address in more}
-        self._tell_addresses(nodes, owners)
-        await self.workers["clients"].request("open", addresses={n: at["clients", n] for n in nodes})
+        routes = [[node, host, host_addresses[host]] for node in nodes for host in hosts]
+        routes += [["clients", node, self.addresses[node]] for node in nodes]
+        opened = await self.workers["relay"].request("open", ways=routes, peers={})
+        relay_addresses = {(source, target): address for source, target, address in opened["streams"]}
+        hosts_by_node = {
+            node: {host: format_address(relay_addresses[node, host]) for host in hosts} for node in nodes
+        }
+        agents = await self.workers["agents"].request("open", places=hosts_by_node)
+        agent_routes = await self.workers["relay"].request(
+            "more", ways=[[node, f"d{node[1:]}", agents[node]] for node in nodes]
+        )
+        self.discovery_addresses = {agent: format_address(address) for agent, _, address in agent_routes}
+        self._set_known_addresses(nodes, owners)
+        await self.workers["clients"].request(
+            "open", addresses={node: relay_addresses["clients", node] for node in nodes}
+        )
         await self._measure_relay()
 
     def _take_ports(self, nodes: list[str], owners: list[str]) -> None:
         self.addresses = {name: self._take_port(socket.SOCK_STREAM) for name in nodes + owners}
-        self.peers = {n: self._take_port(socket.SOCK_DGRAM) for n in nodes}
+        self.peers = {node: self._take_port(socket.SOCK_DGRAM) for node in nodes}
         self.listen_addresses = {name: format_address(address) for name, address in self.addresses.items()}
-        self.admin_addresses = {n: format_address(self._take_port(socket.SOCK_STREAM)) for n in nodes}
+        self.admin_addresses = {node: format_address(self._take_port(socket.SOCK_STREAM)) for node in nodes}
 
-    def _tell_addresses(self, nodes: list[str], owners: list[str]) -> None:
-        hollow = self.stub_addresses
-        self.everybody = [format_address(self.peers[n]) for n in nodes] + [hollow[i] for i in sorted(hollow)]
-        self.peer_addresses_by_node = dict.fromkeys(nodes, self.everybody)
+    def _set_known_addresses(self, nodes: list[str], owners: list[str]) -> None:
+        """Sets the addresses of members and instances that the processes find in their configuration."""
+        stubs = self.stub_addresses
+        self.member_addresses = [format_address(self.peers[node]) for node in nodes] + [
+            stubs[number] for number in sorted(stubs)
+        ]
+        self.peer_addresses_by_node = dict.fromkeys(nodes, self.member_addresses)
         self.broadcast_addresses = dict.fromkeys(nodes, "")
-        instances = {o[1:]: self.listen_addresses[o] for o in owners}
+        instances = {owner[1:]: self.listen_addresses[owner] for owner in owners}
         self.instance_addresses = dict.fromkeys(owners + nodes, instances)
-        second = self.admin_addresses | {f"n{i}": hollow[i] for i in sorted(hollow)}
-        self.admin_addresses_by_instance = dict.fromkeys(owners, configured_nodes(second))
+        admin_addresses = self.admin_addresses | {f"n{number}": stubs[number] for number in sorted(stubs)}
+        self.admin_addresses_by_instance = dict.fromkeys(owners, configured_nodes(admin_addresses))
 
     async def start_all(self) -> None:
         """Starts instances and real nodes; `missing` names those that did not come up."""
-        owners = [self._start_instance(o) for o in self.scenario.owner_names()]
-        await asyncio.gather(*(self._start_node(n) for n in self.scenario.node_names()), *owners)
+        owners = [self._start_instance(owner) for owner in self.scenario.owner_names()]
+        await asyncio.gather(*(self._start_node(node) for node in self.scenario.node_names()), *owners)
 
     async def start_clients(self) -> None:
         await self._reset_time_origin()
--- a/caperdeck/lab/scale/run.py
+++ b/caperdeck/lab/scale/run.py
@@ -68,7 +68,7 @@
             except TimeoutError:
                 raise VoidError("a part of the test rig did not answer before its timeout") from None
             except asyncio.CancelledError:
-                # A background task that fails cancels the steps and stores its error in `failed`.
+                # A background task that fails cancels the steps and stores its error in `failure`.
                 if self.real.failure is None:
                     raise
             finally:
@@ -181,7 +181,7 @@
         addresses = [self.real.stub_addresses[number] for number in numbers]
         instances = [self.real.listen_addresses[owner] for owner in self.real.scenario.owner_names()]
         return Plan(
-            numbers, addresses, self.real.everybody, instances, CLUSTER_NAME,
+            numbers, addresses, self.real.member_addresses, instances, CLUSTER_NAME,
             self.addresses.discovery_address(), self.scenario.sharing, dump(self.real.scenario),
             self.scenario.seed, self.start_counts[index], self.scenario.lateness.beat_ms, SAMPLE_INTERVAL_S,
         )  # fmt: skip
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -19,7 +19,7 @@
 
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, OrderHandler, OutputWriter
+from caperdeck.lab.plan_reader import OrderHandler, OutputWriter, PlanReader
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
 from caperdeck.lifecycle.config import Config, decode_config
