--- a/tests/test_lab_slopes_fleet.py
+++ b/tests/test_lab_slopes_fleet.py
@@ -162,7 +162,7 @@
         process = instances.processes[leader]
         assert process.cpu_seconds() > 0 and process.bytes_written() > 0
     assert [answer.get("role", answer.get("no")) for answer in answers] == ["leader", "unknown-call"] * 4
-    assert process.popen.returncode is not None and not instances.ports.kept
+    assert process.popen.returncode is not None and not instances.ports.reserved
 
 
 def test_processes_end_when_a_measurement_fails(tmp_path):
