--- a/caperdeck/lab/distribution/instance.py
+++ b/caperdeck/lab/distribution/instance.py
@@ -39,15 +39,19 @@
         self.machine = Sessions(VersionTable(HISTORY_LENGTH))
         self.machine.load(saved_state)
         self.publisher = self.world.publisher_kind(self.place.name, self.table, self.world.now)
-        self.up, self.inbox = True, []
+        self.up, self.deferred_calls = True, []
 
     def ask_leader(self) -> None:
         """Reads the committed log from the leader; the answer arrives after a latency."""
-        if self.runs:
+        if self.is_running:
             self.send(self.publisher.tick(self.world.now))
             if self.world.leader is not None and self.world.has_quorum(self.number):
                 self.world.call_later(
-                    self.world.latency(), self.act, self.learn, self.world.now, len(self.world.log)
+                    self.world.latency(),
+                    self.call_when_running,
+                    self.learn,
+                    self.world.now,
+                    len(self.world.log),
                 )
         self.world.call_later(LEARN_INTERVAL_MS, self.ask_leader)
 
--- a/caperdeck/lab/distribution/node.py
+++ b/caperdeck/lab/distribution/node.py
@@ -29,7 +29,7 @@
         self.start()
 
     def start(self) -> None:
-        self.up, self.life, self.refusal, self.inbox = True, self.life + 1, None, []
+        self.up, self.life, self.refusal, self.deferred_calls = True, self.life + 1, None, []
         seed, first = self.number * 101 + self.life, self.life << 32
         kind = self.world.subscriber_kind
         self.subscriber = kind(
@@ -62,12 +62,17 @@
                 self.world.send_to_publisher(self, action.publisher, action.message)
             elif isinstance(action, Apply):
                 delay_ms = self.world.random.uniform(*APPLY_DELAY_MS)
-                self.world.call_later(delay_ms, self.act, self.apply_version, self.life, action.version)
+                self.world.call_later(
+                    delay_ms, self.call_when_running, self.apply_version, self.life, action.version
+                )
             elif isinstance(action, Leave):
                 self.world.node_left(self, action.publisher)
         self.timer_generation += 1
         self.world.call_later(
-            max(self.subscriber.due - self.world.now, 1.0), self.act, self.tick, self.timer_generation
+            max(self.subscriber.due - self.world.now, 1.0),
+            self.call_when_running,
+            self.tick,
+            self.timer_generation,
         )
 
     def apply_version(self, life: int, version: HeldVersion) -> None:
--- a/caperdeck/lab/distribution/simulation.py
+++ b/caperdeck/lab/distribution/simulation.py
@@ -76,8 +76,8 @@
     def has_quorum(self, number: int) -> bool:
         """Whether the instance runs and reaches a majority of instances that run."""
         instance = self.instances[number]
-        reachable = sum(other.runs and self.is_connected(instance, other) for other in self.instances)
-        return instance.runs and reachable > len(self.instances) // 2
+        reachable = sum(other.is_running and self.is_connected(instance, other) for other in self.instances)
+        return instance.is_running and reachable > len(self.instances) // 2
 
     def check_leader(self) -> None:
         """Deposes a leader that has lost its quorum and schedules an election."""
@@ -102,7 +102,7 @@
         """
         self.check_leader()
         for number, instance in enumerate(self.instances):
-            if instance.runs and (number == self.leader or instance.isolated or self.cut):
+            if instance.is_running and (number == self.leader or instance.isolated or self.cut):
                 newest = instance.table.newest.revision
                 command = publish_command(instance.table, newest, self.next_document(change), self.term)
                 entry = Entry(self.term, Kind.COMMAND, orjson.dumps(command))
@@ -161,20 +161,28 @@
         if not self.is_linked(node, instance):
             return
         if not instance.up:
-            self.call_later(self.latency(), node.act, node.connection_lost, node.life, name)
+            self.call_later(self.latency(), node.call_when_running, node.connection_lost, node.life, name)
             return
-        self.deliver(node.place.name, name, instance.act, instance.receive, message)
+        self.deliver(node.place.name, name, instance.call_when_running, instance.receive, message)
 
     def send_to_node(self, number: int, name: str, message: PublisherMessage) -> None:
         node, instance = self.node_by_name[name], self.instances[number]
         if self.is_linked(node, instance):
-            self.deliver(instance.place.name, name, node.act, node.receive, instance.place.name, message)
+            self.deliver(
+                instance.place.name, name, node.call_when_running, node.receive, instance.place.name, message
+            )
 
     def node_left(self, node: Node, name: str) -> None:
         number, instance = self.subscriptions[node.place.name, name], self.instance_by_name[name]
         if self.is_linked(node, instance):
             self.deliver(
-                node.place.name, name, instance.act, self.disconnect, instance, node.place.name, number
+                node.place.name,
+                name,
+                instance.call_when_running,
+                self.disconnect,
+                instance,
+                node.place.name,
+                number,
             )
 
     def disconnect(self, instance: Instance, name: str, number: int) -> None:
@@ -189,7 +197,7 @@
             case "kill" if instance.up:
                 instance.up, instance.suspended = False, False
                 self.call_later(fault.span, instance.start)
-            case "sleep" if instance.runs:
+            case "sleep" if instance.is_running:
                 instance.suspend()
                 self.call_later(fault.span, instance.resume)
             case "isolate" if not instance.isolated:
@@ -205,7 +213,7 @@
                         self.call_later(fault.span, node.start)
             case "doze":
                 for node in self.random.sample(self.nodes, len(self.nodes) // 2):
-                    if node.runs:
+                    if node.is_running:
                         node.suspend()
                         self.call_later(fault.span, node.resume)
 
--- a/caperdeck/lab/distribution/world.py
+++ b/caperdeck/lab/distribution/world.py
@@ -72,7 +72,12 @@
         """Checks that a node that could reach an instance for long enough has the newest version."""
         for instance in self.instances:
             link = node.number, instance.number
-            if instance in current and node.runs and not self.torment and self.is_linked(node, instance):
+            if (
+                instance in current
+                and node.is_running
+                and not self.torment
+                and self.is_linked(node, instance)
+            ):
                 self.reached_since.setdefault(link, self.now)
             else:
                 self.reached_since.pop(link, None)
@@ -89,7 +94,7 @@
 
     def check_current(self, node: Node) -> None:
         """Checks that a node that reports itself as current has a version that was the newest recently."""
-        if node.runs and node.subscriber.state(self.now) is State.CURRENT:
+        if node.is_running and node.subscriber.state(self.now) is State.CURRENT:
             wanted = self.newest_revision_at(self.now - STALE_AFTER_MS)
             if node.active_version.revision < wanted:
                 self.breach(
@@ -98,7 +103,7 @@
 
     def check_status(self) -> None:
         """Checks the statuses of all publishers against what nodes have reported."""
-        statuses = [i.publisher.status(self.now) for i in self.instances if i.runs]
+        statuses = [i.publisher.status(self.now) for i in self.instances if i.is_running]
         for status in statuses:
             for row in status.rows:
                 reported = row.revision, row.digest, row.refused and tuple(row.refused)
--- a/caperdeck/lab/owned_work.py
+++ b/caperdeck/lab/owned_work.py
@@ -15,7 +15,7 @@
 
 from .history import Event
 from .oracle import Check
-from .scenario import HOLDER, LEADER, Scenario, decode
+from .scenario import HOLDER_PREFIX, LEADER, Scenario, decode
 from .seeded_random import SeededRandom
 
 ROUNDING_TOLERANCE = 1e-6
@@ -24,8 +24,8 @@
 class OwnedWorkCheck(Check):
     """Checks the tokens and the contents of the actions that the nodes take."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.highest_token: dict[tuple[str, str], int] = {}  # by target and work
         self.grant_by_token: dict[int, tuple[str, str]] = {}  # work and holder
         self.living_by_epoch: dict[int, int] = {}  # number of live nodes
@@ -92,8 +92,8 @@
 class SingleOwnerCheck(Check):
     """Checks that no two instances hold a work at the same time, unless the scenario has clock faults."""
 
-    def __init__(self, scenario: Scenario, together: float = 0.0) -> None:
-        super().__init__(scenario, together)
+    def __init__(self, scenario: Scenario, reorder_window_ms: float = 0.0) -> None:
+        super().__init__(scenario, reorder_window_ms)
         self.suspended: set[str] = set()
         self.holder_by_work: dict[str, str] = {}
         self.has_clock_faults = any(fault.do == "clock" for fault in scenario.fault)
@@ -133,7 +133,7 @@
     times_by_role: dict[str, list[float]] = {}
     for event in events:
         is_role_fault = event["ev"] == "fault" and (
-            event["name"] == LEADER or event["name"].startswith(HOLDER)
+            event["name"] == LEADER or event["name"].startswith(HOLDER_PREFIX)
         )
         if is_role_fault and event["on"] and event["of"]:
             since, previous = waiting.get(event["name"], (event["t"], ()))
@@ -147,7 +147,9 @@
                 and event["who"] not in previous
             )
             new_holder = (
-                role.startswith(HOLDER) and event["ev"] == "held" and event["work"] == role[len(HOLDER) :]
+                role.startswith(HOLDER_PREFIX)
+                and event["ev"] == "held"
+                and event["work"] == role[len(HOLDER_PREFIX) :]
             )
             if (new_leader or new_holder) and event["t"] >= since:
                 times_by_role.setdefault(role, []).append(event["t"] - since)
@@ -169,7 +171,7 @@
     rng, at, faults = SeededRandom(seed), 3.5, []
     for i in range(round_count):
         do, role = FAULT_ROUNDS[i % len(FAULT_ROUNDS)].split()
-        of = LEADER if role == LEADER else HOLDER + (HOSTS if rng.chance() < 0.5 else CENSUS)
+        of = LEADER if role == LEADER else HOLDER_PREFIX + (HOSTS if rng.chance() < 0.5 else CENSUS)
         row = {"do": do, "of": of, "name": of, "at": round(at + rng.chance() / 3, 2), "for": FAULT_DURATION_S}
         if do in ("cut", "silence"):
             row["to"] = "n*" if do == "silence" else "o*"
--- a/caperdeck/lab/plan_reader.py
+++ b/caperdeck/lab/plan_reader.py
@@ -1,4 +1,4 @@
-"""Standard input of a process of many nodes: its plan in the first line, orders in the lines after it."""
+"""Reads the standard input of a process with many nodes: first a plan, then one order per line."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 import msgspec
 from twisted.protocols.basic import LineOnlyReceiver
 
-LONGEST_LINE = 16 << 20  # bytes
+MAX_LINE_BYTES = 16 << 20  # bytes
 
-Write = Callable[[bytes], None]  # to standard output
-TakeOrder = Callable[[bytes], None]
+OutputWriter = Callable[[bytes], None]  # to standard output
+OrderHandler = Callable[[bytes], None]
 
 
 class PlanReader(LineOnlyReceiver):
-    """`begin` starts what the plan says and returns what takes orders. The process ends with its input."""
+    """Passes the plan to `begin`, which returns the handler of orders; exits when the input ends."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST_LINE
+    MAX_LENGTH = MAX_LINE_BYTES
 
-    def __init__(self, plan_type: type, begin: Callable[[Any, Write], TakeOrder]) -> None:
+    def __init__(self, plan_type: type, begin: Callable[[Any, OutputWriter], OrderHandler]) -> None:
         self.plan_type, self.begin = plan_type, begin
-        self.take_order: TakeOrder | None = None
+        self.handle_order: OrderHandler | None = None
 
     def lineReceived(self, line: bytes) -> None:
-        if self.take_order is None:
-            self.take_order = self.begin(msgspec.json.decode(line, type=self.plan_type), self.transport.write)
+        if self.handle_order is None:
+            self.handle_order = self.begin(
+                msgspec.json.decode(line, type=self.plan_type), self.transport.write
+            )
         else:
-            self.take_order(line)
+            self.handle_order(line)
 
     def connectionLost(self, reason: Any) -> None:
         os._exit(0)
--- a/caperdeck/lab/propagation/command.py
+++ b/caperdeck/lab/propagation/command.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from caperdeck.lab.cli import number, say
+from caperdeck.lab.cli import parse_whole_number, print_line
 from caperdeck.lab.scale.command import check_writable
 from caperdeck.lab.scenario import ScenarioError
 
@@ -22,9 +22,9 @@
 def in_force(arguments: dict[str, Any]) -> int:
     """Runs the command; returns its exit code."""
     check_writable("--json", arguments["--json"])
-    result = conclude(PropagationRun(read_settings(arguments), say, FAULTS).run())
+    result = conclude(PropagationRun(read_settings(arguments), print_line, FAULTS).run())
     for line in summary_lines(result):
-        say(line)
+        print_line(line)
     if arguments["--json"]:
         with open(arguments["--json"], "wb") as file:
             file.write(msgspec.json.encode(result) + b"\n")
@@ -35,7 +35,7 @@
     """Reads the options; raises ScenarioError."""
 
     def read_number(name: str, minimum: int, maximum: int, default: int) -> int:
-        return number(arguments[f"--{name}"], name, minimum, maximum, default)
+        return parse_whole_number(arguments[f"--{name}"], name, minimum, maximum, default)
 
     nodes = read_number("nodes", 1, MAX_NODES, 100)
     faults = parse_faults(arguments["--faults"])
--- a/caperdeck/lab/propagation/instances.py
+++ b/caperdeck/lab/propagation/instances.py
@@ -55,7 +55,7 @@
     def __init__(self, count: int, folder: Path) -> None:
         self.places = instance_places(count)
         self.folder, self.ports = folder, Ports()
-        self.addresses = [f"127.0.0.1:{self.ports.take(SOCKET_TYPE)}" for _ in range(count)]
+        self.addresses = [f"127.0.0.1:{self.ports.reserve(SOCKET_TYPE)}" for _ in range(count)]
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.owners: dict[str, OwnerEndpoints] = {}  # the operators' configuration, by region
 
--- a/caperdeck/lab/propagation/relay.py
+++ b/caperdeck/lab/propagation/relay.py
@@ -18,7 +18,7 @@
 from caperdeck.distribution.publisher_selection import Place
 from caperdeck.lab.links import Links
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
+from caperdeck.lab.plan_reader import PlanReader, OrderHandler, OutputWriter
 from caperdeck.lab.relay import Relay
 from caperdeck.lab.rig_process import VoidError
 from caperdeck.lab.scale.processes import ChildProcess
@@ -58,12 +58,14 @@
 class RegionRelay:
     """The relay inside the process; each instance is relayed for the other region."""
 
-    def __init__(self, plan: RelayPlan, write: Write) -> None:
+    def __init__(self, plan: RelayPlan, write: OutputWriter) -> None:
         self.write = write
         self.relay = Relay(reactor, Links(0, lambda a, b: NO_DELAY), lambda *_, **__: None)
         self.addresses: dict[str, str] = {}
         for place, address in plan.instances:
-            host, port = self.relay.way(other_region(place.region), place.name, parse_address(address))
+            host, port = self.relay.add_stream_route(
+                other_region(place.region), place.name, parse_address(address)
+            )
             self.addresses[place.name] = f"{host}:{port}"
         self._answer(RelayAddresses(self.addresses))
 
@@ -75,9 +77,9 @@
         self.write(msgspec.json.encode(answer) + LINE)
 
     def _carry_out(self, command: CutCommand) -> None:
-        for region, instance in self.relay.ways:
+        for region, instance in self.relay.stream_routes:
             for a, b in ((region, instance), (instance, region)):
-                self.relay.trouble(a, b, {"cut": int(command.cut)})
+                self.relay.set_link_faults(a, b, {"cut": int(command.cut)})
 
 
 class RelayChild(ChildProcess):
@@ -105,7 +107,7 @@
 def main() -> int:
     end_with_parent()
 
-    def begin(plan: RelayPlan, write: Write) -> TakeOrder:
+    def begin(plan: RelayPlan, write: OutputWriter) -> OrderHandler:
         return RegionRelay(plan, write).take
 
     stdio.StandardIO(PlanReader(RelayPlan, begin))
--- a/caperdeck/lab/raft_simulation.py
+++ b/caperdeck/lab/raft_simulation.py
@@ -92,7 +92,7 @@
             lambda role, term, _: self.world.role_changed(self.me, role, term, raft.log),
             lambda index, entry, _: self.world.entry_applied(self.me, index, entry), COMPACTION_ENTRIES,
         )  # fmt: skip
-        self.up, self.suspended, self.inbox = True, False, []
+        self.up, self.suspended, self.deferred_calls = True, False, []
         self.tick(self.life)
 
     def crash(self) -> None:
@@ -101,7 +101,7 @@
 
     def tick(self, life: int) -> None:
         if life == self.life:
-            self.act(self._tick, life)
+            self.call_when_running(self._tick, life)
 
     def _tick(self, life: int) -> None:
         self.driver.tick()
@@ -122,7 +122,7 @@
         if self.world.crashes_at_write():
             self.world.crash(self.me)
         else:
-            self.act(on_done)
+            self.call_when_running(on_done)
 
 
 class World(EventQueue):
@@ -161,7 +161,7 @@
 
     def deliver(self, target: int, message: Any) -> None:
         if target < len(self.instances) and self.instances[target].up:
-            self.instances[target].act(self.instances[target].driver.receive, message)
+            self.instances[target].call_when_running(self.instances[target].driver.receive, message)
 
     def crashes_at_write(self) -> bool:
         return self.rng.random() < self.crash_rate
@@ -177,7 +177,7 @@
             self.instances[i].start()
 
     def suspend(self, i: int, duration_ms: float) -> None:
-        if self.instances[i].runs:
+        if self.instances[i].is_running:
             self.instances[i].suspend()
             self.call_later(duration_ms, self.instances[i].resume)
 
@@ -223,7 +223,7 @@
 
     def leader(self) -> Instance | None:
         """The running leader with the highest term, if there is one."""
-        leaders = [i for i in self.instances if i.runs and i.raft.role is Role.LEADER]
+        leaders = [i for i in self.instances if i.is_running and i.raft.role is Role.LEADER]
         return max(leaders, key=lambda i: i.raft.term, default=None)
 
 
@@ -256,7 +256,7 @@
         rng = self.world.rng
         self.world.call_later(rng.uniform(60, 200), self.attempt, operation, serial)
         instance = rng.choice(self.world.instances)
-        if not instance.runs:
+        if not instance.is_running:
             return
         if operation["read"]:
             instance.driver.read(
--- a/caperdeck/lab/rig_process.py
+++ b/caperdeck/lab/rig_process.py
@@ -1,6 +1,6 @@
-"""The rig's side of a process of its own: starts it, sends it commands, reads what it saw.
+"""The rig's side of a worker process: starts it, sends it commands and reads its events.
 
-`worker.py` is what runs there.
+The worker's side is `worker.py`.
 """
 
 from __future__ import annotations
@@ -16,69 +16,72 @@
 from .scenario import Scenario, dump
 
 ROOT = Path(__file__).resolve().parents[2]
-START = 20.0  # seconds in which a worker has to open, and a node to answer PING, on a busy machine
-LONGEST_LINE = 16 << 20  # bytes
+START_TIMEOUT_S = 20.0  # for a worker to open and a node to answer PING, on a busy machine
+MAX_LINE_BYTES = 16 << 20  # bytes
 
 
 class VoidError(Exception):
-    """The machine was too slow, or the rig itself failed; nothing is said about the nodes."""
+    """The machine was too slow or the rig itself failed, so that the run says nothing about the nodes."""
 
 
 class Run(Protocol):
-    """What a worker needs of the run it belongs to."""
+    """What a worker process needs of its run."""
 
     scenario: Scenario
     seed: int
-    origin: float  # of the run's times: CLOCK_MONOTONIC, milliseconds
-    boot: float  # the same moment in Unix milliseconds
+    origin: float  # of the run's times, in CLOCK_MONOTONIC milliseconds
+    origin_unix_ms: float  # the same moment in Unix milliseconds
 
-    def came(self, event: Event) -> None:
-        """A worker has seen something."""
+    def handle_event(self, event: Event) -> None:
+        """Handles an event that a worker has recorded."""
 
 
 class RigProcess:
-    """A worker as a process; commands are answered by its event `done`."""
+    """A worker process; it answers each command with the event `done`."""
 
     def __init__(self, fleet: Run, role: str) -> None:
         self.fleet, self.role = fleet, role
-        self.asked, self.waiting = 0, {}
+        self.last_command, self.pending = 0, {}
         self.process: Any = None
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "caperdeck.lab.worker", self.role, cwd=ROOT, limit=LONGEST_LINE,
+            sys.executable, "-B", "-m", "caperdeck.lab.worker", self.role, cwd=ROOT, limit=MAX_LINE_BYTES,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         fleet = self.fleet
         self._write({
-            "scenario": dump(fleet.scenario), "seed": fleet.seed, "origin": fleet.origin, "boot": fleet.boot,
+            "scenario": dump(fleet.scenario), "seed": fleet.seed, "origin": fleet.origin,
+            "boot": fleet.origin_unix_ms,
         })  # fmt: skip
         self.reader = asyncio.ensure_future(self._read())
 
     def _write(self, value: dict[str, Any]) -> None:
         if self.process.stdin.transport.is_closing():
-            raise VoidError(f"the rig's {self.role} ended")
+            raise VoidError(f"the worker process of the {self.role} has ended")
         self.process.stdin.write(msgspec.json.encode(value) + b"\n")
 
-    def tell(self, do: str, **values: Any) -> asyncio.Future:
-        self.asked += 1
-        self._write({"do": do, "number": self.asked, **values})
-        answer = self.waiting[self.asked] = asyncio.get_running_loop().create_future()
+    def send_command(self, do: str, **values: Any) -> asyncio.Future:
+        """Sends a command; the future has its answer."""
+        self.last_command += 1
+        self._write({"do": do, "number": self.last_command, **values})
+        answer = self.pending[self.last_command] = asyncio.get_running_loop().create_future()
         return answer
 
-    async def ask(self, do: str, **values: Any) -> Any:
-        return await asyncio.wait_for(self.tell(do, **values), START)
+    async def request(self, do: str, **values: Any) -> Any:
+        """Sends a command and waits for its answer."""
+        return await asyncio.wait_for(self.send_command(do, **values), START_TIMEOUT_S)
 
     async def _read(self) -> None:
         decode = msgspec.json.Decoder(dict).decode
         while line := await self.process.stdout.readline():
             event = decode(line)
             if event["ev"] == "done":
-                future = self.waiting.pop(event["number"])
+                future = self.pending.pop(event["number"])
                 if not future.done():
                     future.set_result(event["answer"])
             else:
-                self.fleet.came(event)
-        for future in self.waiting.values():
+                self.fleet.handle_event(event)
+        for future in self.pending.values():
             if not future.done():
-                future.set_exception(VoidError(f"the rig's {self.role} ended"))
+                future.set_exception(VoidError(f"the worker process of the {self.role} has ended"))
--- a/caperdeck/lab/scale/command.py
+++ b/caperdeck/lab/scale/command.py
@@ -5,7 +5,7 @@
 import os
 from typing import Any
 
-from caperdeck.lab.cli import number, say
+from caperdeck.lab.cli import parse_whole_number, print_line
 from caperdeck.lab.scenario import ScenarioError
 
 from .progress import Progress
@@ -27,7 +27,7 @@
 
     def option(name: str, maximum: int) -> int | None:
         text = arguments[f"--{name}"]
-        return None if text is None else number(text, name, 1, maximum, 0)
+        return None if text is None else parse_whole_number(text, name, 1, maximum, 0)
 
     scenario = load(
         arguments["SCENARIO"][0], option("nodes", MAX_PEERS), option("processes", MAX_STUB_PROCESSES),
@@ -42,7 +42,7 @@
         progress.end()
     result = conclude(scenario, measured)
     for line in result_lines(result):
-        say(line)
+        print_line(line)
     if arguments["--json"]:
         write(arguments["--json"], result)
     if arguments["--out"]:
--- a/caperdeck/lab/scale/scenario.py
+++ b/caperdeck/lab/scale/scenario.py
@@ -8,7 +8,7 @@
 from msgspec import field
 
 from caperdeck.gossip.sharing import SharingFeatures
-from caperdeck.lab.scenario import MOST_OWNERS, MOST_PROCESSES, Clients, Hosts, Rules, ScenarioError, Table
+from caperdeck.lab.scenario import MAX_INSTANCES, MAX_REAL_NODES, Clients, Hosts, Rules, ScenarioError, Table
 from caperdeck.lab.scenario import Scenario as RealScenario
 from caperdeck.lifecycle.sharing import MAX_PEERS
 from caperdeck.lifecycle.toml import TomlError, read_toml
@@ -170,8 +170,8 @@
     for field_path, value, minimum, maximum in (
         ("machines", scenario.machines, 1, MAX_PEERS),
         ("processes_a_machine", scenario.processes_a_machine, 1, 64),
-        ("instances", scenario.instances, 1, MOST_OWNERS),
-        ("real.nodes", scenario.real.nodes, 1, MOST_PROCESSES),
+        ("instances", scenario.instances, 1, MAX_INSTANCES),
+        ("real.nodes", scenario.real.nodes, 1, MAX_REAL_NODES),
         ("hollow.processes", scenario.stubs.processes, 1, MAX_STUB_PROCESSES),
         (
             "hollow.nodes",
--- a/caperdeck/lab/scale/stub_nodes.py
+++ b/caperdeck/lab/scale/stub_nodes.py
@@ -19,7 +19,7 @@
 
 from caperdeck.gossip.sharing import SharingFeatures
 from caperdeck.lab.parent_death import end_with_parent
-from caperdeck.lab.plan_reader import PlanReader, TakeOrder, Write
+from caperdeck.lab.plan_reader import OrderHandler, OutputWriter, PlanReader
 from caperdeck.lab.scenario import Scenario, decode
 from caperdeck.lab.setup import node_config
 from caperdeck.lifecycle.config import Config, decode_config
@@ -199,7 +199,7 @@
     end_with_parent()
     traffic = count_traffic()
 
-    def begin(plan: Plan, write: Write) -> TakeOrder:
+    def begin(plan: Plan, write: OutputWriter) -> OrderHandler:
         process = StubProcess(plan, traffic, write)
         process.start()
         return lambda line: process.handle_command(msgspec.json.decode(line, type=Command))
--- a/caperdeck/lab/simulated/connector.py
+++ b/caperdeck/lab/simulated/connector.py
@@ -48,11 +48,11 @@
         far, here = world.listening_ports.get(self.address), self.process.name
         back = world.links.delay(name, here) / 1000.0
         if far is None:
-            world.clock.schedule(back, self.process.act, self.fail, ConnectionRefusedError())
+            world.clock.schedule(back, self.process.call_when_running, self.fail, ConnectionRefusedError())
             return
         near, end = Transport.pair(self.process, far.process, self.address)
-        far.process.act(far.accept, end)
-        world.clock.schedule(back, self.process.act, self._connection_established, near)
+        far.process.call_when_running(far.accept, end)
+        world.clock.schedule(back, self.process.call_when_running, self._connection_established, near)
 
     def _connection_established(self, near: Transport) -> None:
         if self.state != "connecting" or near.lost:
--- a/caperdeck/lab/simulated/socket.py
+++ b/caperdeck/lab/simulated/socket.py
@@ -45,4 +45,4 @@
     def _arrive(self, to: Address, data: bytes) -> None:
         far = self.process.world.datagram_sockets.get(to)
         if far is not None:
-            far.process.act(far.protocol.datagramReceived, data, self.address)
+            far.process.call_when_running(far.protocol.datagramReceived, data, self.address)
--- a/caperdeck/lab/simulated/transport.py
+++ b/caperdeck/lab/simulated/transport.py
@@ -140,7 +140,7 @@
             peer.recorder.connection_ended("far")
         elif peer.recorder is not None:
             peer.recorder.data_received(item)
-        peer.process.act(peer._read, item)
+        peer.process.call_when_running(peer._read, item)
         if self.lost and not self.pipe.queue:
             self.pipe.close()
 
--- a/caperdeck/lab/slopes/hosts_end.py
+++ b/caperdeck/lab/slopes/hosts_end.py
@@ -109,7 +109,7 @@
         roster = Roster()
         for number, simulated_host in enumerate(self.simulated_hosts):
             port = reactor.listenTCP(0, simulated_host, LISTEN_BACKLOG, LOOPBACK).getHost()
-            roster.put(f"h{number}", az="east", state="Ready", boot_ms=0)
+            roster.add(f"h{number}", az="east", state="Ready", boot_ms=0)
             endpoints[f"h{number}"] = f"{port.host}:{port.port}"
         host, port = Agent(reactor, roster, endpoints).listen(LOOPBACK)
         rows = [row | {"endpoint": endpoints[uid]} for uid, row in roster.rows.items()]
--- a/caperdeck/lab/slopes/owned_work.py
+++ b/caperdeck/lab/slopes/owned_work.py
@@ -99,7 +99,7 @@
     ports = Ports()
     process = None
     try:
-        control, *node_ports = [ports.take(socket.SOCK_STREAM) for _ in range(count + 1)]
+        control, *node_ports = [ports.reserve(socket.SOCK_STREAM) for _ in range(count + 1)]
         process = LoggedProcess(TARGETS_CODE, str(control), *map(str, node_ports), log=folder / "targets.log")
         nodes = TargetsProcess(
             process, Address(LOOPBACK, control), [Address(LOOPBACK, n) for n in node_ports]
--- a/caperdeck/lab/suspension.py
+++ b/caperdeck/lab/suspension.py
@@ -1,4 +1,4 @@
-"""A simulated process that is stopped and continued, as by SIGSTOP and SIGCONT."""
+"""Suspension of simulated processes, as by SIGSTOP and SIGCONT."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 
 
 class Suspendable:
-    """What comes for it while it is suspended waits until it is resumed, and is lost if it dies before."""
+    """A simulated process that can be suspended.
+
+    Calls made to it meanwhile are deferred until it is resumed, and dropped if it dies before.
+    """
 
     def __init__(self) -> None:
         self.up, self.suspended = True, False
-        self.inbox: list[tuple[Callable, tuple]] = []
+        self.deferred_calls: list[tuple[Callable, tuple]] = []
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.up and not self.suspended
 
-    def act(self, do: Callable, *args: Any) -> None:
-        """What comes for the process: done now, once it is resumed, or never."""
+    def call_when_running(self, do: Callable, *args: Any) -> None:
+        """Makes the call now if the process runs, later if it is suspended, never if it is dead."""
         if not self.up:
             return
         if self.suspended:
-            self.inbox.append((do, args))
+            self.deferred_calls.append((do, args))
         else:
             do(*args)
 
@@ -31,6 +34,6 @@
 
     def resume(self) -> None:
         self.suspended = False
-        inbox, self.inbox = self.inbox, []
-        for do, args in inbox:
-            self.act(do, *args)
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for do, args in deferred_calls:
+            self.call_when_running(do, *args)
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -238,10 +238,10 @@
     relay = Relay(reactor, make_links(), lambda *a, **v: None)
     relay.peers = {n: ("127.0.0.1", 9000 + i) for i, n in enumerate(("n0", "n1", "n2"))}
     for a, b in (("n0", to), ("n1", "n0"), ("n2", "n0")):
-        relay.wire(a, b)
+        relay.add_datagram_route(a, b)
     relay.datagram("n0", to, b"hello")
     reactor.advance(1.0)
-    sent = {n: relay.wires[n, "n0"].sent for n in ("n1", "n2")}
+    sent = {n: relay.datagram_routes[n, "n0"].sent for n in ("n1", "n2")}
     assert sent == {n: [(b"hello", relay.peers[n])] * (n in reached) for n in sent}
 
 
@@ -258,7 +258,7 @@
     def dataReceived(self, data): self.transport.write(data)
 port = reactor.listenTCP(0, Factory.forProtocol(Echo), 50, "127.0.0.1").getHost().port
 relay = Relay(reactor, Links(1, lambda a, b: (0.0, 1.0)), lambda *a, **v: None)
-address = relay.way("n0", "h0", ("127.0.0.1", port))
+address = relay.add_stream_route("n0", "h0", ("127.0.0.1", port))
 def attempt(timeout=10.0):
     try:
         with socket.create_connection(address, timeout) as sock:
@@ -271,10 +271,10 @@
     reactor.callFromThread(lambda: (call(*args), done.set()))
     done.wait()
     time.sleep(0.1)
-def cut(on): relay.trouble("h0", "n0", {"cut": int(on)})
+def cut(on): relay.set_link_faults("h0", "n0", {"cut": int(on)})
 def run():
     results = [attempt()]
-    for call, arg in ((cut, True), (cut, False), (lambda d: relay.down("h0", d), True), (lambda d: relay.down("h0", d), False)):
+    for call, arg in ((cut, True), (cut, False), (lambda d: relay.set_down("h0", d), True), (lambda d: relay.set_down("h0", d), False)):
         run_in_reactor(call, arg)
         results.append(attempt(0.3 if (call, arg) == (cut, True) else 10.0))
     print(*results, flush=True)
@@ -297,10 +297,10 @@
     A node of one rig would be taken for ready because a node of the other answers with PONG.
     """
     one, other = Ports(), Ports()
-    port = one.take(socket.SOCK_STREAM)
+    port = one.reserve(socket.SOCK_STREAM)
     draws = iter([port, port, port + 1])
     monkeypatch.setattr("caperdeck.lab.ports.random.randrange", lambda *_: next(draws, port + 2))
-    assert other.take(socket.SOCK_DGRAM) > port
+    assert other.reserve(socket.SOCK_DGRAM) > port
     for _ in range(2):  # the owner can bind it again after closing it
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -462,14 +462,14 @@
     names = real.scenario.node_names() + real.scenario.owner_names()
     for name in names:
         real.processes[name] = RunningProcess()
-        real.life(name, "up")
+        real.emit_life(name, "up")
     assert real.missing() == []
-    real.life("n1", "killed")
+    real.emit_life("n1", "killed")
     assert real.missing() == ["n1"] and not real.is_up("n1")
     real.kill_counts["n1"] = 1
     assert real.missing() == ["n1"]
-    real.life("n1", "up")
+    real.emit_life("n1", "up")
     assert real.missing() == [] and real.is_up("n1")
-    real.life("o0", "killed")
-    real.life("o0", "up")
+    real.emit_life("o0", "killed")
+    real.emit_life("o0", "up")
     assert real.missing() == ["o0"]
--- a/tests/test_lab_sharing.py
+++ b/tests/test_lab_sharing.py
@@ -2,10 +2,10 @@
 
 import msgspec
 import pytest
-from test_lab_virtual import FORTY, broken, scenario
+from test_lab_virtual import FORTY_NODES, broken_rules, load_scenario
 
 from caperdeck.core.decide import Node
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import ScenarioError, decode
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.gossip.sharing import Sharing, SharingFeatures
@@ -26,13 +26,15 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("features", [[], ALL_FEATURES])
 def test_the_rules_hold_for_forty_nodes_that_share_under_faults(seed, features):
-    fleet_scenario = decode(FORTY | {"sharing": features})
-    assert [breach.line() for breach in judge(fleet_scenario, VirtualFleet(fleet_scenario, seed).run())] == []
+    fleet_scenario = decode(FORTY_NODES | {"sharing": features})
+    assert [
+        breach.line() for breach in find_breaches(fleet_scenario, VirtualFleet(fleet_scenario, seed).run())
+    ] == []
 
 
 def test_cold_hosts_get_at_least_nearly_as_much_as_with_equal_shares():
     """Quota transfers are lost because half of the links between nodes are cut in one or both directions."""
-    fleet_scenario = scenario("shared8")
+    fleet_scenario = load_scenario("shared8")
     without_sharing = msgspec.structs.replace(fleet_scenario, sharing=None)
     seeds = range(1, 5)
     assert sum(count_sessions_to_cold_hosts(fleet_scenario, seed) for seed in seeds) > 0.9 * sum(
@@ -53,7 +55,7 @@
 def test_a_fleet_that_divides_by_live_nodes_overloads_cold_hosts(monkeypatch):
     """Forty nodes that are cut off from each other each take themselves for the whole fleet."""
     fleet_scenario = decode(CUT_NODES)
-    assert broken(fleet_scenario) == set()
+    assert broken_rules(fleet_scenario) == set()
     tick, warm_host_share = Sharing.tick, Node.warm_host_share
 
     def tick_and_count(self, now):
@@ -67,7 +69,7 @@
 
     monkeypatch.setattr(Sharing, "tick", tick_and_count)
     monkeypatch.setattr(Node, "warm_host_share", share_of_live_nodes)
-    assert "cold" in broken(fleet_scenario)
+    assert "cold" in broken_rules(fleet_scenario)
 
 
 def test_an_unknown_sharing_feature_is_refused():
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -1,4 +1,4 @@
-"""The fleet in virtual time: scenarios held, planted faults caught, searched for and made small."""
+"""The fleet in virtual time: the rules hold in all scenarios; planted faults are caught, found and shrunk."""
 
 from pathlib import Path
 
@@ -9,9 +9,9 @@
 from caperdeck.core.decide import Node
 from caperdeck.lab import compare, report, search
 from caperdeck.lab.baselines import POLICIES
-from caperdeck.lab.cli import conclude
+from caperdeck.lab.cli import report_outcome
 from caperdeck.lab.figures import figures
-from caperdeck.lab.oracle import judge
+from caperdeck.lab.oracle import find_breaches
 from caperdeck.lab.scenario import decode, load
 from caperdeck.lab.virtual import VirtualFleet
 from caperdeck.state.hosts import Hosts
@@ -21,30 +21,30 @@
 SCENARIOS = sorted(str(path) for path in FOLDER.glob("*.toml"))
 
 
-def scenario(name, **changes):
+def load_scenario(name, **changes):
     return msgspec.structs.replace(load(str(FOLDER / f"{name}.toml")), **changes)
 
 
-def broken(made, seed=None):
-    return {b.rule for b in judge(made, VirtualFleet(made, seed).run())}
+def broken_rules(scenario, seed=None):
+    return {b.rule for b in find_breaches(scenario, VirtualFleet(scenario, seed).run())}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("name", [Path(s).stem for s in SCENARIOS])
-def test_the_rules_hold(name, seed):
-    made = scenario(name)
-    events = VirtualFleet(made, seed).run()
-    assert [b.line() for b in judge(made, events)] == []
+def test_rules_hold_in_every_scenario(name, seed):
+    scenario = load_scenario(name)
+    events = VirtualFleet(scenario, seed).run()
+    assert [b.line() for b in find_breaches(scenario, events)] == []
     assert figures(events)["served"] > 0.7
 
 
-def test_the_same_seed_gives_the_same_history_and_another_does_not():
-    made = scenario("killed")
-    first, again, other = (VirtualFleet(made, seed).run() for seed in (5, 5, 6))
+def test_history_is_determined_by_the_seed():
+    scenario = load_scenario("killed")
+    first, again, other = (VirtualFleet(scenario, seed).run() for seed in (5, 5, 6))
     assert first == again != other
 
 
-FORTY = {
+FORTY_NODES = {
     "name": "forty", "seconds": 10, "nodes": 40, "zones": ["a", "b"], "hosts": {"count": 16, "cores": 2},
     "clients": {"rate": 120.0, "life": [2.0, 8.0], "uneven": 3.0},
     "fault": [
@@ -68,15 +68,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_rules_hold_for_forty_nodes_under_faults_that_overlap(seed):
-    made = decode(FORTY)
-    assert [b.line() for b in judge(made, VirtualFleet(made, seed).run())] == []
+def test_rules_hold_for_forty_nodes_under_overlapping_faults(seed):
+    scenario = decode(FORTY_NODES)
+    assert [b.line() for b in find_breaches(scenario, VirtualFleet(scenario, seed).run())] == []
 
 
-# ---- planted faults: each says which scenario catches it
+# ---- planted faults, each with the scenario that catches it
 
 
-def say_twice(monkeypatch):
+def answer_twice(monkeypatch):
     join = SessionHandler._couple_flow_control
 
     def twice(self, client, conn):
@@ -89,29 +89,29 @@
 def forget_drains(monkeypatch):
     update = Hosts.update
 
-    def all_run(self, now, whole, rows, complain):
+    def all_ready(self, now, whole, rows, complain):
         return update(self, now, whole, [r | {"state": "Ready"} for r in rows], complain)
 
-    monkeypatch.setattr(Hosts, "update", all_run)
+    monkeypatch.setattr(Hosts, "update", all_ready)
 
 
-def never_notice_a_sleep(monkeypatch):
+def never_detect_suspension(monkeypatch):
     monkeypatch.setattr(backlog, "STALL_MS", float("inf"))
 
 
-def leave_dials_out(monkeypatch):
-    hang_up = SessionHandler._close_host_connection
+def leave_dials_open(monkeypatch):
+    close_connection = SessionHandler._close_host_connection
 
-    def forget(self, s, reset):
+    def close_unless_dialling(self, s, reset):
         if s.established_at or s.host_connection is None:
-            hang_up(self, s, reset)
+            close_connection(self, s, reset)
         else:
             s.host_connection.ended, s.host_connection = True, None
 
-    monkeypatch.setattr(SessionHandler, "_close_host_connection", forget)
+    monkeypatch.setattr(SessionHandler, "_close_host_connection", close_unless_dialling)
 
 
-def spend_whole_cold_budgets(monkeypatch):
+def ignore_slow_start_slots(monkeypatch):
     monkeypatch.setattr(Node, "_slot_is_open", lambda self, now, s, h: True)
     monkeypatch.setattr(Node, "_slot_available", lambda self, now, s, h: True)
 
@@ -125,53 +125,53 @@
     "clients": {"rate": 60.0, "life": [8.0, 9.0], "load": [100.0, 200.0]},
     "fault": [{"do": "start", "of": "h[0-2]", "at": 3.0}],
 }  # fmt: skip
-PLANTS = [
-    (say_twice, "calm", "sessions"),
+PLANTED_FAULTS = [
+    (answer_twice, "calm", "sessions"),
     (lose_sessions, "calm", "sessions"),
     (forget_drains, "asleep", "drains"),
-    (never_notice_a_sleep, "asleep", "drains"),
-    (leave_dials_out, "links", "effects"),
-    (spend_whole_cold_budgets, COLD, "cold"),
+    (never_detect_suspension, "asleep", "drains"),
+    (leave_dials_open, "links", "effects"),
+    (ignore_slow_start_slots, COLD, "cold"),
 ]
 
 
-@pytest.mark.parametrize("plant, caught_by, rule", PLANTS)
-def test_a_planted_fault_is_caught(plant, caught_by, rule, monkeypatch):
-    made = scenario(caught_by) if isinstance(caught_by, str) else decode(caught_by)
-    assert rule not in broken(made)
+@pytest.mark.parametrize("plant, caught_by, rule", PLANTED_FAULTS)
+def test_planted_fault_breaks_its_rule(plant, caught_by, rule, monkeypatch):
+    scenario = load_scenario(caught_by) if isinstance(caught_by, str) else decode(caught_by)
+    assert rule not in broken_rules(scenario)
     plant(monkeypatch)
-    assert rule in broken(made)
+    assert rule in broken_rules(scenario)
 
 
-def test_the_search_finds_a_planted_fault_and_makes_it_small(monkeypatch, tmp_path):
-    made = decode({
+def test_search_finds_and_shrinks_a_planted_fault(monkeypatch, tmp_path):
+    scenario = decode({
         "name": "s", "seconds": 8, "nodes": 2, "hosts": {"count": 3, "drain_span": 5000.0},
         "clients": {"rate": 15.0, "life": [1.0, 3.0]},
     })  # fmt: skip
-    assert search.search(made, 4, 1) is None
+    assert search.search(scenario, 4, 1) is None
     forget_drains(monkeypatch)
-    small, breaches = search.search(made, 60, 1)
+    small, breaches = search.search(scenario, 60, 1)
     assert len(small.fault) <= 2 and {"drain", "kill"} & {f.do for f in small.fault}
     assert breaches[0].rule == "drains"
     path = tmp_path / "found.toml"
-    path.write_text(search.text(small))
+    path.write_text(search.scenario_toml(small))
     again = load(str(path))
-    assert judge(again, VirtualFleet(again).run()) == breaches
+    assert find_breaches(again, VirtualFleet(again).run()) == breaches
 
 
 # ---- figures, comparison, the page
 
 
-def test_baselines_play_under_the_same_rules():
-    made = scenario("killed")
+def test_baseline_policies_keep_the_rules():
+    scenario = load_scenario("killed")
     for policy in POLICIES.values():
-        events = VirtualFleet(made, 1, policy).run()
-        assert judge(made, events) == [] and figures(events)["served"] > 0.7
+        events = VirtualFleet(scenario, 1, policy).run()
+        assert find_breaches(scenario, events) == [] and figures(events)["served"] > 0.7
 
 
-def test_a_difference_is_shown_only_where_its_interval_leaves_0_out():
+def test_difference_is_shown_only_if_its_interval_excludes_0():
     def runs(*values):
-        return [dict.fromkeys(compare.SHOWN, v) for v in values]
+        return [dict.fromkeys(compare.COMPARED_FIGURES, v) for v in values]
 
     shown = compare.differences(runs(0.5, 0.6, 0.7), runs(0.6, 0.71, 0.8))["served"]
     assert shown["shown"] and shown["low"] < 0.1 < shown["high"]
@@ -179,20 +179,20 @@
     assert not compare.differences(runs(0.5, 0.6), runs(0.5, 0.6))["served"]["shown"]
 
 
-def test_the_page_holds_all_it_shows(capsys):
-    made = scenario("killed")
-    events = VirtualFleet(made).run()
+def test_page_is_self_contained_and_outcomes_have_their_exit_codes(capsys):
+    scenario = load_scenario("killed")
+    events = VirtualFleet(scenario).run()
     text = report.page(events, [])
     assert "<svg" in text and "all rules held" in text and "http-equiv" not in text
     assert "src=" not in text and "<script" not in text
-    assert conclude(made, events, True) == 0 and "all rules held" in capsys.readouterr().out
+    assert report_outcome(scenario, events, True) == 0 and "all rules held" in capsys.readouterr().out
     twice = [*events, events[-1] | {"ev": "extra", "id": "x", "what": "up"}]
-    assert conclude(made, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
-    assert conclude(made, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
+    assert report_outcome(scenario, twice, False, 60.0) == 3 and "nothing is said" in capsys.readouterr().out
+    assert report_outcome(scenario, twice, True) == 1 and "BROKEN" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("span", [0.3, 1.1, 5.1, 20.0])
-def test_the_rules_hold_whatever_the_length_of_a_sleep(span):
-    made = scenario("asleep", seconds=span + 10.0)
-    made.fault[0].span = span
-    assert [b.line() for b in judge(made, VirtualFleet(made).run())] == []
+def test_rules_hold_for_suspensions_of_any_length(span):
+    scenario = load_scenario("asleep", seconds=span + 10.0)
+    scenario.fault[0].span = span
+    assert [b.line() for b in find_breaches(scenario, VirtualFleet(scenario).run())] == []
