--- a/tests/test_gossip_bound.py
+++ b/tests/test_gossip_bound.py
@@ -6,7 +6,7 @@
 
 from caperdeck.gossip.quota_transfers import TRANSFER_VALIDITY_MS
 from caperdeck.lab.exploration import PropertyViolationError, explore
-from caperdeck.lab.rights_model import NodeModel, QuotaModel
+from caperdeck.lab.quota_model import NodeModel, QuotaModel
 
 
 class DividesByLiveNodes(NodeModel):
