--- a/caperdeck/execution/executor.py
+++ b/caperdeck/execution/executor.py
@@ -259,7 +259,8 @@
 
     def _send_or_end_dial(self, session: Session, conn: HostSide) -> None:
         self.refresh_bans()
-        # The host may have been banned, or its quota have expired, while the connection was being opened.
+        # While the connection was being opened, the host may have been banned, begun to drain or restarted,
+        # and the client's time or the span in which the host drops repeats may have ended.
         if session.request.resume_host is None and not self.balancer.may_send_request(
             self.clock(), session.index
         ):
